--- a/benchmarks/scale/hollow/real.py
+++ b/benchmarks/scale/hollow/real.py
@@ -58,9 +58,7 @@
     finally:
         site.close()
     counted = {
-        name: sum(
-            new.counters.get(key, 0) - old.counters.get(key, 0) for old, new in zip(before, after, strict=True)
-        )
+        name: sum(new.counters.get(key, 0) - old.counters.get(key, 0) for old, new in zip(before, after, strict=True))
         for name, key in (("bytes", "bytes_out"), ("messages", "sent"), ("dials", "dialled"))
     }
     cpu_s = sum(new.cpu_s - old.cpu_s for old, new in zip(before, after, strict=True))
--- a/oatlink/adapter.py
+++ b/oatlink/adapter.py
@@ -34,6 +34,7 @@
 }
 NOTE_ROLES = {1: api.Role.PRIMARY, 2: api.Role.REPLICA}
 
+
 class Line(Wire):
     server: int
     group: int
@@ -113,9 +114,7 @@
     """A stream has started; this project's classes do not stream."""
 
 
-WireEvent = (
-    Roster | Boot | Membership | JobIn | Aborted | AttemptEnd | Sampled | Fired | Halt | Mail | Established
-)
+WireEvent = Roster | Boot | Membership | JobIn | Aborted | AttemptEnd | Sampled | Fired | Halt | Mail | Established
 
 
 class Batch(msgspec.Struct):
@@ -135,9 +134,7 @@
         if pos_role == 0:
             return None
         position, role = divmod(pos_role, 4)
-        return api.Report(
-            self.base_us + position * 1000 if position else None, NOTE_ROLES.get(role, api.Role.UNKNOWN)
-        )
+        return api.Report(self.base_us + position * 1000 if position else None, NOTE_ROLES.get(role, api.Role.UNKNOWN))
 
     def report(self, metrics: dict[str, float] | None) -> api.Report | None:
         """A load report: x0 in seconds, x1 the role."""
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -19,6 +19,7 @@
 HELD_LOOK_US = 20_000  # a grant begins empty: how often what is held is tried while the gate has patience
 NOT_OFFERED_US = 200_000  # to come back where a bank or its primary does not offer a version that is served
 
+
 class Gated(Boxes):
     """Requests before the fleet's gate."""
 
--- a/oatlink/core/redact.py
+++ b/oatlink/core/redact.py
@@ -160,9 +160,7 @@
 def without_secrets(settings: Settings) -> Settings:
     """Settings as a recording has them: no password is in them."""
     users = tuple(msgspec.structs.replace(one, password="") for one in settings.users)
-    return msgspec.structs.replace(
-        settings, users=users, links=msgspec.structs.replace(settings.links, password="")
-    )
+    return msgspec.structs.replace(settings, users=users, links=msgspec.structs.replace(settings.links, password=""))
 
 
 def comparable(effects: list[m.AnyEffect], redacted: bool) -> list[m.AnyEffect]:
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -14,9 +14,7 @@
         self._name, self._shell = name, shell
         self.now, self.turn, self.dirty, self.marks = shell.now, shell.turn, shell.dirty, shell.marks
 
-    def ended(
-        self, send: m.Send, how: str, sent_us: int, frames: list[bytes], info: bytes, address: str = ""
-    ) -> None:
+    def ended(self, send: m.Send, how: str, sent_us: int, frames: list[bytes], info: bytes, address: str = "") -> None:
         """A request has ended."""
         now = self.now()
         self._shell.feed(
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -76,9 +76,7 @@
 
 async def _pause(client: Client) -> int:
     """Read nothing until the engine allows it again, or the client has left; when that was."""
-    handle = asyncio.get_running_loop().call_later(
-        max(0, client.paused_until_us - now_us()) / 1e6, client.wake
-    )
+    handle = asyncio.get_running_loop().call_later(max(0, client.paused_until_us - now_us()) / 1e6, client.wake)
     client.stream.set_close_callback(client.wake)
     try:
         await client.wait()
--- a/oatlink/gateway/run.py
+++ b/oatlink/gateway/run.py
@@ -179,9 +179,7 @@
     return 0
 
 
-async def _worker(
-    settings: Settings, sockets: list[socket.socket], number: int, writer: int, source: str
-) -> int:
+async def _worker(settings: Settings, sockets: list[socket.socket], number: int, writer: int, source: str) -> int:
     stop = asyncio.Event()
     on_signals(stop)
 
--- a/oatlink/interface.py
+++ b/oatlink/interface.py
@@ -115,8 +115,7 @@
 
     def validate(self) -> None:
         """Raise `ValueError` naming the first setting that makes no sense."""
-        for name in ("peers", "step_us", "max_attempts", "max_open", "ask_within_us", "fall_us",
-                                   "overload_factor"):
+        for name in ("peers", "step_us", "max_attempts", "max_open", "ask_within_us", "fall_us", "overload_factor"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name} must be above 0")
         for name in ("warm_after_us", "max_retry_after_us"):
--- a/oatlink/lab/scale/nodes.py
+++ b/oatlink/lab/scale/nodes.py
@@ -34,10 +34,7 @@
 
 def fleet_of(names: tuple[str, ...], keepers: int = 5) -> Fleet:
     """The fleet part, as the first node has it."""
-    nodes = tuple(
-        FleetNode(name, f"10.{at >> 8}.{at & 255}.1:7400", at < keepers)
-        for at, name in enumerate(names)
-    )
+    nodes = tuple(FleetNode(name, f"10.{at >> 8}.{at & 255}.1:7400", at < keepers) for at, name in enumerate(names))
     return Fleet(names[0], nodes, ("-",), "-")
 
 
--- a/oatlink/lab/scale/rumours.py
+++ b/oatlink/lab/scale/rumours.py
@@ -22,9 +22,7 @@
 class Rumours:
     """So many nodes, those `gone` left out. `heard`: told of each word that is new to a node, own ones among them."""
 
-    def __init__(
-        self, count: int, gone: Iterable[int], time: Timeline, tally: Tally, seed: int, heard: Heard
-    ) -> None:
+    def __init__(self, count: int, gone: Iterable[int], time: Timeline, tally: Tally, seed: int, heard: Heard) -> None:
         self.names, self.time, self.tally, self._heard = names_of(count), time, tally, heard
         self._places = {name: at for at, name in enumerate(self.names)}
         self._links = Links(seed)
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -139,9 +139,7 @@
 
     def _is_busy(self) -> bool:
         """Whether the next message has to wait."""
-        return not self.ending.discards and (
-            not self._pipeline.has_room or self._paused or self.stream.writing()
-        )
+        return not self.ending.discards and (not self._pipeline.has_room or self._paused or self.stream.writing())
 
     def _is_owed(self) -> bool:
         """Whether something is still to be answered: a query, or one that is here in part or may be."""
--- a/oatlink/protocols/pgwire.py
+++ b/oatlink/protocols/pgwire.py
@@ -447,9 +447,7 @@
 def make_bind(one: Bind) -> Message:
     """A Bind."""
     names = _text(one.portal) + _text(one.statement)
-    return Message(
-        b"B", names + _counted(one.formats, _INT16) + _values(one.values) + _counted(one.results, _INT16)
-    )
+    return Message(b"B", names + _counted(one.formats, _INT16) + _values(one.values) + _counted(one.results, _INT16))
 
 
 def make_target(kind: bytes, what: bytes, name: bytes) -> Message:
--- a/oatlink/rules/arrivals.py
+++ b/oatlink/rules/arrivals.py
@@ -14,8 +14,17 @@
     carried_us = event.since_write_us if rule.freshness is Freshness.SESSION else None
     need = event.needs_us if carried_us is None else book.now - carried_us
     need = book.now if rule.freshness is Freshness.LATEST else need
-    request = Request(event.request, rule, event.group, book.now, book.now + event.expires_in_us,
-                      event.session, need, rule.worth * _share_worth(book, event.tenant), group.arrived)
+    request = Request(
+        event.request,
+        rule,
+        event.group,
+        book.now,
+        book.now + event.expires_in_us,
+        event.session,
+        need,
+        rule.worth * _share_worth(book, event.tenant),
+        group.arrived,
+    )
     if book.settings.peers > terms.FEW_PEERS_COUNT:
         request.tied = rule.freshness in (Freshness.WRITE, Freshness.LATEST)
         request.draw = (1 + book.random.randrange(DRAW_STEPS_COUNT)) / DRAW_STEPS_COUNT
@@ -27,7 +36,7 @@
     book.worth += 0.05 * (request.worth - book.worth)
     drawn = book.random.random() ** max(request.worth, 0.01) if group.share < 1.0 else 0.0
     # Threat: a share that is never tried never comes back.
-    if drawn > group.share ** book.worth and book.now - group.let_us < book.settings.fall_us:
+    if drawn > group.share**book.worth and book.now - group.let_us < book.settings.fall_us:
         holding.give_up(book, request)
     else:  # Threat: a tenant's flood. Past its share it passes nothing that waits, nor is passed by others.
         group.let_us, held = book.now, bool(book.holds[group.id].held)
--- a/oatlink/rules/holding.py
+++ b/oatlink/rules/holding.py
@@ -31,8 +31,14 @@
 
 def kind_of(book: Book, request: Request) -> Kind:
     """What one request must share with another to stand for it."""
-    return (request.rule.name, request.worth, _late(book, request), tuple(request.tried),
-            request.asked >= READ_CHECKS_COUNT, request.draw if request.tied else 0.0)
+    return (
+        request.rule.name,
+        request.worth,
+        _late(book, request),
+        tuple(request.tried),
+        request.asked >= READ_CHECKS_COUNT,
+        request.draw if request.tied else 0.0,
+    )
 
 
 def tidy_rows(book: Book, holds: Holds) -> None:
--- a/oatlink/rules/room.py
+++ b/oatlink/rules/room.py
@@ -15,8 +15,12 @@
 def is_free(book: Book, member: Member, share: float) -> bool:
     """Whether one more attempt is within a share of what a member has shown it can hold."""
     shown = max(1.0, member.room * share * cold.warmth(book, member))
-    return (not member.drained and not checks.in_doubt(book, member)
-            and book.now >= member.full_until_us and len(member.out) + 1 <= shown)
+    return (
+        not member.drained
+        and not checks.in_doubt(book, member)
+        and book.now >= member.full_until_us
+        and len(member.out) + 1 <= shown
+    )
 
 
 def learn(book: Book, member: Member, event: AttemptEnded) -> None:
--- a/oatlink/rules/sending.py
+++ b/oatlink/rules/sending.py
@@ -21,17 +21,25 @@
 
 def may_send(book: Book, request: Request, member: Member) -> bool:
     """The guards of the rules: drain, group, repeats, time, age, attempts and cold budget."""
-    return (may_write(book, request, member, book.now) and may_repeat(book, request)
-            and cold.within_budget(book, member, 1.0, request))
+    return (
+        may_write(book, request, member, book.now)
+        and may_repeat(book, request)
+        and cold.within_budget(book, member, 1.0, request)
+    )
 
 
 def may_write(book: Book, request: Request, member: Member, sent_us: int) -> bool:
     """The guards that time alone may turn. Threat: a connection that comes up when all has changed."""
     sure = book.settings.members_check_reads or book.groups[member.entry.group].primary == member.entry.member
     fresh = request.rule.freshness is api.Freshness.WRITE or member.position_us >= holding.need(book, request)
-    return ((sure or fresh) and not member.drained and member.entry.group == request.group
-            and not sent_us < member.started_us <= book.now
-            and book.now < request.expires_us - book.margin_us and _safe(book, request))
+    return (
+        (sure or fresh)
+        and not member.drained
+        and member.entry.group == request.group
+        and not sent_us < member.started_us <= book.now
+        and book.now < request.expires_us - book.margin_us
+        and _safe(book, request)
+    )
 
 
 def may_repeat(book: Book, request: Request) -> bool:
@@ -44,5 +52,9 @@
 def _safe(book: Book, request: Request) -> bool:
     """Whether one more attempt could do no harm beside those that may have run."""
     first, rule = request.may_have_run_us, request.rule
-    return (first is None or rule.effect is api.Effect.IDEMPOTENT
-            or rule.effect is api.Effect.KEYED and book.now + book.margin_us < first + rule.repeat_window_us)
+    return (
+        first is None
+        or rule.effect is api.Effect.IDEMPOTENT
+        or rule.effect is api.Effect.KEYED
+        and book.now + book.margin_us < first + rule.repeat_window_us
+    )
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -115,8 +115,12 @@
 @pytest.mark.parametrize(
     ("version", "full", "crossed", "verdict"),
     [
-        (6, True, False, Verdict.TAKEN), (4, True, True, Verdict.STALE), (4, True, False, Verdict.RESTORED),
-        (5, False, True, Verdict.TAKEN), (4, False, True, Verdict.STALE), (4, False, False, Verdict.BACK),
+        (6, True, False, Verdict.TAKEN),
+        (4, True, True, Verdict.STALE),
+        (4, True, False, Verdict.RESTORED),
+        (5, False, True, Verdict.TAKEN),
+        (4, False, True, Verdict.STALE),
+        (4, False, False, Verdict.BACK),
     ],
 )
 def test_an_answers_verdict(version: int, full: bool, crossed: bool, verdict: Verdict) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -69,9 +69,13 @@
 @pytest.mark.parametrize(
     ("line", "complaint"),
     [
-        ("tests/a.py::test_b", FORM), ("tests/a.py::test_b | - | seen", FORM), (" | - | seen | 3", FORM),
-        ("tests/a.py::test_b | - | seen | 3 | more", FORM), ("tests/a.py::test_b | - | | 3", FORM),
-        ("tests/a.py::test_b | | seen | 3", FORM), ("tests/a.py::test_b | cause | 3", FORM),
+        ("tests/a.py::test_b", FORM),
+        ("tests/a.py::test_b | - | seen", FORM),
+        (" | - | seen | 3", FORM),
+        ("tests/a.py::test_b | - | seen | 3 | more", FORM),
+        ("tests/a.py::test_b | - | | 3", FORM),
+        ("tests/a.py::test_b | | seen | 3", FORM),
+        ("tests/a.py::test_b | cause | 3", FORM),
         ("tests/a.py | - | seen | 3", "'tests/a.py' is neither a test id"),
         ("tests/a.py::test_b | one | seen | 3", "'one' is no seed"),
         ("tests/a.py::test_b | - | seen | soon", "'soon' is no issue number"),
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -89,9 +89,7 @@
     assert pg.make_query(b"SELECT 1").encode() == b"Q\0\0\0\x0dSELECT 1\0"
     assert pg.Message(b"S", b"").encode() == b"S\0\0\0\x04"
     assert pg.make_request(pg.SSL).encode() == struct.pack("!ii", 8, 80877103)
-    assert pg.make_startup({"user": "a", "database": "b"}).encode() == (
-        b"\0\0\0\x1b\0\x03\0\0user\0a\0database\0b\0\0"
-    )
+    assert pg.make_startup({"user": "a", "database": "b"}).encode() == (b"\0\0\0\x1b\0\x03\0\0user\0a\0database\0b\0\0")
     assert pg.make_cancel(pg.Cancel(7, b"\0\0\0\x09")).encode() == struct.pack("!iiii", 16, 80877102, 7, 9)
     assert pg.make_ready(b"T").encode() == b"Z\0\0\0\x05T"
     assert pg.make_row((b"x", None)).encode() == b"D\0\0\0\x0f\0\x02\0\0\0\x01x\xff\xff\xff\xff"
