--- /dev/null
+++ b/tests/test_stored_names.py
@@ -0,0 +1,89 @@
+"""Files that an earlier program wrote are read, and the same names are written: renamed code does not change them."""
+
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from oatlink.core import snapshot
+from oatlink.core.engine import Engine
+from oatlink.core.recording import Entry, Header, Recording, replay
+from oatlink.core.snapshot import Head, read, restore, take
+from oatlink.fleet.gate import Served
+from oatlink.fleet.limits.node import Use
+
+DATA = Path(__file__).parent / "data"
+SNAPSHOT = (DATA / "snapshot-0.3.0.bin").read_bytes()
+RECORDING = (DATA / "recording-0.3.0.bin").read_bytes()
+
+
+@pytest.fixture(autouse=True)
+def as_the_version_that_wrote_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(snapshot, "__version__", "0.3.0")
+
+
+def stored_engine() -> Engine:
+    header = Recording(RECORDING).header
+    return restore(SNAPSHOT, header.settings, known_as=header.settings_hash)
+
+
+def record_names(value: Any) -> set[str]:
+    """The names of the records and enums in a snapshot's values."""
+    if not isinstance(value, list):
+        return set()
+    own = {value[2]} if value and value[0] == "i" else {value[1]} if value and value[0] == "e" else set()
+    return own.union(*map(record_names, value))
+
+
+def outer_names(*types: Any) -> list[str]:
+    """Each structure that the types lead to: its tag and its fields in order, without the name of its class."""
+    found: dict[Any, str] = {}
+
+    def walk(info: Any) -> None:
+        if isinstance(info, list | tuple):
+            for part in info:
+                walk(part)
+        elif isinstance(info, msgspec.inspect.Type | msgspec.inspect.Field):
+            if isinstance(info, msgspec.inspect.StructType | msgspec.inspect.DataclassType):
+                if info.cls in found:
+                    return
+                tag = getattr(info, "tag", None) or "-"
+                found[info.cls] = " ".join([f"{tag}:", *(field.encode_name for field in info.fields)])
+            for name in info.__struct_fields__:
+                walk(getattr(info, name))
+
+    walk(msgspec.inspect.multi_type_info(types))
+    return sorted(found.values())
+
+
+def test_a_stored_snapshot_is_restored_and_written_again_as_the_same_bytes() -> None:
+    engine = stored_engine()
+    assert take(engine, read(SNAPSHOT).taken_us) == SNAPSHOT
+
+
+def test_the_stored_snapshot_has_every_kind_of_record() -> None:
+    head = read(SNAPSHOT)
+    assert record_names([*head.engine.values(), *head.router.values()]) == set(snapshot.KINDS)
+
+
+def test_a_stored_recording_replays_without_a_difference() -> None:
+    recording = Recording(RECORDING)
+    assert recording.header.snapshot
+    replayed = replay(recording.header, recording.entries())
+    assert (replayed.inputs, replayed.decisions, replayed.differences) == (106, 15, 0), replayed.first
+    assert not recording.damage
+
+
+def test_a_stored_recording_is_encoded_again_as_the_same_bytes() -> None:
+    recording = Recording(RECORDING)
+    payloads = [msgspec.msgpack.encode(one) for one in (recording.header, *recording.entries())]
+    at = 0
+    for payload in payloads:
+        at = RECORDING.index(payload, at) + len(payload)
+    assert at == len(RECORDING)
+
+
+def test_the_names_in_recordings_and_heads_are_the_stored_ones() -> None:
+    names = outer_names(Header, Entry, Head, Use, Served)
+    assert "\n".join(names) + "\n" == (DATA / "names-0.3.0.txt").read_text()
