--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -280,7 +280,7 @@
         if statement.after_ms:
             since_us = max(0, at_us - self._on_clock(statement.after_ms * 1000))
         one, done = self._requests.arrived(statement, query, left_us, at_us, since_us)
-        if not one.over:
+        if not one.is_closed:
             self._asking[query] = one
         self._do(done)
 
@@ -288,7 +288,7 @@
         """See `Asker`."""
         one = self._asking.get(query)
         if one is not None:
-            self._requests.hurry(one, query.early_us)
+            self._requests.shorten_deadline(one, query.early_us)
             self._set_deadline()
 
     def left(self, query: Query) -> None:
@@ -364,7 +364,7 @@
                 sent = Sent(self, one.attempt, pool)
                 if pool is None:
                     sent.ended(Outcome.NO_CONNECTION, now_us(), None)
-                elif not one.attempt.ended:
+                elif not one.attempt.has_ended:
                     self._sending[id(one.attempt)] = sent
                     pool.launch(sent)
             case req.Tell():
@@ -413,7 +413,7 @@
 
     def _set_deadline(self) -> None:
         """One timer for the next request whose time is up."""
-        at_us = self._requests.next_end_us()
+        at_us = self._requests.next_deadline_us()
         if at_us == self._due_at_us:
             return
         if self._due is not None:
--- a/oatlink/platform/jobs.py
+++ b/oatlink/platform/jobs.py
@@ -41,7 +41,7 @@
 
     def payload(self) -> bytes:
         """The statement as a query."""
-        self.attempt.written = True
+        self.attempt.is_written = True
         return pg.make_query(self.attempt.payload(now_us())).encode()
 
     def ended(self, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
--- a/oatlink/platform/requests.py
+++ b/oatlink/platform/requests.py
@@ -45,8 +45,8 @@
     number: int
     member: int
     started_us: int
-    ended: bool = False
-    written: bool = False  # committed to a connection; until then it may be taken back
+    has_ended: bool = False
+    is_written: bool = False  # committed to a connection; until then it may be taken back
 
     def payload(self, now_us: int) -> bytes:
         """The statement, with the time that is left."""
@@ -62,12 +62,12 @@
     owner: Owner
     expires_us: int
     attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
+    is_closed: bool = False
 
     @property
     def out(self) -> list[Attempt]:
         """Attempts that have not ended."""
-        return [one for one in self.attempts if not one.ended]
+        return [one for one in self.attempts if not one.has_ended]
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,20 +153,20 @@
         )
         return one, self.handle(event, now_us)
 
-    def hurry(self, one: Open, by_us: int) -> None:
+    def shorten_deadline(self, one: Open, by_us: int) -> None:
         """Its answer is due so much earlier. What is sent from now on is told so; the Router goes by its own time."""
-        if not one.over:
+        if not one.is_closed:
             one.expires_us -= by_us
             heapq.heappush(self._ends, (one.expires_us, one.id))
 
     def departed(self, one: Open, now_us: int) -> list[Do]:
         """The client has left. What is written goes on to its end, as the Router takes it to; the rest is undone."""
-        if one.over:
+        if one.is_closed:
             return []
         self._close(one)
         done = self.handle(api.Departure(one.id), now_us)
         for attempt in one.out:
-            if not attempt.written:
+            if not attempt.is_written:
                 self._do.append(Abandon(attempt))
                 done += self.ended(attempt, Outcome.WITHDRAWN, now_us, now_us)
         return done
@@ -174,7 +174,7 @@
     def may_write(self, attempt: Attempt, now_us: int) -> bool:
         """Whether an attempt may be written now: its client is there, its time not up, the Router has not changed."""
         one = attempt.open
-        if attempt.ended or one.over or now_us >= one.expires_us:
+        if attempt.has_ended or one.is_closed or now_us >= one.expires_us:
             return False
         return self.router.may_write(one.id, attempt.number, now_us)
 
@@ -188,11 +188,11 @@
         answer: Report | None = None,
     ) -> list[Do]:
         """An attempt has ended, its answer here at `at_us`."""
-        if attempt.ended:
+        if attempt.has_ended:
             return []
         one = attempt.open
-        attempt.ended = True
-        if outcome is Outcome.SERVED and not one.over:
+        attempt.has_ended = True
+        if outcome is Outcome.SERVED and not one.is_closed:
             self._final(one, Final(payload))
         event = api.AttemptEnded(
             one.id,
@@ -200,13 +200,13 @@
             attempt.member,
             outcome,
             max(0, at_us - attempt.started_us),
-            one.over,
+            one.is_closed,
             answer,
         )
         self._release(one)
         return self.handle(event, now_us)
 
-    def next_end_us(self) -> int | None:
+    def next_deadline_us(self) -> int | None:
         """When the next request's time is up."""
         while self._ends and self._ends[0][1] not in self._open:
             heapq.heappop(self._ends)
@@ -221,9 +221,9 @@
                 continue
             for attempt in one.out:
                 self._do.append(Abandon(attempt))
-                outcome = Outcome.LATE if attempt.written else Outcome.WITHDRAWN
+                outcome = Outcome.LATE if attempt.is_written else Outcome.WITHDRAWN
                 done += self.ended(attempt, outcome, now_us, now_us)
-            if not one.over:
+            if not one.is_closed:
                 self._do.append(Defect(f"class {one.statement.rule.name}: unanswered at its deadline"))
                 self._final(one, FAILED)
                 done += self.handle(api.Departure(one.id), now_us)
@@ -256,12 +256,12 @@
 
     def _send(self, action: api.Send, now_us: int) -> None:
         one = self._open.get(action.request)
-        if one is None or one.over or now_us >= one.expires_us:
+        if one is None or one.is_closed or now_us >= one.expires_us:
             # Threat: a send after the final answer. It would break the rule on lost requests.
             number = len(one.attempts) if one is not None else 0
             if one is not None:
-                one.attempts.append(Attempt(one, number, action.member, now_us, ended=True))
-            over = one is None or one.over
+                one.attempts.append(Attempt(one, number, action.member, now_us, has_ended=True))
+            over = one is None or one.is_closed
             self._events.append(api.AttemptEnded(action.request, number, action.member, Outcome.NOT_SENT, 0, over))
             return
         attempt = Attempt(one, len(one.attempts), action.member, now_us)
@@ -269,19 +269,21 @@
         self._do.append(Launch(attempt))
 
     def _cancel(self, one: Open, attempt: Attempt, now_us: int) -> None:
-        if attempt.ended:
+        if attempt.has_ended:
             return
-        attempt.ended = True
+        attempt.has_ended = True
         self._do.append(Abandon(attempt))
-        outcome = Outcome.CANCELLED if attempt.written else Outcome.WITHDRAWN
+        outcome = Outcome.CANCELLED if attempt.is_written else Outcome.WITHDRAWN
         self._events.append(
-            api.AttemptEnded(one.id, attempt.number, attempt.member, outcome, now_us - attempt.started_us, one.over)
+            api.AttemptEnded(
+                one.id, attempt.number, attempt.member, outcome, now_us - attempt.started_us, one.is_closed
+            )
         )
         self._release(one)
 
     def _end(self, request: str, final: Final) -> None:
         one = self._open.get(request)
-        if one is not None and not one.over:
+        if one is not None and not one.is_closed:
             self._final(one, final)
             self._release(one)
 
@@ -291,13 +293,13 @@
 
     def _close(self, one: Open) -> None:
         """Nothing is owed any more; its client's id is free again."""
-        one.over = True
+        one.is_closed = True
         if self._ids.get(one.statement.id) is one:
             del self._ids[one.statement.id]
         self._release(one)
 
     def _release(self, one: Open) -> None:
-        if one.over and not one.out:
+        if one.is_closed and not one.out:
             self._open.pop(one.id, None)
 
 
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -160,7 +160,7 @@
         self.slow = 1.0
         for number in (1, 2, 3):
             report = api.Report(self.now, Role.PRIMARY if number == 1 else Role.REPLICA)
-            self.book.handle(api.Checked(number, Outcome.SERVED, 2_000, report), self.now)
+            self.requests.handle(api.Checked(number, Outcome.SERVED, 2_000, report), self.now)
 
     def asked(self, text: bytes) -> tuple[req.Open, req.Attempt, Asked]:
         self.ask(text, 0x9B1F)
@@ -169,7 +169,7 @@
 
     def served(self, attempt: req.Attempt, value: bytes) -> list[req.Tell]:
         """Who is told of an attempt's answer."""
-        done = self.book.ended(attempt, Outcome.SERVED, self.now, self.now, value)
+        done = self.requests.ended(attempt, Outcome.SERVED, self.now, self.now, value)
         return [each for each in done if isinstance(each, req.Tell)]
 
 
@@ -177,23 +177,23 @@
 def test_a_clients_leaving_takes_back_what_is_not_written_and_only_that(written: bool) -> None:
     desk = Desk()
     one, attempt, owner = desk.asked(WRITE)
-    attempt.written = written
-    assert desk.book.may_write(attempt, desk.now)
-    done = desk.book.departed(one, desk.now)
-    assert not desk.book.may_write(attempt, desk.now)
+    attempt.is_written = written
+    assert desk.requests.may_write(attempt, desk.now)
+    done = desk.requests.departed(one, desk.now)
+    assert not desk.requests.may_write(attempt, desk.now)
     assert any(isinstance(each, req.Abandon) for each in done) == (not written)
-    assert attempt.ended == (not written) and not owner.finals
+    assert attempt.has_ended == (not written) and not owner.finals
     if written:
         desk.served(attempt, b"value")
-    assert not desk.book._open and not owner.finals, "the answer of the one that left is nobody's"
+    assert not desk.requests._open and not owner.finals, "the answer of the one that left is nobody's"
 
 
 def test_the_same_id_is_free_at_once_when_its_client_has_left() -> None:
     desk = Desk()
     one, attempt, first = desk.asked(READ)
-    attempt.written = True
-    desk.book.departed(one, desk.now)
-    assert not desk.book.is_open(b"9b1f")
+    attempt.is_written = True
+    desk.requests.departed(one, desk.now)
+    assert not desk.requests.is_open(b"9b1f")
     _, again, second = desk.asked(READ)
     assert not desk.served(attempt, b"the first's")
     (told,) = desk.served(again, b"its own")
@@ -204,17 +204,17 @@
 def test_at_its_deadline_only_a_written_attempt_can_have_run(written: bool) -> None:
     desk = Desk()
     _, attempt, _ = desk.asked(WRITE)
-    attempt.written = written
+    attempt.is_written = written
     heard: list[api.Event] = []
-    handle = desk.book.router.handle
+    handle = desk.requests.router.handle
 
     def noted(event: api.Event, now_us: int) -> list[api.Action]:
         heard.append(event)
         return handle(event, now_us)
 
-    desk.book.router.handle = noted  # type: ignore[method-assign]
+    desk.requests.router.handle = noted  # type: ignore[method-assign]
     desk.now += 2_900_000
-    done = desk.book.expire(desk.now)
+    done = desk.requests.expire(desk.now)
     ends = [each.outcome for each in heard if isinstance(each, api.AttemptEnded)]
     assert ends == [Outcome.LATE if written else Outcome.WITHDRAWN]
     (told,) = [each for each in done if isinstance(each, req.Tell)]
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -103,16 +103,16 @@
 def test_one_with_others_behind_it_ends_while_its_client_still_waits(text: bytes) -> None:
     world = Requests(1)
     for number in (1, 2, 3):  # members known, so that it is sent
-        world.do(world.book.handle(Checked(number, Outcome.SERVED, 1_000, None), world.now))
+        world.do(world.requests.handle(Checked(number, Outcome.SERVED, 1_000, None), world.now))
     world.ask(text, 7)
     one, end_us = world.open[0], world.open[0].expires_us
-    world.book.hurry(one, SLACK_US)
-    assert world.book.next_end_us() == end_us - SLACK_US
+    world.requests.shorten_deadline(one, SLACK_US)
+    assert world.requests.next_deadline_us() == end_us - SLACK_US
     world.now = end_us - SLACK_US
-    world.do(world.book.expire(world.now))
-    assert one.over and len(world.owners[0].finals) == 1 and not world.book._open
+    world.do(world.requests.expire(world.now))
+    assert one.is_closed and len(world.owners[0].finals) == 1 and not world.requests._open
     world.now = end_us
-    assert world.book.expire(world.now) == []
+    assert world.requests.expire(world.now) == []
 
 
 @scene(home)
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -229,7 +229,7 @@
     def __init__(self, seed: int, decider: Any = None) -> None:
         self.draw = random.Random(seed)
         self.now = 100_000_000
-        self.book = req.Requests(decider or Router(replace(SETTINGS, seed=seed)))
+        self.requests = req.Requests(decider or Router(replace(SETTINGS, seed=seed)))
         self.out: dict[int, req.Attempt] = {}
         self.slow = 0.0 if decider else 0.2  # of the attempts wait for a connection
         self.told: dict[int, int] = {}
@@ -237,16 +237,16 @@
         self.open: list[req.Open] = []
         self.checks: list[int] = []
         self.defects: list[str] = []
-        self.do(self.book.handle(api.Start(), self.now))
+        self.do(self.requests.handle(api.Start(), self.now))
         entries = tuple(member(number) for number in (1, 2, 3))
-        self.do(self.book.handle(api.Roster(RosterKind.WHOLE, entries), self.now))
+        self.do(self.requests.handle(api.Roster(RosterKind.WHOLE, entries), self.now))
 
     def do(self, done: list[req.Do]) -> None:
         for one in done:
             match one:
                 case req.Launch():
-                    assert not one.attempt.open.over, "a send after the final answer"
-                    one.attempt.written = self.draw.random() >= self.slow
+                    assert not one.attempt.open.is_closed, "a send after the final answer"
+                    one.attempt.is_written = self.draw.random() >= self.slow
                     self.out[id(one.attempt)] = one.attempt
                 case req.Abandon():
                     self.out.pop(id(one.attempt), None)
@@ -260,40 +260,40 @@
     def ask(self, text: bytes, number: int) -> None:
         statement = read(text.replace(b"9b1f", b"%04x" % number).replace(b"cluster=2", b"cluster=1"))
         self.owners.append(Asked())
-        one, done = self.book.arrived(statement, self.owners[-1], statement.wait_ms * 1000, self.now, None)
+        one, done = self.requests.arrived(statement, self.owners[-1], statement.wait_ms * 1000, self.now, None)
         self.open.append(one)
         self.do(done)
 
     def step(self, number: int) -> None:
         self.now += self.draw.randrange(30_000)
-        self.do(self.book.expire(self.now))
+        self.do(self.requests.expire(self.now))
         match self.draw.randrange(7):
             case 0 | 1:
                 self.ask(self.draw.choice([READ, WRITE]), number)
             case 2 | 3 if self.out:
                 attempt = self.out.pop(self.draw.choice(list(self.out)))
-                if not attempt.written and self.book.may_write(attempt, self.now):
-                    assert not attempt.open.over and not attempt.ended, "written for nobody"
-                    attempt.written = True
+                if not attempt.is_written and self.requests.may_write(attempt, self.now):
+                    assert not attempt.open.is_closed and not attempt.has_ended, "written for nobody"
+                    attempt.is_written = True
                     self.out[id(attempt)] = attempt
                     return
-                if not attempt.written:
-                    self.do(self.book.ended(attempt, Outcome.WITHDRAWN, self.now, self.now))
+                if not attempt.is_written:
+                    self.do(self.requests.ended(attempt, Outcome.WITHDRAWN, self.now, self.now))
                     return
                 outcome = self.draw.choice([*Outcome][:7] + [Outcome.SERVED] * 6 + [Outcome.MISS])
                 role = Role.PRIMARY if attempt.member == 1 else Role.REPLICA
-                self.do(self.book.ended(attempt, outcome, self.now, self.now, b"value", Report(None, role)))
-                assert self.book.ended(attempt, Outcome.SERVED, self.now, self.now, b"twice") == []
+                self.do(self.requests.ended(attempt, outcome, self.now, self.now, b"value", Report(None, role)))
+                assert self.requests.ended(attempt, Outcome.SERVED, self.now, self.now, b"twice") == []
             case 4 if self.checks:
                 numbered = self.checks.pop()
                 role = Role.PRIMARY if numbered == 1 else Role.REPLICA
                 event = api.Checked(numbered, Outcome.SERVED, 2_000, Report(self.now, role))
-                self.do(self.book.handle(event, self.now))
+                self.do(self.requests.handle(event, self.now))
             case 6 if self.open:
-                self.book.hurry(self.draw.choice(self.open), SLACK_US)
+                self.requests.shorten_deadline(self.draw.choice(self.open), SLACK_US)
             case 5 if self.open:
                 gone = self.draw.choice(self.open)
-                self.do(self.book.departed(gone, self.now))
+                self.do(self.requests.departed(gone, self.now))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -302,13 +302,14 @@
     for number in range(400):
         world.step(number)
     world.now += 10_000_000
-    world.do(world.book.expire(world.now))
+    world.do(world.requests.expire(world.now))
     left = sum(not owner.finals for owner in world.owners)
     assert all(len(owner.finals) <= 1 for owner in world.owners)
-    assert left <= sum(one.over for one in world.open) and all(one.over for one in world.open)
+    assert left <= sum(one.is_closed for one in world.open) and all(one.is_closed for one in world.open)
     assert sum(bool(owner.finals) for owner in world.owners) > 30
-    assert len(world.book) == 0 and not world.book._open and world.book.next_end_us() is None, "nothing is kept"
-    assert not any(attempt for attempt in world.out.values() if not attempt.ended)
+    assert len(world.requests) == 0 and not world.requests._open, "nothing is kept"
+    assert world.requests.next_deadline_us() is None
+    assert not any(attempt for attempt in world.out.values() if not attempt.has_ended)
 
 
 class Scripted:
@@ -328,7 +329,7 @@
     world = World(1, decider)
     world.ask(READ, 1)
     world.now += 480_000
-    world.do(world.book.expire(world.now))
+    world.do(world.requests.expire(world.now))
     assert world.owners[0].finals == [req.FAILED] and len(world.defects) == 1 and not world.out
     assert any(isinstance(one, api.AttemptEnded) and one.outcome is Outcome.LATE for one in decider.heard)
 
@@ -347,18 +348,18 @@
     world = World(1, decider)
     world.ask(READ, 1)
     (first,) = world.out.values()
-    world.do(world.book.handle(api.TimerFired("x"), world.now))
-    assert first.ended and [one.member for one in world.out.values()] == [2]
-    assert world.book.ended(first, Outcome.SERVED, world.now, world.now, b"late") == []
+    world.do(world.requests.handle(api.TimerFired("x"), world.now))
+    assert first.has_ended and [one.member for one in world.out.values()] == [2]
+    assert world.requests.ended(first, Outcome.SERVED, world.now, world.now, b"late") == []
     assert world.owners[0].finals == []
 
 
 def test_an_open_id_is_known_until_its_answer() -> None:
     world = World(1, Scripted([], [], [api.Send("1", 1)]))
     world.ask(READ, 1)
-    assert world.book.is_open(b"0001") and not world.book.is_open(b"0002")
-    world.do(world.book.departed(world.open[0], world.now))
-    assert not world.book.is_open(b"0001"), "the same id may come again on a new connection"
+    assert world.requests.is_open(b"0001") and not world.requests.is_open(b"0002")
+    world.do(world.requests.departed(world.open[0], world.now))
+    assert not world.requests.is_open(b"0001"), "the same id may come again on a new connection"
 
 
 def test_numbers_are_never_given_again_and_what_left_is_let_go() -> None:
