--- a/benchmarks/scale/slopes/host.py
+++ b/benchmarks/scale/slopes/host.py
@@ -115,7 +115,7 @@
         began_cpu, began = time.process_time(), time.perf_counter()
         if word == "members":
             for at in range(self.members, count):
-                self.servers.listed(at, ("127.0.0.1", self.ports[at % len(self.ports)]))
+                self.servers.set_address(at, ("127.0.0.1", self.ports[at % len(self.ports)]))
             self.members = count
         elif word == "wait":
             await asyncio.sleep(count)
@@ -129,7 +129,7 @@
                     await asyncio.sleep(0.002)
             for _ in range(count):
                 assert await done.get() is Outcome.SERVED
-        opened = self.clients.open if self.clients is not None else self.servers.open
+        opened = self.clients.open if self.clients is not None else self.servers.open_count
         return {
             "cpu_s": time.process_time() - began_cpu,
             "took_s": time.perf_counter() - began,
--- a/oatlink/platform/config.py
+++ b/oatlink/platform/config.py
@@ -16,7 +16,7 @@
 WATCHES = 4  # watches in the time within which the settings have the list asked for
 # A change counts as told 6 s after discovery had it and could be reached, whatever failed before. A silent call takes
 # 1.8 s, the pause behind it 1.5 quarters of what is named here, the call that brings the change 1.8 s: 5.85 s.
-TOLD_US = 6_000_000
+NOTIFIED_US = 6_000_000
 WATCH_S = 2.5  # with 1.8 s until its silence is known, a first pause and a call: 6 s as well
 
 
@@ -66,14 +66,14 @@
     idle_s: float
 
 
-def asked_for(settings: Settings, options: Options) -> Settings:
+def with_polled_roster(settings: Settings, options: Options) -> Settings:
     """The settings as they hold on sockets, where each list has to be asked for.
 
     Threat: settings whose list is pushed. Nobody pushes it here: unasked, each drain and start is missed. And what the
     agent has counts as told with no watch open, from a process's first moment on: there a gateway asks within the time
     that it has to stop sending. And settings that allow more time to ask than until a change counts as told anyway.
     """
-    within_us = min(settings.ask_within_us, TOLD_US)
+    within_us = min(settings.ask_within_us, NOTIFIED_US)
     if not settings.must_ask_roster and options.obligations.stop_sending_within_us > 0:
         within_us = min(within_us, options.obligations.stop_sending_within_us)
     return replace(settings, must_ask_roster=True, ask_within_us=within_us)
@@ -91,7 +91,7 @@
     return host.strip("[]"), int(port)
 
 
-def read(environment: Mapping[str, str] = os.environ) -> Config:
+def load(environment: Mapping[str, str] = os.environ) -> Config:
     """The configuration. What the file says goes before a variable, which may be older. Raises `ConfigError`."""
     path = environment.get("GW_CONFIG")
     if not path:
@@ -106,7 +106,7 @@
     try:
         file = msgspec.json.decode(text, type=File)
         seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
-        settings = asked_for(to_settings(file.settings, seed & (1 << 64) - 1), file.settings)
+        settings = with_polled_roster(to_settings(file.settings, seed & (1 << 64) - 1), file.settings)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
     except (WireError, ValueError) as error:
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -68,7 +68,7 @@
         self.room = Room(0, 0)
         self._divide()
         self._clients = Clients(sock, self._most_clients, self, self._marks, self._keep, self.note)
-        self._discovery = Discovery(config.discovery, config.watch_s, self._told, self.note)
+        self._discovery = Discovery(config.discovery, config.watch_s, self._on_news, self.note)
         self._ended = asyncio.Event()
         self._reload = Reload(self._apply, self._keep)
         self._answers = AnswersSeen()  # since the last line of state
@@ -137,7 +137,7 @@
         Threat: a line that names thousands, made while everybody waits. Members with nothing open are only counted.
         """
         members = []
-        for pool in self._servers.used:
+        for pool in self._servers.active:
             number = pool.number
             belief = belief_of(self._router, number)
             if belief is not None:
@@ -150,7 +150,7 @@
             len(self._requests),
             self._clients.open,
             self._clients.idle,
-            self._servers.open,
+            self._servers.open_count,
             ", ".join(members) or "none",
             max(0, len(self._entries) - len(members)),
         )
@@ -223,9 +223,9 @@
             self.note(f"known: {problem}")
             return
         self._discovery.version = news.version
-        self._told(news)
+        self._on_news(news)
 
-    def _told(self, news: News | None) -> None:
+    def _on_news(self, news: News | None) -> None:
         if news is None:
             self._do(self._requests.handle(api.Roster(RosterKind.FAILED), now_us()))
             return
@@ -233,7 +233,7 @@
         for one in news.servers:
             number = self._numbers.of(one.id)
             if one.listing is not api.Listing.GONE:
-                self._servers.listed(number, one.address)
+                self._servers.set_address(number, one.address)
                 self._groups.add(one.group)
             started_us = self._on_clock(one.started_ms * 1000) if one.started_ms else 0
             entry = api.RosterEntry(number, one.group, one.zone, one.kind, one.listing, one.primary, started_us)
@@ -244,7 +244,7 @@
         for entry in entries:  # what waits for a connection there was decided by an older list
             pool = self._servers.pool(entry.member)
             if pool is not None:
-                pool.review()
+                pool.recheck_waiting()
         self._let_go({entry.member for entry in entries}, news.kind is not RosterKind.CHANGES)
 
     def _let_go(self, named: set[int], whole: bool) -> None:
@@ -258,7 +258,7 @@
 
         for number in self._numbers.keep(stays):
             self._entries.pop(number, None)
-            self._servers.gone(number)
+            self._servers.remove(number)
 
     # ---- Clients ----
 
--- a/oatlink/platform/reload.py
+++ b/oatlink/platform/reload.py
@@ -7,7 +7,7 @@
 import logging
 from collections.abc import Callable
 
-from oatlink.platform.config import Config, ConfigError, read
+from oatlink.platform.config import Config, ConfigError, load
 
 LOG = logging.getLogger("oatlink.platform")
 AGAIN_S = (0.1, 0.3, 1.0, 3.0)  # a file that cannot be read is looked at again
@@ -31,7 +31,7 @@
         """Threat: a file half written. The old settings stand, and it is looked at again shortly."""
         for wait_s in (*AGAIN_S, None):
             try:
-                config = read()
+                config = load()
             except ConfigError as problem:
                 LOG.warning("reload: %s", problem)
                 if wait_s is None:
--- a/oatlink/platform/servers/pool.py
+++ b/oatlink/platform/servers/pool.py
@@ -41,7 +41,7 @@
         self.let_go = False  # the server has left the list, or has another address
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Descriptors held."""
         return len(self.idle) + len(self.busy) + self.dialing
 
@@ -60,7 +60,7 @@
 
     def launch(self, job: Job) -> None:
         """Write a job on an idle connection, or have it wait for one."""
-        self.servers.used[self] = None
+        self.servers.active[self] = None
         if not self._give(job):
             self.waiting[job] = now_us()
             self._dial_more()
@@ -109,7 +109,7 @@
             self.busy.pop(connection.bound, None)
             connection.bound = None
 
-    def review(self) -> None:
+    def recheck_waiting(self) -> None:
         """The list has said something of the server: whoever waits and may not be written there any more is told."""
         for job in list(self.waiting):  # the question may end others that wait: those of a client that has gone
             if not job.may_write():
@@ -211,17 +211,17 @@
     """All pools, by the member's local number.
 
     Threat: a list of thousands of members, walked ten times a second for the few that have something open. What is
-    looked after are the pools in `used`: all that were given work and still hold any of it, listed or not.
+    looked after are the pools in `active`: all that were given work and still hold any of it, listed or not.
     """
 
     def __init__(
         self, bounds: Bounds, marks: Marks, note: Callable[[str], None], keep: Callable[["asyncio.Future[None]"], None]
     ) -> None:
         self.bounds, self.marks, self.note, self.keep = bounds, marks, note, keep
-        self.used: dict[Pool, None] = {}
+        self.active: dict[Pool, None] = {}
         self._pools: dict[int, Pool] = {}
 
-    def listed(self, number: int, address: tuple[str, int]) -> None:
+    def set_address(self, number: int, address: tuple[str, int]) -> None:
         """A member's address, as discovery has it now. Who waits at an old address is told once the new one stands."""
         pool = self._pools.get(number)
         if pool is None or pool.address != address:
@@ -229,7 +229,7 @@
             if pool is not None:
                 pool.leave()
 
-    def gone(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """A member has left: what is out there ends in its own time."""
         pool = self._pools.pop(number, None)
         if pool is not None:
@@ -241,29 +241,29 @@
 
     def may_dial(self) -> bool:
         """Whether one more descriptor may be taken; the connection that idles longest makes room."""
-        if self.open < self.bounds.connections:
+        if self.open_count < self.bounds.connections:
             return True
-        idle = [one.idle[0] for one in self.used if one.idle]
+        idle = [one.idle[0] for one in self.active if one.idle]
         if not idle:
             return False
         min(idle, key=lambda one: one.idle_us).close_quietly()
         return True
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Descriptors held."""
-        return sum(one.open for one in self.used)
+        return sum(one.open_count for one in self.active)
 
     def sweep(self) -> None:
         """See to what has waited or idled for too long."""
         at_us = now_us()
-        for pool in list(self.used):
+        for pool in list(self.active):
             pool.sweep(at_us)
             if not pool.is_used:
-                del self.used[pool]
+                del self.active[pool]
 
     def close(self) -> None:
         """Close everything."""
-        for pool in list(self.used):
+        for pool in list(self.active):
             for connection in [*pool.idle, *pool.busy.values()]:
                 connection.close_quietly()
--- a/oatlink/platform/start.py
+++ b/oatlink/platform/start.py
@@ -8,7 +8,7 @@
 
 import uvloop
 
-from oatlink.platform.config import Config, ConfigError, read
+from oatlink.platform.config import Config, ConfigError, load
 from oatlink.platform.gateway import Gateway
 from oatlink.platform.lines import Lines
 
@@ -39,7 +39,7 @@
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     logging.getLogger("tornado").setLevel(logging.ERROR)
     try:
-        config = read()
+        config = load()
         sock = bound(config)
     except ConfigError as problem:
         print(f"oatlink: {problem}", file=sys.stderr)
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -240,7 +240,7 @@
     """A configuration with these settings."""
     path = place / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": options}))
-    return config.read({"GW_CONFIG": str(path)})
+    return config.load({"GW_CONFIG": str(path)})
 
 
 def test_settings_without_their_optional_parts_are_enough(tmp_path: Path) -> None:
--- a/tests/test_hand_over.py
+++ b/tests/test_hand_over.py
@@ -92,7 +92,7 @@
         tasks: set[asyncio.Future[None]] = set()
         lines: list[str] = []
         one = Room(server, Servers(Bounds(dial_s, 60.0, 32), Marks(), lines.append, tasks.add), tasks, lines)
-        one.servers.listed(1, ("127.0.0.1", server.port))
+        one.servers.set_address(1, ("127.0.0.1", server.port))
         yield one
         one.servers.close()
         server.release.set()
@@ -133,7 +133,7 @@
     stays, goes = Errand(), Errand()
     one.launch(goes, stays)
     goes.may = False
-    one.pool.review()
+    one.pool.recheck_waiting()
     assert goes.outcomes == [Outcome.WITHDRAWN] and not stays.outcomes
     one.greet()
     assert await one.ended(stays) is Outcome.SERVED
@@ -149,11 +149,11 @@
     one.server.greets = False
     one.launch(waits)
     await one.until("server.connections == 2")
-    one.servers.gone(1)
+    one.servers.remove(1)
     assert waits.outcomes == [Outcome.WITHDRAWN] and not written.outcomes
     assert one.servers.pool(1) is None
     one.server.release.set()  # the hung one says nothing more and ends; the dial comes up, for nobody
-    await one.until("server.open == 0 and room.servers.open == 0")
+    await one.until("server.open == 0 and room.servers.open_count == 0")
     assert len(one.server.statements) == 1
 
 
@@ -162,9 +162,9 @@
     await up(one)
     job = Errand()
     one.launch(job)
-    one.servers.gone(1)  # written, not answered yet
+    one.servers.remove(1)  # written, not answered yet
     assert await one.ended(job) is Outcome.SERVED
-    await one.until("server.open == 0 and room.servers.open == 0")
+    await one.until("server.open == 0 and room.servers.open_count == 0")
 
 
 @scene(room, greets=False)
@@ -179,7 +179,7 @@
 
         job = Moving()
         one.launch(job)
-        one.servers.listed(1, ("127.0.0.1", moved.port))
+        one.servers.set_address(1, ("127.0.0.1", moved.port))
         assert job.outcomes == [Outcome.WITHDRAWN] and places == [("127.0.0.1", moved.port)]
         await one.serves(Errand())
         assert len(moved.statements) == 1
@@ -189,7 +189,7 @@
 async def test_a_listing_that_says_the_same_changes_nothing(one: Room) -> None:
     await up(one)
     pool = one.pool
-    one.servers.listed(1, pool.address)
+    one.servers.set_address(1, pool.address)
     assert one.pool is pool and len(pool.idle) == 1
 
 
@@ -210,7 +210,7 @@
                 writer.write(full)
 
     listener = await asyncio.start_server(serve, "127.0.0.1", 0)
-    one.servers.listed(1, ("127.0.0.1", listener.sockets[0].getsockname()[1]))
+    one.servers.set_address(1, ("127.0.0.1", listener.sockets[0].getsockname()[1]))
     first, job = Errand(), Errand()
     one.launch(first)
     await one.until("pool.busy")
@@ -292,11 +292,11 @@
     monkeypatch.setattr(Pool, "sweep", lambda self, at_us: swept.append(self.number))
     servers = Servers(Bounds(1.0, 1.0, 10), Marks(), print, lambda task: None)
     for number in range(1_000):
-        servers.listed(number, ("127.0.0.1", 1))
+        servers.set_address(number, ("127.0.0.1", 1))
     servers.sweep()
     pool = servers.pool(7)
     assert pool is not None and not swept
     pool.launch(Errand(may=False))
     servers.sweep()
     servers.sweep()
-    assert swept == [7] and not servers.used
+    assert swept == [7] and not servers.active
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -388,15 +388,15 @@
 
 
 def test_a_configuration_is_read_and_the_file_goes_before_a_variable(tmp_path: Path) -> None:
-    told = config.read(written(tmp_path))
+    told = config.load(written(tmp_path))
     assert told.discovery == ("127.0.0.1", 8500) and told.settings.seed == 0x8C1F30D27A5BE964
     assert (told.dial_s, told.idle_s, told.limits.sockets) == (0.25, 15.0, 256)
-    assert config.read(written(tmp_path, discovery="")).discovery == ("127.0.0.1", 1)
+    assert config.load(written(tmp_path, discovery="")).discovery == ("127.0.0.1", 1)
 
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
 def test_the_list_is_followed_whatever_the_settings_call_it_as_nobody_pushes_it(tmp_path: Path, discovery: str) -> None:
-    told = config.read(written(tmp_path, settings=OPTIONS | {"Discovery": discovery}))
+    told = config.load(written(tmp_path, settings=OPTIONS | {"Discovery": discovery}))
     assert api.FollowRoster() in Router(told.settings).handle(api.Start(), 0)
 
 
@@ -420,18 +420,18 @@
     tmp_path: Path, changes: dict[str, Any], names: str
 ) -> None:
     with pytest.raises(config.ConfigError) as problem:
-        config.read(written(tmp_path, **changes))
+        config.load(written(tmp_path, **changes))
     assert names in str(problem.value) and "\n" not in str(problem.value)
 
 
 def test_a_missing_or_broken_file_is_one_line(tmp_path: Path) -> None:
     for environment in ({}, {"GW_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(config.ConfigError, match="GW_CONFIG"):
-            config.read(environment)
+            config.load(environment)
     environment = written(tmp_path)
     (tmp_path / "config.json").write_text('{"name": "n0", "sett')
     with pytest.raises(config.ConfigError, match="config.json"):
-        config.read(environment)
+        config.load(environment)
 
 
 # ---- The list ----
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -152,11 +152,11 @@
             gateway = Gateway(read(tmp_path), sock)
             book = gateway._router.book
             for _ in range(9):
-                gateway._told(None)
-            assert book.ask_at_us - book.now > config.TOLD_US / 8, "long by now"
+                gateway._on_news(None)
+            assert book.ask_at_us - book.now > config.NOTIFIED_US / 8, "long by now"
             gateway._apply(replace(gateway._config, discovery=("127.0.0.1", 9)))
-            gateway._told(None)
-            assert book.ask_at_us - book.now <= 1.5 * config.TOLD_US / 32
+            gateway._on_news(None)
+            assert book.ask_at_us - book.now <= 1.5 * config.NOTIFIED_US / 32
             gateway._discovery.close()
 
     play(scene())
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -76,7 +76,7 @@
     path = place / "config.json"
     settings = OPTIONS | {"PeersTotal": 200} | changed
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}))
-    return config.read({"GW_CONFIG": str(path)})
+    return config.load({"GW_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize(
