--- a/oatlink/platform/__init__.py
+++ b/oatlink/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on the users' platform: their protocol on sockets, straight around the Router. It decides nothing."""
+"""The gateway for the users' platform: its protocol on sockets, around the Router, which makes every decision."""
--- a/oatlink/platform/__main__.py
+++ b/oatlink/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oatlink.platform`: one gateway, told by the GW_ variables and the file that they name."""
+"""`python -m oatlink.platform`: one gateway, configured by the GW_ variables and the file that they name."""
 
 import sys
 
@@ -6,8 +6,8 @@
 
 
 def main() -> int:
-    """Run until an orderly end; 2 where the configuration is wrong."""
-    signals.hold()  # until the gateway takes them: the imports below are most of its start
+    """Run until an orderly shutdown; 2 where the configuration is wrong."""
+    signals.hold()  # until the gateway has handlers: the imports below take most of its startup time
     from oatlink.platform.start import run
 
     return run()
--- a/oatlink/platform/config.py
+++ b/oatlink/platform/config.py
@@ -1,4 +1,7 @@
-"""What a gateway is told: the GW_ variables and the file they name. Every mistake is one line that names its place."""
+"""Reads a gateway's configuration: the GW_ variables and the file that they name.
+
+Every mistake is reported in one line that names its place.
+"""
 
 import ipaddress
 import os
@@ -11,21 +14,22 @@
 from oatlink.interface import Settings
 from oatlink.options import Options, WireError, to_settings
 
-MOST_BYTES = 16 * 1024 * 1024
-LEAST_SOCKETS = 64
-WATCHES = 4  # watches in the time within which the settings have the list asked for
-# A change counts as told 6 s after discovery had it and could be reached, whatever failed before. A silent call takes
-# 1.8 s, the pause behind it 1.5 quarters of what is named here, the call that brings the change 1.8 s: 5.85 s.
+MAX_FILE_BYTES = 16 * 1024 * 1024
+MIN_SOCKETS = 64
+WATCHES_PER_PERIOD = 4  # watch calls within the period (`ask_within_us`) in which the roster has to be requested
+# The platform counts a gateway as notified of a change 6 s after discovery had it and could be reached, whatever
+# failed before. An unanswered call takes 1.8 s, the pause after it 1.5 quarters of this period, and the call
+# that brings the change 1.8 s: 5.85 s together.
 NOTIFIED_US = 6_000_000
-WATCH_S = 2.5  # with 1.8 s until its silence is known, a first pause and a call: 6 s as well
+MAX_WATCH_S = 2.5  # with 1.8 s until the call counts as unanswered, a first pause and another call, this is 6 s too
 
 
 class ConfigError(Exception):
-    """A wrong variable or file, in one line."""
+    """A variable or file is wrong; the message is one line."""
 
 
 class Limits(msgspec.Struct):
-    """What the machine allows."""
+    """The machine's resource limits for this process."""
 
     cores: float = 1.0
     memory_mb: float = 0.0
@@ -33,13 +37,16 @@
 
 
 class RunOptions(Options):
-    """The settings with what must not be in them here, under either case of its name."""
+    """The settings, with the `fleet` part that is forbidden on this platform, so that it can be reported.
+
+    It is recognised in either spelling of its name (`fleet`, `Fleet`).
+    """
 
     fleet: msgspec.Raw = msgspec.Raw(b"")
 
 
-class File(msgspec.Struct):
-    """The configuration file. `known` is read by discovery, entry by entry."""
+class ConfigFile(msgspec.Struct):
+    """The configuration file. `known` is left encoded: `discovery.read` decodes it entry by entry."""
 
     settings: RunOptions
     seed: str | int = 0
@@ -53,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a gateway starts with."""
+    """A gateway's validated configuration."""
 
     name: str
     listen: tuple[str, int]
@@ -61,17 +68,18 @@
     limits: Limits
     known: bytes
     settings: Settings
-    watch_s: float  # how long a watch may wait: its silent break is noticed well before its news counts as told
+    watch_s: float  # how long a watch call may wait; short enough to notice a silent break before `NOTIFIED_US`
     dial_s: float
     idle_s: float
 
 
 def with_polled_roster(settings: Settings, options: Options) -> Settings:
-    """The settings as they hold on sockets, where each list has to be asked for.
+    """Return the settings as they apply on sockets, where the gateway has to request each roster itself.
 
-    Threat: settings whose list is pushed. Nobody pushes it here: unasked, each drain and start is missed. And what the
-    agent has counts as told with no watch open, from a process's first moment on: there a gateway asks within the time
-    that it has to stop sending. And settings that allow more time to ask than until a change counts as told anyway.
+    Prevents missed drains and starts when the settings say that the roster is pushed: nothing pushes it on sockets.
+    With pushed rosters, what the platform's agent has counts as notified from the process's first moment on, even with
+    no watch open, so the gateway then requests the roster within the time in which it has to stop sending. Also caps
+    settings that allow more time to request it than until a change counts as notified anyway.
     """
     within_us = min(settings.ask_within_us, NOTIFIED_US)
     if not settings.must_ask_roster and options.obligations.stop_sending_within_us > 0:
@@ -79,8 +87,8 @@
     return replace(settings, must_ask_roster=True, ask_within_us=within_us)
 
 
-def address(text: str, place: str) -> tuple[str, int]:
-    """An address of numbers, as there is no DNS. Raises `ConfigError`."""
+def parse_address(text: str, place: str) -> tuple[str, int]:
+    """Parse a numeric IP address with its port; names are not resolved, as there is no DNS. Raises `ConfigError`."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -92,43 +100,43 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """The configuration. What the file says goes before a variable, which may be older. Raises `ConfigError`."""
+    """Load the configuration. A value in the file wins over a variable, which may be older. Raises `ConfigError`."""
     path = environment.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG: expected the path of the configuration file")
     try:
         with Path(path).open("rb") as source:
-            text = source.read(MOST_BYTES + 1)
+            text = source.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"GW_CONFIG: {path}: {error.strerror}") from None
-    if len(text) > MOST_BYTES:
-        raise ConfigError(f"{path}: expected at most {MOST_BYTES} bytes")
+    if len(text) > MAX_FILE_BYTES:
+        raise ConfigError(f"{path}: expected at most {MAX_FILE_BYTES} bytes")
     try:
-        file = msgspec.json.decode(text, type=File)
+        file = msgspec.json.decode(text, type=ConfigFile)
         seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
         settings = with_polled_roster(to_settings(file.settings, seed & (1 << 64) - 1), file.settings)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
     except (WireError, ValueError) as error:
         raise ConfigError(f"{path}: settings: {error}") from None
-    # Threat: somebody turns on by one line what this platform forbids. Here gateways share nothing.
+    # Prevents one line of configuration from enabling what this platform forbids: gateways here share nothing.
     for place, part in (("fleet", file.fleet), ("settings.Fleet", file.settings.fleet)):
         if bytes(part) not in (b"", b"null"):
             raise ConfigError(f"{path}: {place}: expected none, gateways share nothing on this platform")
-    if file.limits.sockets < LEAST_SOCKETS:
-        raise ConfigError(f"{path}: limits.sockets: expected at least {LEAST_SOCKETS}, got {file.limits.sockets}")
+    if file.limits.sockets < MIN_SOCKETS:
+        raise ConfigError(f"{path}: limits.sockets: expected at least {MIN_SOCKETS}, got {file.limits.sockets}")
     try:
         settings.validate()
     except ValueError as error:
         raise ConfigError(f"{path}: settings: {error}") from None
     return Config(
         name=file.name or environment.get("GW_NAME", ""),
-        listen=address(file.listen or environment.get("GW_LISTEN", ""), f"{path}: listen"),
-        discovery=address(file.discovery or environment.get("GW_DISCOVERY", ""), f"{path}: discovery"),
+        listen=parse_address(file.listen or environment.get("GW_LISTEN", ""), f"{path}: listen"),
+        discovery=parse_address(file.discovery or environment.get("GW_DISCOVERY", ""), f"{path}: discovery"),
         limits=file.limits,
         known=bytes(file.known),
         settings=settings,
-        watch_s=min(WATCH_S, file.settings.obligations.ask_within_us / WATCHES / 1e6),
+        watch_s=min(MAX_WATCH_S, file.settings.obligations.ask_within_us / WATCHES_PER_PERIOD / 1e6),
         dial_s=file.settings.limits.dial_timeout_us / 1e6,
         idle_s=file.settings.limits.keepalive_us / 1e6,
     )
--- a/oatlink/platform/reload.py
+++ b/oatlink/platform/reload.py
@@ -1,6 +1,6 @@
-"""SIGHUP: the configuration file is read again. What becomes of it is told by `apply`.
+"""Reads the configuration file again on SIGHUP and passes the result to `apply`.
 
-What may live here: when it is read, and how often where it cannot be.
+This module decides only when the file is read and how often an unreadable file is retried.
 """
 
 import asyncio
@@ -10,33 +10,36 @@
 from oatlink.platform.config import Config, ConfigError, load
 
 LOG = logging.getLogger("oatlink.platform")
-AGAIN_S = (0.1, 0.3, 1.0, 3.0)  # a file that cannot be read is looked at again
+RETRY_DELAYS_S = (0.1, 0.3, 1.0, 3.0)  # between the attempts to read a file that cannot be read
 
 
 class Reload:
-    """The reading that is under way, if any: a newer signal's takes the place of an older one's."""
+    """Runs at most one reading of the file: a newer signal's reading replaces one that is in progress."""
 
     def __init__(self, apply: Callable[[Config], None], keep: Callable[["asyncio.Future[None]"], None]) -> None:
         self._apply, self._keep = apply, keep
         self._reading: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Read the file again, from now on."""
+        """Start to read the file again."""
         if self._reading is not None:
             self._reading.cancel()
         self._reading = asyncio.ensure_future(self._read())
         self._keep(self._reading)
 
     async def _read(self) -> None:
-        """Threat: a file half written. The old settings stand, and it is looked at again shortly."""
-        for wait_s in (*AGAIN_S, None):
+        """Read and apply the file. While it cannot be read, the old settings stay and the reading is retried.
+
+        The retries prevent a reload from being lost when the file is only half written at the time of the signal.
+        """
+        for delay_s in (*RETRY_DELAYS_S, None):
             try:
                 config = load()
             except ConfigError as problem:
                 LOG.warning("reload: %s", problem)
-                if wait_s is None:
+                if delay_s is None:
                     return
-                await asyncio.sleep(wait_s)
+                await asyncio.sleep(delay_s)
                 continue
             self._apply(config)
             return
--- a/oatlink/platform/start.py
+++ b/oatlink/platform/start.py
@@ -1,4 +1,4 @@
-"""A gateway's process from its configuration to its end; signals are held when it begins."""
+"""Runs a gateway process from reading its configuration to its exit. Signals are blocked when it begins."""
 
 import asyncio
 import gc
@@ -15,8 +15,8 @@
 BACKLOG = 512
 
 
-def bound(config: Config) -> socket.socket:
-    """The listening socket. Raises `OSError`."""
+def open_listener(config: Config) -> socket.socket:
+    """Open the listening socket. Raises `OSError`."""
     family = socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -27,12 +27,12 @@
 
 
 async def serve(config: Config, sock: socket.socket) -> None:
-    """Run the gateway."""
+    """Run the gateway until an orderly shutdown."""
     await Gateway(config, sock).run()
 
 
 def run() -> int:
-    """Run until an orderly end; 2 where the configuration is wrong."""
+    """Run until an orderly shutdown; 2 where the configuration is wrong."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(levelname)s %(message)s", "%H:%M:%S"))
     handler.addFilter(Lines())
@@ -40,15 +40,16 @@
     logging.getLogger("tornado").setLevel(logging.ERROR)
     try:
         config = load()
-        sock = bound(config)
+        sock = open_listener(config)
     except ConfigError as problem:
         print(f"oatlink: {problem}", file=sys.stderr)
         return 2
     except OSError as problem:
         print(f"oatlink: listen: {problem.strerror}", file=sys.stderr)
         return 2
-    # Threat: closed connections are cycles, and the collector looks at its oldest generation only once it has grown by
-    # a quarter. Without what was imported, a quarter is little; the second collection makes it count anew.
+    # Closed connections are reference cycles. The garbage collector scans its oldest generation only once that has
+    # grown by a quarter, so closed connections would pile up while a quarter of all imported objects is a large number.
+    # Freezing the imported objects keeps that quarter small; the second collection resets the collector's count.
     gc.collect()
     gc.freeze()
     gc.collect()
