--- a/oatlink/platform/servers/__init__.py
+++ b/oatlink/platform/servers/__init__.py
@@ -1,7 +1,7 @@
-"""Connections to database servers: one request each, pooled by server, last used first.
+"""Connections to database servers: one request at a time on each, pooled by server, most recently used first.
 
-A shell: it carries out attempts and checks and tells how each ended by the platform's table. What was not written
-whole could not connect; what breaks later is a reset.
+This package does I/O and makes no decisions: it carries out attempts and checks and reports how each ended by the
+platform's table. A job that was not written whole counts as `NO_CONNECTION`; what breaks after that is a `RESET`.
 """
 
 from oatlink.platform.servers.connection import CHECK
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -1,8 +1,8 @@
-"""One connection to a database server, from its greeting to its end.
+"""One connection to a database server, from its startup handshake to its end.
 
-It goes back to its pool only with nothing unread and nothing not understood on it. A job is committed to it at the
-moment of its write, never before. Nothing is ever owed to a server, so its end needs no last word: `Closing` with no
-time to linger.
+A connection returns to its pool only if no bytes on it are unread or not understood. A job is committed to it at the
+moment of its write, never before. Servers are never owed anything, so a connection closes without waiting for its
+peer: `Closing` with a linger time of 0.
 """
 
 import asyncio
@@ -17,79 +17,79 @@
 from oatlink.protocols import pgwire as pg
 from oatlink.transport.closing import Closing, State, Step
 
-CHUNK = 16_384  # bytes read at once
+READ_CHUNK_BYTES = 16_384
 STARTUP = pg.make_startup({"user": "backend", "database": "store"}).encode()
 CHECK = pg.make_query(b"SHOW health").encode()
 
 
 class Job(Protocol):
-    """One statement to be answered: an attempt or a check."""
+    """One statement that a server has to answer: an attempt or a check."""
 
     def may_write(self) -> bool:
-        """Whether it may be written at this moment. Until it is, it may be taken back at no cost."""
+        """Whether it may be written at this moment. Until it is written, it can be withdrawn at no cost."""
         ...
 
     def payload(self) -> bytes:
-        """What to write, at this moment."""
+        """Return the bytes to write, as of this moment."""
         ...
 
     def ended(self, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
-        """How it ended, once."""
+        """Receive how the job ended; called once."""
         ...
 
 
-class Keeper(Protocol):
-    """Whose connection it is."""
+class ConnectionOwner(Protocol):
+    """The pool that a connection belongs to."""
 
-    def freed(self, connection: "Connection") -> None:
-        """Nothing is on it any more."""
+    def connection_idle(self, connection: "Connection") -> None:
+        """Take back a connection that has no job any more."""
         ...
 
-    def lost(self, connection: "Connection") -> None:
-        """It has closed."""
+    def connection_closed(self, connection: "Connection") -> None:
+        """Forget a connection that has closed."""
         ...
 
     def keep(self, task: "asyncio.Future[None]") -> None:
-        """Hold a task until it ends."""
+        """Keep a reference to a task until it ends."""
         ...
 
     def note(self, text: str) -> None:
-        """A line for the log."""
+        """Write a line to the log."""
         ...
 
 
 class Connection:
-    """One connection. Closing is idempotent; what is on it is told."""
+    """One connection. Closing is idempotent; its job, if any, is told how it ended."""
 
-    def __init__(self, keeper: Keeper, stream: Stream) -> None:
-        self._keeper, self.stream = keeper, stream
+    def __init__(self, owner: ConnectionOwner, stream: Stream) -> None:
+        self._owner, self.stream = owner, stream
         self._closing = Closing(linger_us=0, most_bytes=0)
         self._reader = ReplyReader()
         self.job: Job | None = None
-        self._whole_at = 0  # bytes handed to the socket by which the job's statement is written whole
-        self.bound: Job | None = None  # the job by which its pool finds it
-        self.idle_us = 0
+        self._job_end_bytes = 0  # the job's statement is written whole once the socket has taken this many bytes
+        self.pool_job: Job | None = None  # the key of this connection in its pool's `busy`
+        self.idle_since_us = 0
 
     @property
     def closed(self) -> bool:
         """Whether it has ended."""
         return self._closing.state is State.CLOSED
 
-    def give(self, job: Job) -> None:
-        """Write a job that may be written; the connection has nothing on it."""
+    def write_job(self, job: Job) -> None:
+        """Write a job that may be written; the connection must have no other job."""
         self.job = job
         payload = job.payload()
-        self._whole_at = self.stream.handed + len(payload)
+        self._job_end_bytes = self.stream.handed + len(payload)
         try:
             self.stream.write(payload)
         except StreamClosedError:
             self.close()
 
-    async def greet(self) -> Answer | None:
-        """Start up, until the server is ready; None where the connection ended or what came is no greeting."""
+    async def handshake(self) -> Answer | None:
+        """Start up and return the server's answer; None if the connection ended or what came is not understood."""
         try:
             await self.stream.write(STARTUP)
-            while (answer := self._reader.feed(await self.stream.read_bytes(CHUNK, partial=True))) is None:
+            while (answer := self._reader.feed(await self.stream.read_bytes(READ_CHUNK_BYTES, partial=True))) is None:
                 pass
         except StreamClosedError:
             return self._reader.cut_short()
@@ -97,20 +97,20 @@
             return None
         return answer if not self._reader.pending else None
 
-    def start(self) -> None:
-        """Greeted: from now on it is read until it ends."""
+    def start_reading(self) -> None:
+        """Read the connection until it ends. The handshake must be done."""
         try:
             reading = self._read()
         except StreamClosedError:
             self.close()
             return
-        self._keeper.keep(asyncio.ensure_future(self._run(reading)))
+        self._owner.keep(asyncio.ensure_future(self._run(reading)))
 
     def _read(self) -> Awaitable[bytes]:
-        return self.stream.read_bytes(CHUNK, partial=True)
+        return self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
 
     async def _run(self, reading: Awaitable[bytes]) -> None:
-        """Read until the connection ends: answers, and what comes unasked, which ends it."""
+        """Read answers until the connection ends; bytes that come without a job end it."""
         try:
             while not self.closed:
                 data = await reading
@@ -124,22 +124,23 @@
                 if answer is None:
                     reading = self._read()
                     continue
-                # It reads again before its answer is told: what the answer sets off may use it, or see that it ended.
+                # Reads again before the job gets its answer: what the answer causes may use this connection, or has
+                # to see that it ended.
                 try:
                     reading = self._read()
                 except StreamClosedError:
                     self.close_quietly()
                 job, self.job = self.job, None
-                self._do(self._closing.settle(False, False, at_us))
+                self._carry_out(self._closing.settle(False, False, at_us))
                 if not self.closed:
-                    self._keeper.freed(self)
+                    self._owner.connection_idle(self)
                 job.ended(answer.outcome, at_us, answer)
         except StreamClosedError:
             answer = self._reader.cut_short()
             if answer is not None and self.job is not None:
                 self._end(answer.outcome, answer)
         except SpoiltError as problem:
-            self._keeper.note(f"spoilt answer: {problem}")
+            self._owner.note(f"spoilt answer: {problem}")
             self._end(Outcome.ERROR, None)
         self.close()
 
@@ -150,25 +151,25 @@
             job.ended(outcome, now_us(), answer)
 
     def drain(self) -> None:
-        """Take no new job; end with the one that is on it."""
+        """Take no new job; close once the current one has ended."""
         self._closing.drain()
-        self._do(self._closing.settle(self.job is not None, False, now_us()))
+        self._carry_out(self._closing.settle(self.job is not None, False, now_us()))
 
     def abandon(self) -> None:
-        """Close, with nothing told of the job: nobody waits for it any more."""
+        """Close without reporting the job: nobody waits for it any more."""
         self.job = None
         self.close_quietly()
 
     def close_quietly(self) -> None:
-        """Close, with nothing told of the job yet."""
-        self._do(self._closing.ended())
+        """Close without reporting the job here; the caller may still do so."""
+        self._carry_out(self._closing.ended())
 
     def close(self) -> None:
-        """Close; a job on it could not connect, or was reset."""
-        whole = self.stream.handed >= self._whole_at
-        self._end(Outcome.RESET if whole else Outcome.NO_CONNECTION, None)
+        """Close; a job that was not written whole could not connect, any other was reset."""
+        is_whole = self.stream.handed >= self._job_end_bytes
+        self._end(Outcome.RESET if is_whole else Outcome.NO_CONNECTION, None)
 
-    def _do(self, step: Step) -> None:
+    def _carry_out(self, step: Step) -> None:
         if step is Step.CLOSE:
             self.stream.close()
-            self._keeper.lost(self)
+            self._owner.connection_closed(self)
--- a/oatlink/platform/servers/pool.py
+++ b/oatlink/platform/servers/pool.py
@@ -1,7 +1,7 @@
-"""The connections to each database server: who waits for one, what is dialled, what idles.
+"""Connection pools, one per database server: waiting jobs, dials in progress and idle connections.
 
-A job waits here until a connection is free. It is asked again whether it may be written when its turn comes, and when
-the list has said something of its server: what was decided before may hold no more.
+A job waits here until a connection is free. Whether it may be written is checked again when its turn comes, and
+whenever discovery's list has an entry for its server, because the earlier decision may not hold any more.
 """
 
 import asyncio
@@ -13,20 +13,20 @@
 
 from oatlink.gateway.clock import Marks, Stream, now_us, patience
 from oatlink.interface import Outcome
-from oatlink.platform.servers.connection import CHUNK, Connection, Job
+from oatlink.platform.servers.connection import READ_CHUNK_BYTES, Connection, Job
 
-MOST_BUFFERED = 262_144  # bytes that wait to be read or written, of one connection
-MOST_DIALS = 8  # at once to one server
-IDLE_MARGIN = 0.1  # a connection is dropped by so much of its idle time before the server does
+MAX_BUFFERED_BYTES = 262_144  # per connection, of bytes that wait to be read, and of bytes that wait to be written
+MAX_PARALLEL_DIALS = 8  # to one server
+IDLE_MARGIN = 0.1  # share of the idle time by which a connection is closed before the server would close it
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the settings and the descriptor budget allow."""
+    """Limits from the settings and the descriptor budget."""
 
     dial_s: float
     idle_s: float
-    connections: int
+    max_connections: int
 
 
 class Pool:
@@ -36,88 +36,88 @@
         self.servers, self.number, self.address = servers, number, address
         self.idle: list[Connection] = []
         self.busy: dict[Job, Connection] = {}
-        self.waiting: dict[Job, int] = {}  # without a connection yet, and since when; in order
+        self.waiting: dict[Job, int] = {}  # jobs without a connection, by the time since when they wait; in order
         self.dialing = 0
-        self.let_go = False  # the server has left the list, or has another address
+        self.is_retired = False  # the server has left the list, or has another address
 
     @property
     def open_count(self) -> int:
-        """Descriptors held."""
+        """Number of descriptors in use."""
         return len(self.idle) + len(self.busy) + self.dialing
 
     @property
     def is_used(self) -> bool:
-        """Whether anything is here that has to be looked after."""
+        """Whether the pool has connections, dials or waiting jobs that need sweeps."""
         return bool(self.idle or self.busy or self.waiting or self.dialing)
 
     def note(self, text: str) -> None:
-        """A line for the log."""
+        """Write a line about this server to the log."""
         self.servers.note(f"server {self.address[0]}:{self.address[1]}: {text}")
 
     def keep(self, task: "asyncio.Future[None]") -> None:
-        """See `Keeper`."""
+        """See `ConnectionOwner`."""
         self.servers.keep(task)
 
     def launch(self, job: Job) -> None:
-        """Write a job on an idle connection, or have it wait for one."""
+        """Write a job on an idle connection, or queue it until there is one."""
         self.servers.active[self] = None
-        if not self._give(job):
+        if not self._try_write(job):
             self.waiting[job] = now_us()
             self._dial_more()
 
-    def _give(self, job: Job) -> bool:
-        """Write a job, if there is a connection for it; one that may be written no more is told so."""
+    def _try_write(self, job: Job) -> bool:
+        """Write a job or withdraw it if it may not be written any more. False if there is no connection for it."""
         if not job.may_write():
             job.ended(Outcome.WITHDRAWN, now_us(), None)
             return True
         while self.idle:
             connection = self.idle.pop()
-            # Threat: a server that closes right behind an answer. A request written to it would be a reset.
+            # Prevents a reset when a server closes the connection right after an answer: such a one is not used again.
             if connection.stream.at_rest():
-                self.busy[job], connection.bound = connection, job
-                connection.give(job)
+                self.busy[job], connection.pool_job = connection, job
+                connection.write_job(job)
                 return True
             connection.close_quietly()
         return False
 
     def abandon(self, job: Job) -> None:
-        """Stop waiting for a job: its connection is closed at once, and nothing is told."""
+        """Stop waiting for a job: its connection is closed at once, and the job is not told."""
         self.waiting.pop(job, None)
         connection = self.busy.pop(job, None)
         if connection is not None:
             connection.abandon()
 
-    def freed(self, connection: Connection) -> None:
-        """A connection has nothing on it: the next that waits takes it, or it idles."""
+    def connection_idle(self, connection: Connection) -> None:
+        """Give a connection without a job to the next waiting job, or keep it idle."""
         self._unbind(connection)
-        connection.idle_us = now_us()
+        connection.idle_since_us = now_us()
         self.idle.append(connection)
         while self.waiting and self.idle:
             job, since_us = next(iter(self.waiting.items()))
             del self.waiting[job]
-            if not self._give(job):
+            if not self._try_write(job):
                 self.waiting = {job: since_us, **self.waiting}
 
-    def lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Forget a connection that has closed."""
         self._unbind(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def _unbind(self, connection: Connection) -> None:
-        if connection.bound is not None:
-            self.busy.pop(connection.bound, None)
-            connection.bound = None
+        if connection.pool_job is not None:
+            self.busy.pop(connection.pool_job, None)
+            connection.pool_job = None
 
     def recheck_waiting(self) -> None:
-        """The list has said something of the server: whoever waits and may not be written there any more is told."""
-        for job in list(self.waiting):  # the question may end others that wait: those of a client that has gone
+        """Withdraw waiting jobs that may not be written any more; called when discovery has listed the server."""
+        for job in list(self.waiting):  # the check may end other waiting jobs: those of a client that has left
             if not job.may_write():
                 self._withdraw(job)
 
-    def leave(self) -> None:
-        """The server has left, or is elsewhere: what is out ends in its own time, what waits is told at once."""
-        self.let_go = True
+    def retire(self) -> None:
+        """The server has left or moved: withdraw waiting jobs at once and let running ones end in their own time."""
+        self.is_retired = True
         for connection in [*self.idle, *self.busy.values()]:
             connection.drain()
         for job in list(self.waiting):
@@ -128,75 +128,75 @@
             job.ended(Outcome.WITHDRAWN, now_us(), None)
 
     def drop_idle(self) -> None:
-        """Close all that has nothing on it."""
+        """Close all idle connections."""
         for connection in list(self.idle):
             connection.close_quietly()
 
     def sweep(self, at_us: int) -> None:
-        """Close what idles for too long; end what has waited for a connection longer than a dial may take."""
+        """Close connections that idle for too long; end jobs that wait longer for a connection than a dial may take."""
         oldest_us = at_us - round(self.servers.bounds.idle_s * (1 - IDLE_MARGIN) * 1e6)
-        for connection in [one for one in self.idle if one.idle_us <= oldest_us]:
+        for connection in [each for each in self.idle if each.idle_since_us <= oldest_us]:
             connection.close_quietly()
         limit_us = at_us - round(self.servers.bounds.dial_s * 1e6)
-        for job in [one for one, since_us in self.waiting.items() if since_us <= limit_us]:
+        for job in [each for each, since_us in self.waiting.items() if since_us <= limit_us]:
             if self.waiting.pop(job, None) is not None:
                 job.ended(Outcome.NO_CONNECTION, at_us, None)
         self._dial_more()
 
     def _dial_more(self) -> None:
-        while self.dialing < min(len(self.waiting), MOST_DIALS) and self.servers.may_dial():
+        while self.dialing < min(len(self.waiting), MAX_PARALLEL_DIALS) and self.servers.may_dial():
             self.dialing += 1
             self.keep(asyncio.ensure_future(self._dial()))
 
     async def _dial(self) -> None:
-        """One more connection. Whoever waits then takes it, be it for whom it was dialled or not."""
+        """Open one more connection. The job that has waited longest takes it, whichever it was dialled for."""
         outcome: Outcome | None = Outcome.NO_CONNECTION
-        everybody, problem = False, "ended at its greeting"
+        fails_all, problem = False, "connection ended during the handshake"
         connection: Connection | None = None
         try:
             async with patience(self.servers.bounds.dial_s):
                 connection = await self._connect()
-                answer = await connection.greet()
+                answer = await connection.handshake()
                 if answer is not None:
                     outcome = None if answer.outcome is Outcome.SERVED else answer.outcome
-                    problem = f"turned away: {answer.sqlstate}"
+                    problem = f"refused by the server: SQLSTATE {answer.sqlstate}"
         except TimeoutError:
             problem = "no connection in time"
         except (OSError, StreamClosedError) as error:
-            everybody = True  # refused: nobody listens there, for nobody who waits
+            fails_all = True  # refused: nothing listens there, so no waiting job can get a connection
             problem = str(error) or type(error).__name__
         finally:
             self.dialing -= 1
-        if connection is not None and outcome is None and not self.let_go:
-            connection.start()
+        if connection is not None and outcome is None and not self.is_retired:
+            connection.start_reading()
             if not connection.closed:
-                self.freed(connection)
+                self.connection_idle(connection)
         else:
             if connection is not None:
                 connection.close_quietly()
             if outcome is not None:
                 self.note(f"dial: {problem}")
-                self._not_up(outcome, everybody)
+                self._end_waiting(outcome, fails_all)
         self._dial_more()
 
-    def _not_up(self, outcome: Outcome, everybody: bool) -> None:
-        """A dial has failed: whoever waits longest is told, or all who wait."""
-        # Before any statement was written nothing can have run, whatever the greeting's error was.
-        told = Outcome.FULL if outcome is Outcome.FULL else Outcome.NO_CONNECTION
-        for job in list(self.waiting)[: None if everybody else 1]:
+    def _end_waiting(self, outcome: Outcome, fails_all: bool) -> None:
+        """End the job that has waited longest, or all waiting jobs, after a dial has failed."""
+        # Nothing can have run before a statement was written, whatever error the handshake brought.
+        reported = Outcome.FULL if outcome is Outcome.FULL else Outcome.NO_CONNECTION
+        for job in list(self.waiting)[: None if fails_all else 1]:
             if self.waiting.pop(job, None) is not None:
-                job.ended(told, now_us(), None)
+                job.ended(reported, now_us(), None)
 
     async def _connect(self) -> Connection:
-        """A connection that has said nothing yet. Raises `OSError` or `StreamClosedError`."""
+        """Open a connection without the handshake. Raises `OSError` or `StreamClosedError`."""
         host, port = self.address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         stream = Stream(
             socket.socket(family, socket.SOCK_STREAM),
             self.servers.marks,
-            max_buffer_size=MOST_BUFFERED,
-            max_write_buffer_size=MOST_BUFFERED,
-            read_chunk_size=CHUNK,
+            max_buffer_size=MAX_BUFFERED_BYTES,
+            max_write_buffer_size=MAX_BUFFERED_BYTES,
+            read_chunk_size=READ_CHUNK_BYTES,
         )
         try:
             stream.set_nodelay(True)
@@ -210,8 +210,8 @@
 class Servers:
     """All pools, by the member's local number.
 
-    Threat: a list of thousands of members, walked ten times a second for the few that have something open. What is
-    looked after are the pools in `active`: all that were given work and still hold any of it, listed or not.
+    Sweeps visit only the pools in `active`: all that were given work and still have any of it, listed or not. This
+    prevents walking a list of thousands of members ten times a second for the few that have something open.
     """
 
     def __init__(
@@ -222,40 +222,40 @@
         self._pools: dict[int, Pool] = {}
 
     def set_address(self, number: int, address: tuple[str, int]) -> None:
-        """A member's address, as discovery has it now. Who waits at an old address is told once the new one stands."""
+        """Set a member's current address. Jobs that wait at an old one are withdrawn after the new one is set."""
         pool = self._pools.get(number)
         if pool is None or pool.address != address:
             self._pools[number] = Pool(self, number, address)
             if pool is not None:
-                pool.leave()
+                pool.retire()
 
     def remove(self, number: int) -> None:
-        """A member has left: what is out there ends in its own time."""
+        """Remove a member that has left; its running jobs end in their own time."""
         pool = self._pools.pop(number, None)
         if pool is not None:
-            pool.leave()
+            pool.retire()
 
     def pool(self, number: int) -> Pool | None:
-        """A member's connections, while it is listed."""
+        """Return a member's pool; None if it is not listed."""
         return self._pools.get(number)
 
     def may_dial(self) -> bool:
-        """Whether one more descriptor may be taken; the connection that idles longest makes room."""
-        if self.open_count < self.bounds.connections:
+        """Whether one more descriptor may be used. At the limit, closes the connection that has idled longest."""
+        if self.open_count < self.bounds.max_connections:
             return True
-        idle = [one.idle[0] for one in self.active if one.idle]
+        idle = [pool.idle[0] for pool in self.active if pool.idle]
         if not idle:
             return False
-        min(idle, key=lambda one: one.idle_us).close_quietly()
+        min(idle, key=lambda connection: connection.idle_since_us).close_quietly()
         return True
 
     @property
     def open_count(self) -> int:
-        """Descriptors held."""
-        return sum(one.open_count for one in self.active)
+        """Number of descriptors in use."""
+        return sum(pool.open_count for pool in self.active)
 
     def sweep(self) -> None:
-        """See to what has waited or idled for too long."""
+        """End what has waited or idled for too long, and stop visiting pools without work."""
         at_us = now_us()
         for pool in list(self.active):
             pool.sweep(at_us)
@@ -263,7 +263,7 @@
                 del self.active[pool]
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all connections."""
         for pool in list(self.active):
             for connection in [*pool.idle, *pool.busy.values()]:
                 connection.close_quietly()
