--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -1,7 +1,7 @@
-"""The platform's gateway: Router, clock, timers, signals and descriptors around clients, servers and discovery.
+"""The platform's gateway: connects the Router to clients, servers, discovery, the clock, timers and signals.
 
-It carries out and decides nothing. Everything that happens is one event of the Router, told when it is seen; what the
-Router answers is carried out before the next event.
+The gateway makes no decisions. Each thing that happens is passed to the Router as one event as soon as it is seen, and
+the actions that the Router returns are carried out before the next event.
 """
 
 import asyncio
@@ -32,58 +32,59 @@
 
 LOG = logging.getLogger("oatlink.platform")
 SWEEP_S = 0.1
-STATE_S = 10  # between lines that say what this gateway holds and believes
-RESERVE = 24  # descriptors for the log, the loop, the listener, signals and discovery's calls
-SERVERS_PART = 0.45  # of the other descriptors; the rest are clients'
-ANSWERS_PART = 0.125  # of the memory: for answers that wait for those ahead on their connections
-GRACE_S = 0.7  # after SIGTERM connections and requests are still taken
+STATE_LOG_INTERVAL_S = 10  # between log lines with the gateway's state
+RESERVED_DESCRIPTORS = 24  # for the log, the event loop, the listener, signals and calls to discovery
+SERVER_DESCRIPTOR_SHARE = 0.45  # of the other descriptors; the rest are for clients
+ANSWER_MEMORY_SHARE = 0.125  # of the memory: for answers that wait for earlier ones on their connections
+SHUTDOWN_GRACE_S = 0.7  # after SIGTERM, in which connections and requests are still accepted
 
 
 class Gateway:
-    """One gateway, from its configuration to its end."""
+    """One gateway, from its configuration to its shutdown."""
 
     def __init__(self, config: Config, sock: socket.socket) -> None:
         self._config = config
-        self._offset_us = time.time_ns() // 1000 - now_us()
+        self._unix_offset_us = time.time_ns() // 1000 - now_us()
         self._tasks: set[asyncio.Future[None]] = set()
         self._marks = Marks()
         self._classes = {rule.name: rule for rule in config.settings.classes}
         self._router = Router(config.settings)
         self._requests = req.Requests(self._router)
-        self._todo: deque[req.Do] = deque()
-        self._doing = False
-        self._numbers = req.Numbers()
+        self._actions: deque[req.GatewayAction] = deque()
+        self._is_carrying_out = False
+        self._numbers = req.MemberNumbers()
         self._groups: set[int] = set()
         self._entries: dict[int, api.RosterEntry] = {}
-        self._asking: dict[Query, req.Open] = {}
+        self._requests_by_query: dict[Query, req.Open] = {}
         self._sending: dict[int, Sent] = {}
         self._checks: dict[int, Checking] = {}
-        self._due_at_us: int | None = None
-        self._due: asyncio.TimerHandle | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        spare = config.limits.sockets - RESERVE
-        most_servers = round(spare * SERVERS_PART)
-        self._servers = Servers(Bounds(config.dial_s, config.idle_s, most_servers), self._marks, self.note, self._keep)
-        self._most_clients = spare - most_servers
+        self._deadline_us: int | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
+        self._router_timer: asyncio.TimerHandle | None = None
+        available = config.limits.sockets - RESERVED_DESCRIPTORS
+        max_server_connections = round(available * SERVER_DESCRIPTOR_SHARE)
+        bounds = Bounds(config.dial_s, config.idle_s, max_server_connections)
+        self._servers = Servers(bounds, self._marks, self.note, self._keep)
+        self._max_clients = available - max_server_connections
         self.room = Room(0, 0)
-        self._divide()
-        self._clients = Clients(sock, self._most_clients, self, self._marks, self._keep, self.note)
+        self._update_room()
+        self._clients = Clients(sock, self._max_clients, self, self._marks, self._keep, self.note)
         self._discovery = Discovery(config.discovery, config.watch_s, self._on_news, self.note)
         self._ended = asyncio.Event()
         self._reload = Reload(self._apply, self._keep)
-        self._answers = AnswersSeen()  # since the last line of state
+        self._answers = AnswersSeen()  # since the last state line in the log
 
-    # ---- Life ----
+    # ---- Start, sweeps and shutdown ----
 
     async def run(self) -> None:
-        """Serve until an orderly end."""
+        """Serve until an orderly shutdown."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload.start)
-        for one in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(one, self._stop)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self._stop)
         signals.take()
-        self._know()
-        self._do(self._requests.handle(api.Start(), now_us()))
+        self._load_known_list()
+        self._carry_out_all(self._requests.handle(api.Start(), now_us()))
         self._clients.listen()
         limits = self._config.limits
         LOG.info(
@@ -95,36 +96,36 @@
             self._config.idle_s,
         )
         LOG.info("ready: %s on %s:%s", self._config.name, *self._clients.address)
-        sweeping = asyncio.ensure_future(self._sweep())
+        sweep_task = asyncio.ensure_future(self._sweep())
         await self._ended.wait()
-        signals.hold()  # for good: the handlers go with the loop, and an interpreter takes its time to end
-        sweeping.cancel()
+        signals.hold()  # until exit: the handlers are removed with the loop, and the interpreter takes a while to exit
+        sweep_task.cancel()
         self._discovery.close()
         self._servers.close()
         LOG.info("ended")
 
     def _keep(self, task: "asyncio.Future[None]") -> None:
-        """Threat: a task that nobody holds may be collected, and its fault goes unseen."""
+        """Keep a reference to a task, which could be garbage-collected otherwise, and log its exception, if any."""
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._task_done)
 
-    def _finished(self, task: "asyncio.Future[None]") -> None:
+    def _task_done(self, task: "asyncio.Future[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (fault := task.exception()) is not None:
             LOG.error("fault: %r", fault, exc_info=fault)
 
     async def _sweep(self) -> None:
-        turn = 0
+        sweep_count = 0
         while True:
             await asyncio.sleep(SWEEP_S)
-            turn += 1
+            sweep_count += 1
             try:
-                if turn % round(STATE_S / SWEEP_S) == 0:
+                if sweep_count % round(STATE_LOG_INTERVAL_S / SWEEP_S) == 0:
                     self._log_state()
                 self._servers.sweep()
                 self._clients.sweep()
                 limit_us = now_us() - round(self._config.dial_s * 1e6)
-                for check in [one for one in self._checks.values() if one.since_us <= limit_us]:
+                for check in [each for each in self._checks.values() if each.since_us <= limit_us]:
                     if check.pool is not None:
                         check.pool.abandon(check)
                     self.check_ended(check, Outcome.LATE, now_us(), None)
@@ -132,9 +133,9 @@
                 LOG.exception("fault")
 
     def _log_state(self) -> None:
-        """What is held and believed, for people: a member as role, attempts out and room, `?` where in doubt.
+        """Log the gateway's state: each member as role, running attempts and concurrency limit, `?` where in doubt.
 
-        Threat: a line that names thousands, made while everybody waits. Members with nothing open are only counted.
+        Members with nothing open are only counted, because writing a line with thousands of names would block the loop.
         """
         members = []
         for pool in self._servers.active:
@@ -143,7 +144,7 @@
             if belief is not None:
                 role = "P" if belief.primary else belief.role.value[0]
                 doubt = "?" if belief.in_doubt else ""
-                members.append(f"{self._numbers.name(number)}:{role}{doubt} {belief.out}/{belief.room:.1f}")
+                members.append(f"{self._numbers.name_of(number)}:{role}{doubt} {belief.out}/{belief.room:.1f}")
         LOG.info(
             "state: %s; requests %d, clients %d (%d idle), to servers %d; %s, %d more",
             self._answers.take(),
@@ -156,65 +157,67 @@
         )
 
     def note(self, text: str) -> None:
-        """A line for the log."""
+        """Write a line to the log."""
         LOG.warning("%s", text)
 
     def _stop(self) -> None:
-        """SIGTERM: go on for a while, then no more; end when nothing is owed."""
+        """Begin an orderly shutdown: serve for a grace period, then end once all requests are answered."""
         LOG.info("stopping")
         loop = asyncio.get_running_loop()
-        for one in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(one, lambda: None)
-        self._keep(asyncio.ensure_future(self._wind_down()))
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, lambda: None)
+        self._keep(asyncio.ensure_future(self._shut_down()))
 
-    async def _wind_down(self) -> None:
-        await asyncio.sleep(GRACE_S)
-        # Requests' own deadlines bound this: each is answered by then.
+    async def _shut_down(self) -> None:
+        await asyncio.sleep(SHUTDOWN_GRACE_S)
+        # This loop ends because each request is answered by its deadline.
         while self._clients.open or len(self._requests):
             self._clients.stop()
             await asyncio.sleep(0.02)
         self._ended.set()
 
     def _apply(self, config: Config) -> None:
-        """Go by another configuration. Address, name and limits of the machine stay as they were at the start.
+        """Apply a new configuration; the listen address, the name and the machine's limits stay as at the start.
 
-        Threat: an old figure that stays behind in some part of the gateway, and is gone by after all.
+        Every part that keeps a value of the configuration is updated here, so that none goes on with an old one.
         """
         LOG.info("reload: discovery at %s:%s", *config.discovery)
-        was = self._config
-        self._config = replace(config, name=was.name, listen=was.listen, limits=was.limits)
+        old = self._config
+        self._config = replace(config, name=old.name, listen=old.listen, limits=old.limits)
         self._router.configure(config.settings)
         self._classes = {rule.name: rule for rule in config.settings.classes}
-        self._divide()
+        self._update_room()
         self._servers.bounds = replace(self._servers.bounds, dial_s=config.dial_s, idle_s=config.idle_s)
         self._discovery.wait(config.watch_s)
         if config.discovery != self._discovery.address:
             self._discovery.move(config.discovery)
-            # Threat: the pauses that the old one's silence has grown hold for the new one. As if it had told nothing
-            # new: the call that is under way there ends in news or in a first failure.
-            self._do(self._requests.handle(api.Roster(RosterKind.CHANGES), now_us()))
+            # Prevents the retry pauses that grew while the old discovery failed from applying to the new one: an empty
+            # list of changes resets them. The call that is now in progress brings news or counts as a first failure.
+            self._carry_out_all(self._requests.handle(api.Roster(RosterKind.CHANGES), now_us()))
 
-    def _divide(self) -> None:
-        """What each connection may have open: its part of what the gateway may, and memory for the longest answers."""
-        most, memory = self._config.settings.max_open, self._config.limits.memory_mb * 1024 * 1024 * ANSWERS_PART
-        self.room.each = max(1, most // self._most_clients)
-        self.room.behind = round(memory / VALUE_BYTES) if memory else most
+    def _update_room(self) -> None:
+        """Set how many requests connections may have open: a share of the gateway's, bounded by memory for answers."""
+        max_open = self._config.settings.max_open
+        memory_bytes = self._config.limits.memory_mb * 1024 * 1024 * ANSWER_MEMORY_SHARE
+        self.room.each = max(1, max_open // self._max_clients)
+        self.room.behind = round(memory_bytes / VALUE_BYTES) if memory_bytes else max_open
 
     # ---- Clock ----
 
-    def _on_clock(self, unix_us: float) -> int:
-        """A Unix time on the Router's clock, which is this process's monotonic one."""
-        return max(1, round(unix_us) - self._offset_us)
+    def _to_clock_us(self, unix_us: float) -> int:
+        """Convert a Unix time to the Router's clock, which is this process's monotonic clock."""
+        return max(1, round(unix_us) - self._unix_offset_us)
 
-    def _report(self, report: Report | None) -> Report | None:
+    def _report_on_clock(self, report: Report | None) -> Report | None:
+        """Convert a report's position from Unix time to the Router's clock."""
         if report is None or report.position_us is None:
             return report
-        return Report(self._on_clock(report.position_us), report.role)
+        return Report(self._to_clock_us(report.position_us), report.role)
 
     # ---- Discovery ----
 
-    def _know(self) -> None:
-        """The list as this gateway had it last."""
+    def _load_known_list(self) -> None:
+        """Start with the list that the configuration file says is known already, if any."""
         if not self._config.known:
             return
         try:
@@ -226,37 +229,41 @@
         self._on_news(news)
 
     def _on_news(self, news: News | None) -> None:
+        """Pass discovery's news to the Router and update the pools. `news` is None for a call that failed."""
         if news is None:
-            self._do(self._requests.handle(api.Roster(RosterKind.FAILED), now_us()))
+            self._carry_out_all(self._requests.handle(api.Roster(RosterKind.FAILED), now_us()))
             return
         entries = []
-        for one in news.servers:
-            number = self._numbers.of(one.id)
-            if one.listing is not api.Listing.GONE:
-                self._servers.set_address(number, one.address)
-                self._groups.add(one.group)
-            started_us = self._on_clock(one.started_ms * 1000) if one.started_ms else 0
-            entry = api.RosterEntry(number, one.group, one.zone, one.kind, one.listing, one.primary, started_us)
+        for server in news.servers:
+            number = self._numbers.number_for(server.id)
+            if server.listing is not api.Listing.GONE:
+                self._servers.set_address(number, server.address)
+                self._groups.add(server.group)
+            started_us = self._to_clock_us(server.started_ms * 1000) if server.started_ms else 0
+            entry = api.RosterEntry(
+                number, server.group, server.zone, server.kind, server.listing, server.primary, started_us
+            )
             self._entries[number] = entry
             entries.append(entry)
-        entries += [known for name in news.unread if (known := self._entries.get(self._numbers.of(name))) is not None]
-        self._do(self._requests.handle(api.Roster(news.kind, tuple(entries)), now_us()))
-        for entry in entries:  # what waits for a connection there was decided by an older list
+        unread = (self._numbers.number_for(name) for name in news.unread)
+        entries += [known for number in unread if (known := self._entries.get(number)) is not None]
+        self._carry_out_all(self._requests.handle(api.Roster(news.kind, tuple(entries)), now_us()))
+        for entry in entries:  # jobs that wait for a connection there were decided by an older list
             pool = self._servers.pool(entry.member)
             if pool is not None:
                 pool.recheck_waiting()
-        self._let_go({entry.member for entry in entries}, news.kind is not RosterKind.CHANGES)
+        self._forget_missing({entry.member for entry in entries}, news.kind is not RosterKind.CHANGES)
 
-    def _let_go(self, named: set[int], whole: bool) -> None:
-        """Forget members that have left; where a dropped one stays open, only one that was said to terminate."""
+    def _forget_missing(self, listed: set[int], is_whole: bool) -> None:
+        """Forget members that have left, unless the settings say that members dropped from the list stay open."""
         if self._config.settings.dropped_stay_open:
             return
 
         def stays(number: int) -> bool:
             entry = self._entries.get(number)
-            return entry is not None and entry.listing is not api.Listing.GONE and (not whole or number in named)
+            return entry is not None and entry.listing is not api.Listing.GONE and (not is_whole or number in listed)
 
-        for number in self._numbers.keep(stays):
+        for number in self._numbers.retain(stays):
             self._entries.pop(number, None)
             self._servers.remove(number)
 
@@ -272,113 +279,115 @@
         if self._requests.is_open(statement.id):
             raise StatementError("42710", "id: a request by this id is open")
         if len(self._requests) >= self._config.settings.max_open:
-            query.answered(req.Final(refused=True))  # no mistake of the client's: its connection goes on as it was
+            # Not a mistake of the client's, so the connection goes on unchanged.
+            query.answered(req.Final(refused=True))
             return
         at_us = now_us()
         left_us = statement.wait_ms * 1000 - max(0, at_us - query.came_us) - query.early_us
         since_us = None
         if statement.after_ms:
-            since_us = max(0, at_us - self._on_clock(statement.after_ms * 1000))
-        one, done = self._requests.arrived(statement, query, left_us, at_us, since_us)
-        if not one.is_closed:
-            self._asking[query] = one
-        self._do(done)
+            since_us = max(0, at_us - self._to_clock_us(statement.after_ms * 1000))
+        request, actions = self._requests.handle_arrival(statement, query, left_us, at_us, since_us)
+        if not request.is_closed:
+            self._requests_by_query[query] = request
+        self._carry_out_all(actions)
 
     def hurry(self, query: Query) -> None:
         """See `Asker`."""
-        one = self._asking.get(query)
-        if one is not None:
-            self._requests.shorten_deadline(one, query.early_us)
+        request = self._requests_by_query.get(query)
+        if request is not None:
+            self._requests.shorten_deadline(request, query.early_us)
             self._set_deadline()
 
     def left(self, query: Query) -> None:
         """See `Asker`."""
-        one = self._asking.pop(query, None)
-        if one is not None:
-            self._do(self._requests.departed(one, now_us()))
+        request = self._requests_by_query.pop(query, None)
+        if request is not None:
+            self._carry_out_all(self._requests.handle_departure(request, now_us()))
 
     # ---- Servers ----
 
     def may_write(self, attempt: req.Attempt) -> bool:
         """Whether an attempt may be written at this moment.
 
-        Threat: a client that has gone unseen, its end behind bytes that nobody has read, or in the very turn of the
-        loop that sets the attempt off, after a standstill of this process. The socket knows.
+        Checks the client's socket, because the loop may not have seen that the client has closed: its end lies behind
+        bytes that were not read yet, or, after this process stood still, came in the same turn of the loop as the
+        event that causes this attempt.
         """
         if not self._requests.may_write(attempt, now_us()):
             return False
-        owner = attempt.open.owner
+        owner = attempt.request.owner
         if isinstance(owner, Query) and owner.client.stream.peer_has_ended():
             owner.client.close()
             return False
         return True
 
     def attempt_ended(self, sent: Sent, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
-        """An attempt's end, with the position and role that came with it."""
+        """Pass an attempt's end to the Router, with the position and role that came with the answer."""
         self._sending.pop(id(sent.attempt), None)
         report: Report | None = None
         if answer is not None:
             position_ms = answer.position_ms()
             if position_ms is not None or answer.role() is not api.Role.UNKNOWN:
-                report = Report(None if position_ms is None else self._on_clock(position_ms * 1000), answer.role())
+                report = Report(None if position_ms is None else self._to_clock_us(position_ms * 1000), answer.role())
             if answer.sqlstate == "08P01":
                 LOG.error("defect: a server did not take a statement")
         payload = answer.payload if answer is not None else b""
         self._answers.add(outcome, at_us - sent.attempt.started_us)
-        self._do(self._requests.ended(sent.attempt, outcome, at_us, now_us(), payload, report))
+        self._carry_out_all(self._requests.handle_attempt_end(sent.attempt, outcome, at_us, now_us(), payload, report))
 
     def check_ended(self, check: Checking, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
-        """A check's end."""
+        """Pass a check's end to the Router."""
         if check.done:
             return
         check.done = True
         if outcome is Outcome.WITHDRAWN and self._servers.pool(check.member) not in (None, check.pool):
-            self._check(check.member)  # its server is elsewhere now: it is asked there
+            self._check(check.member)  # the server has a new address: check it there
             return
         if self._checks.get(check.member) is check:
             del self._checks[check.member]
-        report = self._report(load_report(answer.value)) if answer is not None and answer.value else None
+        report = self._report_on_clock(load_report(answer.value)) if answer is not None and answer.value else None
         event = api.Checked(check.member, outcome, max(0, at_us - check.since_us), report)
-        self._do(self._requests.handle(event, now_us()))
+        self._carry_out_all(self._requests.handle(event, now_us()))
 
     # ---- Actions ----
 
-    def _do(self, done: list[req.Do]) -> None:
-        """Carry out, in order. What they set off at once comes behind, in no deeper a call."""
-        self._todo += done
-        if self._doing:
+    def _carry_out_all(self, actions: list[req.GatewayAction]) -> None:
+        """Carry out actions in order. Actions that these cause are appended to the queue, so calls do not nest."""
+        self._actions += actions
+        if self._is_carrying_out:
             return
-        self._doing = True
+        self._is_carrying_out = True
         try:
-            while self._todo:
-                self._carry_out(self._todo.popleft())
+            while self._actions:
+                self._carry_out(self._actions.popleft())
         finally:
-            self._doing = False
+            self._is_carrying_out = False
         self._set_deadline()
 
-    def _carry_out(self, one: req.Do) -> None:
-        """One effect."""
-        match one:
+    def _carry_out(self, action: req.GatewayAction) -> None:
+        """Carry out one action."""
+        match action:
             case req.Launch():
-                pool = self._servers.pool(one.attempt.member)
-                sent = Sent(self, one.attempt, pool)
+                pool = self._servers.pool(action.attempt.member)
+                sent = Sent(self, action.attempt, pool)
                 if pool is None:
                     sent.ended(Outcome.NO_CONNECTION, now_us(), None)
-                elif not one.attempt.has_ended:
-                    self._sending[id(one.attempt)] = sent
+                elif not action.attempt.has_ended:
+                    self._sending[id(action.attempt)] = sent
                     pool.launch(sent)
-            case req.Tell():
-                assert isinstance(one.owner, Query)
-                self._asking.pop(one.owner, None)
-                one.owner.answered(one.final)
+            case req.SendAnswer():
+                assert isinstance(action.owner, Query)
+                self._requests_by_query.pop(action.owner, None)
+                action.owner.answered(action.final)
             case req.Abandon():
-                on_way = self._sending.pop(id(one.attempt), None)
-                if on_way is not None and on_way.pool is not None:
-                    on_way.pool.abandon(on_way)
+                abandoned = self._sending.pop(id(action.attempt), None)
+                if abandoned is not None and abandoned.pool is not None:
+                    abandoned.pool.abandon(abandoned)
             case api.Check():
-                self._check(one.member)
+                self._check(action.member)
             case api.DropIdle():
-                pool = self._servers.pool(one.member)
+                pool = self._servers.pool(action.member)
                 if pool is not None:
                     pool.drop_idle()
             case api.FollowRoster():
@@ -386,11 +395,11 @@
             case api.FetchRoster():
                 self._discovery.fetch()
             case api.SetTimer():
-                self._set_timer(one)
+                self._set_timer(action)
             case api.Log():
-                LOG.info("%s", one.text)
+                LOG.info("%s", action.text)
             case req.Defect():
-                LOG.error("defect: %s", one.text)
+                LOG.error("defect: %s", action.text)
 
     def _check(self, member: int) -> None:
         pool = self._servers.pool(member)
@@ -402,26 +411,27 @@
             pool.launch(check)
 
     def _set_timer(self, timer: api.SetTimer) -> None:
-        """The Router's one timer: it asks for another only where that is earlier, and again once it has fired."""
-        if self._timer is not None:
-            self._timer.cancel()
+        """Set the Router's only timer. The Router sets it again only to an earlier time or after it has fired."""
+        if self._router_timer is not None:
+            self._router_timer.cancel()
         wait_s = max(0.0, (timer.at_us - now_us()) / 1e6)
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._fired, timer)
+        self._router_timer = asyncio.get_running_loop().call_later(wait_s, self._router_timer_fired, timer)
 
-    def _fired(self, timer: api.SetTimer) -> None:
-        self._do(self._requests.handle(api.TimerFired(timer.name), max(now_us(), timer.at_us)))
+    def _router_timer_fired(self, timer: api.SetTimer) -> None:
+        self._carry_out_all(self._requests.handle(api.TimerFired(timer.name), max(now_us(), timer.at_us)))
 
     def _set_deadline(self) -> None:
-        """One timer for the next request whose time is up."""
+        """Keep one timer for the earliest deadline of an open request."""
         at_us = self._requests.next_deadline_us()
-        if at_us == self._due_at_us:
+        if at_us == self._deadline_us:
             return
-        if self._due is not None:
-            self._due.cancel()
-        self._due_at_us, self._due = at_us, None
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+        self._deadline_us, self._deadline_timer = at_us, None
         if at_us is not None:
-            self._due = asyncio.get_running_loop().call_later(max(0.0, (at_us - now_us()) / 1e6), self._expire)
+            wait_s = max(0.0, (at_us - now_us()) / 1e6)
+            self._deadline_timer = asyncio.get_running_loop().call_later(wait_s, self._expire)
 
     def _expire(self) -> None:
-        self._due_at_us = self._due = None
-        self._do(self._requests.expire(now_us()))
+        self._deadline_us = self._deadline_timer = None
+        self._carry_out_all(self._requests.expire(now_us()))
--- a/oatlink/platform/requests.py
+++ b/oatlink/platform/requests.py
@@ -1,9 +1,9 @@
-"""Open requests and their attempts, between the Router and the sockets, without I/O.
+"""Tracks open requests and their attempts between the Router and the sockets, without I/O.
 
-Events in, effects out. What lives here: who is owed an answer, which attempts are out, when their time is up, and
-which number stands for which of discovery's ids. Each request is answered once, whatever the Router, the servers and
-the clients do, and in whatever order; an attempt ends once. Which member, whether again, and which answer: the
-Router's alone.
+Events go in, actions for the gateway come out. This module knows which clients are owed an answer, which attempts are
+running, when their deadlines expire, and which member number stands for which of discovery's ids. Each request is
+answered exactly once and each attempt ends exactly once, whatever the Router, the servers and the clients do and in
+whatever order. Only the Router decides which member gets a request, whether to retry, and what the answer is.
 """
 
 import heapq
@@ -17,23 +17,23 @@
 from oatlink.platform.statement import Statement
 
 
-class Decider(Protocol):
-    """What decides: the Router."""
+class RouterInterface(Protocol):
+    """The part of the Router that is used here."""
 
     def may_write(self, request: str, attempt: int, now_us: int) -> bool:
-        """Whether an attempt that it has sent may still be written; nothing changes."""
+        """Whether an attempt that the Router has sent may still be written. Changes no state."""
         ...
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        """Take one event and return what to do."""
+        """Process one event and return the actions to carry out."""
         ...
 
 
 class Owner(Protocol):
-    """Who asked, and is told the answer."""
+    """Made a request and receives its answer."""
 
     def answered(self, final: "Final") -> None:
-        """The one final answer."""
+        """Receive the final answer; called once."""
         ...
 
 
@@ -41,21 +41,21 @@
 class Attempt:
     """One send of a request to a member."""
 
-    open: "Open"
+    request: "Open"
     number: int
     member: int
     started_us: int
     has_ended: bool = False
-    is_written: bool = False  # committed to a connection; until then it may be taken back
+    is_written: bool = False  # committed to a connection; until then it may be withdrawn
 
     def payload(self, now_us: int) -> bytes:
-        """The statement, with the time that is left."""
-        return self.open.statement.waiting(max(1, (self.open.expires_us - now_us) // 1000))
+        """Return the statement, with the time that is left until the deadline."""
+        return self.request.statement.waiting(max(1, (self.request.expires_us - now_us) // 1000))
 
 
 @dataclass(slots=True)
 class Open:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is owed an answer, or whose attempts are still running."""
 
     id: str
     statement: Statement
@@ -65,14 +65,14 @@
     is_closed: bool = False
 
     @property
-    def out(self) -> list[Attempt]:
+    def running_attempts(self) -> list[Attempt]:
         """Attempts that have not ended."""
-        return [one for one in self.attempts if not one.has_ended]
+        return [attempt for attempt in self.attempts if not attempt.has_ended]
 
 
 @dataclass(frozen=True, slots=True)
 class Final:
-    """A final answer: `payload` when served, else refused with a time to come back, or failed."""
+    """A final answer: `payload` if served, otherwise refused with a time to retry after, or failed."""
 
     payload: bytes = b""
     refused: bool = False
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """Stop waiting for this attempt: its connection is closed, now."""
+    """Stop waiting for this attempt: its connection is closed at once."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Tell a client its answer."""
+class SendAnswer:
+    """Send a client its answer."""
 
     owner: Owner
     final: Final
@@ -103,82 +103,88 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """Something that the Router should have done and did not, for the log."""
+    """Log something that the Router should have actions and did not."""
 
     text: str
 
 
-Passed = api.Check | api.DropIdle | api.FollowRoster | api.FetchRoster | api.SetTimer | api.Log
-Do = Launch | Abandon | Tell | Defect | Passed
+ForwardedAction = api.Check | api.DropIdle | api.FollowRoster | api.FetchRoster | api.SetTimer | api.Log
+GatewayAction = Launch | Abandon | SendAnswer | Defect | ForwardedAction
 FAILED = Final()
 
 
 class Requests:
-    """All that is open at this gateway."""
+    """All open requests of this gateway."""
 
-    def __init__(self, router: Decider) -> None:
+    def __init__(self, router: RouterInterface) -> None:
         self.router = router
         self._open: dict[str, Open] = {}
-        self._ids: dict[bytes, Open] = {}
-        self._ends: list[tuple[int, str]] = []
-        self._count = 0
+        self._by_client_id: dict[bytes, Open] = {}
+        self._deadlines: list[tuple[int, str]] = []
+        self._arrival_count = 0
         self._events: deque[api.Event] = deque()
-        self._do: list[Do] = []
+        self._actions: list[GatewayAction] = []
 
     def __len__(self) -> int:
-        return len(self._ids)
+        return len(self._by_client_id)
 
     def is_open(self, client_id: bytes) -> bool:
-        """Whether a request by this id of a client's is owed an answer."""
-        return client_id in self._ids
+        """Whether a request with this client-chosen id is still owed an answer."""
+        return client_id in self._by_client_id
 
-    def arrived(
+    def handle_arrival(
         self, statement: Statement, owner: Owner, left_us: int, now_us: int, since_write_us: int | None
-    ) -> tuple[Open, list[Do]]:
-        """A request whose client waits so much longer."""
-        self._count += 1
-        one = Open(str(self._count), statement, owner, now_us + left_us)
-        self._open[one.id] = one
-        self._ids[statement.id] = one
-        heapq.heappush(self._ends, (one.expires_us, one.id))
+    ) -> tuple[Open, list[GatewayAction]]:
+        """Open a request whose client waits for another `left_us`."""
+        self._arrival_count += 1
+        request = Open(str(self._arrival_count), statement, owner, now_us + left_us)
+        self._open[request.id] = request
+        self._by_client_id[statement.id] = request
+        heapq.heappush(self._deadlines, (request.expires_us, request.id))
         rule = statement.rule
-        tied = rule.freshness in (api.Freshness.WRITE, api.Freshness.SESSION)
+        needs_session = rule.freshness in (api.Freshness.WRITE, api.Freshness.SESSION)
         event = api.Arrival(
-            one.id,
+            request.id,
             rule.name,
             statement.group,
             left_us,
-            statement.session if tied else None,
+            statement.session if needs_session else None,
             since_write_us if rule.freshness is api.Freshness.SESSION else None,
         )
-        return one, self.handle(event, now_us)
+        return request, self.handle(event, now_us)
 
-    def shorten_deadline(self, one: Open, by_us: int) -> None:
-        """Its answer is due so much earlier. What is sent from now on is told so; the Router goes by its own time."""
-        if not one.is_closed:
-            one.expires_us -= by_us
-            heapq.heappush(self._ends, (one.expires_us, one.id))
+    def shorten_deadline(self, request: Open, by_us: int) -> None:
+        """Move a request's deadline earlier by `by_us`.
 
-    def departed(self, one: Open, now_us: int) -> list[Do]:
-        """The client has left. What is written goes on to its end, as the Router takes it to; the rest is undone."""
-        if one.is_closed:
+        Attempts written from now on carry the shorter time; the Router keeps to the deadline that it was given.
+        """
+        if not request.is_closed:
+            request.expires_us -= by_us
+            heapq.heappush(self._deadlines, (request.expires_us, request.id))
+
+    def handle_departure(self, request: Open, now_us: int) -> list[GatewayAction]:
+        """Close a request whose client has left.
+
+        Written attempts run to their end, as the Router expects; the others are withdrawn.
+        """
+        if request.is_closed:
             return []
-        self._close(one)
-        done = self.handle(api.Departure(one.id), now_us)
-        for attempt in one.out:
+        self._close(request)
+        actions = self.handle(api.Departure(request.id), now_us)
+        for attempt in request.running_attempts:
             if not attempt.is_written:
-                self._do.append(Abandon(attempt))
-                done += self.ended(attempt, Outcome.WITHDRAWN, now_us, now_us)
-        return done
+                self._actions.append(Abandon(attempt))
+                actions += self.handle_attempt_end(attempt, Outcome.WITHDRAWN, now_us, now_us)
+        return actions
 
     def may_write(self, attempt: Attempt, now_us: int) -> bool:
-        """Whether an attempt may be written now: its client is there, its time not up, the Router has not changed."""
-        one = attempt.open
-        if attempt.has_ended or one.is_closed or now_us >= one.expires_us:
+        """Whether an attempt may be written now: client present, deadline not passed, and the Router still wants it."""
+        request = attempt.request
+        if attempt.has_ended or request.is_closed or now_us >= request.expires_us:
             return False
-        return self.router.may_write(one.id, attempt.number, now_us)
+        return self.router.may_write(request.id, attempt.number, now_us)
 
-    def ended(
+    def handle_attempt_end(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -186,145 +192,151 @@
         now_us: int,
         payload: bytes = b"",
         answer: Report | None = None,
-    ) -> list[Do]:
-        """An attempt has ended, its answer here at `at_us`."""
+    ) -> list[GatewayAction]:
+        """End an attempt whose answer was received at `at_us`; later ends of the same attempt are ignored."""
         if attempt.has_ended:
             return []
-        one = attempt.open
+        request = attempt.request
         attempt.has_ended = True
-        if outcome is Outcome.SERVED and not one.is_closed:
-            self._final(one, Final(payload))
+        if outcome is Outcome.SERVED and not request.is_closed:
+            self._answer(request, Final(payload))
         event = api.AttemptEnded(
-            one.id,
+            request.id,
             attempt.number,
             attempt.member,
             outcome,
             max(0, at_us - attempt.started_us),
-            one.is_closed,
+            request.is_closed,
             answer,
         )
-        self._release(one)
+        self._forget_if_done(request)
         return self.handle(event, now_us)
 
     def next_deadline_us(self) -> int | None:
-        """When the next request's time is up."""
-        while self._ends and self._ends[0][1] not in self._open:
-            heapq.heappop(self._ends)
-        return self._ends[0][0] if self._ends else None
-
-    def expire(self, now_us: int) -> list[Do]:
-        """End what has no time left: LATE for each attempt written and out, then the final answer is due."""
-        done: list[Do] = []
-        while self._ends and self._ends[0][0] <= now_us:
-            one = self._open.get(heapq.heappop(self._ends)[1])
-            if one is None:
+        """The earliest deadline of an open request."""
+        while self._deadlines and self._deadlines[0][1] not in self._open:
+            heapq.heappop(self._deadlines)
+        return self._deadlines[0][0] if self._deadlines else None
+
+    def expire(self, now_us: int) -> list[GatewayAction]:
+        """End the requests that are past their deadline.
+
+        Each written attempt that still runs is LATE, each unwritten one WITHDRAWN; then the final answer is due.
+        """
+        actions: list[GatewayAction] = []
+        while self._deadlines and self._deadlines[0][0] <= now_us:
+            request = self._open.get(heapq.heappop(self._deadlines)[1])
+            if request is None:
                 continue
-            for attempt in one.out:
-                self._do.append(Abandon(attempt))
+            for attempt in request.running_attempts:
+                self._actions.append(Abandon(attempt))
                 outcome = Outcome.LATE if attempt.is_written else Outcome.WITHDRAWN
-                done += self.ended(attempt, outcome, now_us, now_us)
-            if not one.is_closed:
-                self._do.append(Defect(f"class {one.statement.rule.name}: unanswered at its deadline"))
-                self._final(one, FAILED)
-                done += self.handle(api.Departure(one.id), now_us)
-            self._release(one)
-        return done
-
-    def handle(self, event: api.Event, now_us: int) -> list[Do]:
-        """Give the Router an event and turn its actions into effects; what they cause at once is told it, too."""
+                actions += self.handle_attempt_end(attempt, outcome, now_us, now_us)
+            if not request.is_closed:
+                self._actions.append(Defect(f"class {request.statement.rule.name}: unanswered at its deadline"))
+                self._answer(request, FAILED)
+                actions += self.handle(api.Departure(request.id), now_us)
+            self._forget_if_done(request)
+        return actions
+
+    def handle(self, event: api.Event, now_us: int) -> list[GatewayAction]:
+        """Pass an event to the Router and return the resulting actions.
+
+        Events that these actions cause at once are passed to the Router too.
+        """
         self._events.append(event)
         while self._events:
             for action in self.router.handle(self._events.popleft(), now_us):
-                self._carry(action, now_us)
-        done, self._do = self._do, []
-        return done
+                self._apply(action, now_us)
+        actions, self._actions = self._actions, []
+        return actions
 
-    def _carry(self, action: api.Action, now_us: int) -> None:
+    def _apply(self, action: api.Action, now_us: int) -> None:
         match action:
             case api.Send():
                 self._send(action, now_us)
             case api.Refuse():
-                self._end(action.request, Final(refused=True, retry_after_us=action.retry_after_us))
+                self._answer_by_id(action.request, Final(refused=True, retry_after_us=action.retry_after_us))
             case api.Fail():
-                self._end(action.request, FAILED)
+                self._answer_by_id(action.request, FAILED)
             case api.Cancel():
-                one = self._open.get(action.request)
-                if one is not None and action.attempt < len(one.attempts):
-                    self._cancel(one, one.attempts[action.attempt], now_us)
+                request = self._open.get(action.request)
+                if request is not None and action.attempt < len(request.attempts):
+                    self._cancel(request, request.attempts[action.attempt], now_us)
             case _:
-                self._do.append(action)
+                self._actions.append(action)
 
     def _send(self, action: api.Send, now_us: int) -> None:
-        one = self._open.get(action.request)
-        if one is None or one.is_closed or now_us >= one.expires_us:
-            # Threat: a send after the final answer. It would break the rule on lost requests.
-            number = len(one.attempts) if one is not None else 0
-            if one is not None:
-                one.attempts.append(Attempt(one, number, action.member, now_us, has_ended=True))
-            over = one is None or one.is_closed
+        request = self._open.get(action.request)
+        if request is None or request.is_closed or now_us >= request.expires_us:
+            # Prevents a send after the final answer, which would break the platform's rule on lost requests.
+            number = len(request.attempts) if request is not None else 0
+            if request is not None:
+                request.attempts.append(Attempt(request, number, action.member, now_us, has_ended=True))
+            over = request is None or request.is_closed
             self._events.append(api.AttemptEnded(action.request, number, action.member, Outcome.NOT_SENT, 0, over))
             return
-        attempt = Attempt(one, len(one.attempts), action.member, now_us)
-        one.attempts.append(attempt)
-        self._do.append(Launch(attempt))
+        attempt = Attempt(request, len(request.attempts), action.member, now_us)
+        request.attempts.append(attempt)
+        self._actions.append(Launch(attempt))
 
-    def _cancel(self, one: Open, attempt: Attempt, now_us: int) -> None:
+    def _cancel(self, request: Open, attempt: Attempt, now_us: int) -> None:
         if attempt.has_ended:
             return
         attempt.has_ended = True
-        self._do.append(Abandon(attempt))
+        self._actions.append(Abandon(attempt))
         outcome = Outcome.CANCELLED if attempt.is_written else Outcome.WITHDRAWN
         self._events.append(
             api.AttemptEnded(
-                one.id, attempt.number, attempt.member, outcome, now_us - attempt.started_us, one.is_closed
+                request.id, attempt.number, attempt.member, outcome, now_us - attempt.started_us, request.is_closed
             )
         )
-        self._release(one)
+        self._forget_if_done(request)
 
-    def _end(self, request: str, final: Final) -> None:
-        one = self._open.get(request)
-        if one is not None and not one.is_closed:
-            self._final(one, final)
-            self._release(one)
+    def _answer_by_id(self, request_id: str, final: Final) -> None:
+        request = self._open.get(request_id)
+        if request is not None and not request.is_closed:
+            self._answer(request, final)
+            self._forget_if_done(request)
 
-    def _final(self, one: Open, final: Final) -> None:
-        self._close(one)
-        self._do.append(Tell(one.owner, final))
+    def _answer(self, request: Open, final: Final) -> None:
+        self._close(request)
+        self._actions.append(SendAnswer(request.owner, final))
 
-    def _close(self, one: Open) -> None:
-        """Nothing is owed any more; its client's id is free again."""
-        one.is_closed = True
-        if self._ids.get(one.statement.id) is one:
-            del self._ids[one.statement.id]
-        self._release(one)
+    def _close(self, request: Open) -> None:
+        """Mark a request as owed no answer any more; its client may use its id again."""
+        request.is_closed = True
+        if self._by_client_id.get(request.statement.id) is request:
+            del self._by_client_id[request.statement.id]
+        self._forget_if_done(request)
 
-    def _release(self, one: Open) -> None:
-        if one.is_closed and not one.out:
-            self._open.pop(one.id, None)
+    def _forget_if_done(self, request: Open) -> None:
+        if request.is_closed and not request.running_attempts:
+            self._open.pop(request.id, None)
 
 
-class Numbers:
-    """Local numbers for discovery's ids. A number is never given again; what has left is let go."""
+class MemberNumbers:
+    """Maps discovery's ids to local member numbers. A number is never reused; members that left are forgotten."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
         self._names: dict[int, str] = {}
         self._last = 0
 
-    def of(self, name: str) -> int:
-        """The number of an id, a new one if it has none."""
+    def number_for(self, name: str) -> int:
+        """Return the number of an id, assigning a new one if it has none."""
         if name not in self._numbers:
             self._last += 1
             self._numbers[name] = self._last
             self._names[self._last] = name
         return self._numbers[name]
 
-    def name(self, number: int) -> str:
-        """The id behind a number, for people."""
+    def name_of(self, number: int) -> str:
+        """Return the id behind a number, for the log."""
         return self._names.get(number, "?")
 
-    def keep(self, stays: Callable[[int], bool]) -> list[int]:
-        """Let go of all numbers that do not stay, and return them."""
+    def retain(self, stays: Callable[[int], bool]) -> list[int]:
+        """Forget all numbers for which `stays` is false, and return them."""
         gone = [number for number in self._names if not stays(number)]
         for number in gone:
             del self._numbers[self._names.pop(number)]
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -164,13 +164,13 @@
 
     def asked(self, text: bytes) -> tuple[req.Open, req.Attempt, Asked]:
         self.ask(text, 0x9B1F)
-        (attempt,) = [each for each in self.out.values() if each.open is self.open[-1]]
+        (attempt,) = [each for each in self.out.values() if each.request is self.open[-1]]
         return self.open[-1], attempt, self.owners[-1]
 
-    def served(self, attempt: req.Attempt, value: bytes) -> list[req.Tell]:
+    def served(self, attempt: req.Attempt, value: bytes) -> list[req.SendAnswer]:
         """Who is told of an attempt's answer."""
-        done = self.requests.ended(attempt, Outcome.SERVED, self.now, self.now, value)
-        return [each for each in done if isinstance(each, req.Tell)]
+        done = self.requests.handle_attempt_end(attempt, Outcome.SERVED, self.now, self.now, value)
+        return [each for each in done if isinstance(each, req.SendAnswer)]
 
 
 @pytest.mark.parametrize("written", [True, False])
@@ -179,7 +179,7 @@
     one, attempt, owner = desk.asked(WRITE)
     attempt.is_written = written
     assert desk.requests.may_write(attempt, desk.now)
-    done = desk.requests.departed(one, desk.now)
+    done = desk.requests.handle_departure(one, desk.now)
     assert not desk.requests.may_write(attempt, desk.now)
     assert any(isinstance(each, req.Abandon) for each in done) == (not written)
     assert attempt.has_ended == (not written) and not owner.finals
@@ -192,7 +192,7 @@
     desk = Desk()
     one, attempt, first = desk.asked(READ)
     attempt.is_written = True
-    desk.requests.departed(one, desk.now)
+    desk.requests.handle_departure(one, desk.now)
     assert not desk.requests.is_open(b"9b1f")
     _, again, second = desk.asked(READ)
     assert not desk.served(attempt, b"the first's")
@@ -217,7 +217,7 @@
     done = desk.requests.expire(desk.now)
     ends = [each.outcome for each in heard if isinstance(each, api.AttemptEnded)]
     assert ends == [Outcome.LATE if written else Outcome.WITHDRAWN]
-    (told,) = [each for each in done if isinstance(each, req.Tell)]
+    (told,) = [each for each in done if isinstance(each, req.SendAnswer)]
     assert told.final == req.FAILED, "its time is up"
 
 
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -241,16 +241,16 @@
         entries = tuple(member(number) for number in (1, 2, 3))
         self.do(self.requests.handle(api.Roster(RosterKind.WHOLE, entries), self.now))
 
-    def do(self, done: list[req.Do]) -> None:
+    def do(self, done: list[req.GatewayAction]) -> None:
         for one in done:
             match one:
                 case req.Launch():
-                    assert not one.attempt.open.is_closed, "a send after the final answer"
+                    assert not one.attempt.request.is_closed, "a send after the final answer"
                     one.attempt.is_written = self.draw.random() >= self.slow
                     self.out[id(one.attempt)] = one.attempt
                 case req.Abandon():
                     self.out.pop(id(one.attempt), None)
-                case req.Tell():
+                case req.SendAnswer():
                     one.owner.answered(one.final)
                 case api.Check():
                     self.checks.append(one.member)
@@ -260,7 +260,7 @@
     def ask(self, text: bytes, number: int) -> None:
         statement = read(text.replace(b"9b1f", b"%04x" % number).replace(b"cluster=2", b"cluster=1"))
         self.owners.append(Asked())
-        one, done = self.requests.arrived(statement, self.owners[-1], statement.wait_ms * 1000, self.now, None)
+        one, done = self.requests.handle_arrival(statement, self.owners[-1], statement.wait_ms * 1000, self.now, None)
         self.open.append(one)
         self.do(done)
 
@@ -273,17 +273,19 @@
             case 2 | 3 if self.out:
                 attempt = self.out.pop(self.draw.choice(list(self.out)))
                 if not attempt.is_written and self.requests.may_write(attempt, self.now):
-                    assert not attempt.open.is_closed and not attempt.has_ended, "written for nobody"
+                    assert not attempt.request.is_closed and not attempt.has_ended, "written for nobody"
                     attempt.is_written = True
                     self.out[id(attempt)] = attempt
                     return
                 if not attempt.is_written:
-                    self.do(self.requests.ended(attempt, Outcome.WITHDRAWN, self.now, self.now))
+                    self.do(self.requests.handle_attempt_end(attempt, Outcome.WITHDRAWN, self.now, self.now))
                     return
                 outcome = self.draw.choice([*Outcome][:7] + [Outcome.SERVED] * 6 + [Outcome.MISS])
                 role = Role.PRIMARY if attempt.member == 1 else Role.REPLICA
-                self.do(self.requests.ended(attempt, outcome, self.now, self.now, b"value", Report(None, role)))
-                assert self.requests.ended(attempt, Outcome.SERVED, self.now, self.now, b"twice") == []
+                self.do(
+                    self.requests.handle_attempt_end(attempt, outcome, self.now, self.now, b"value", Report(None, role))
+                )
+                assert self.requests.handle_attempt_end(attempt, Outcome.SERVED, self.now, self.now, b"twice") == []
             case 4 if self.checks:
                 numbered = self.checks.pop()
                 role = Role.PRIMARY if numbered == 1 else Role.REPLICA
@@ -293,7 +295,7 @@
                 self.requests.shorten_deadline(self.draw.choice(self.open), SLACK_US)
             case 5 if self.open:
                 gone = self.draw.choice(self.open)
-                self.do(self.requests.departed(gone, self.now))
+                self.do(self.requests.handle_departure(gone, self.now))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -350,7 +352,7 @@
     (first,) = world.out.values()
     world.do(world.requests.handle(api.TimerFired("x"), world.now))
     assert first.has_ended and [one.member for one in world.out.values()] == [2]
-    assert world.requests.ended(first, Outcome.SERVED, world.now, world.now, b"late") == []
+    assert world.requests.handle_attempt_end(first, Outcome.SERVED, world.now, world.now, b"late") == []
     assert world.owners[0].finals == []
 
 
@@ -358,16 +360,16 @@
     world = World(1, Scripted([], [], [api.Send("1", 1)]))
     world.ask(READ, 1)
     assert world.requests.is_open(b"0001") and not world.requests.is_open(b"0002")
-    world.do(world.requests.departed(world.open[0], world.now))
+    world.do(world.requests.handle_departure(world.open[0], world.now))
     assert not world.requests.is_open(b"0001"), "the same id may come again on a new connection"
 
 
 def test_numbers_are_never_given_again_and_what_left_is_let_go() -> None:
-    numbers = req.Numbers()
-    first = [numbers.of(name) for name in ("a", "b", "a")]
-    assert first == [1, 2, 1] and numbers.name(2) == "b"
-    assert numbers.keep(lambda number: number != 1) == [1]
-    assert numbers.of("a") == 3 and numbers.name(1) == "?"
+    numbers = req.MemberNumbers()
+    first = [numbers.number_for(name) for name in ("a", "b", "a")]
+    assert first == [1, 2, 1] and numbers.name_of(2) == "b"
+    assert numbers.retain(lambda number: number != 1) == [1]
+    assert numbers.number_for("a") == 3 and numbers.name_of(1) == "?"
 
 
 # ---- Configuration ----
