--- a/oatlink/platform/discovery/__init__.py
+++ b/oatlink/platform/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Discovery: what its answers say, which of them count, one call, and the watch that makes the calls."""
+"""Discovery client: decodes discovery's answers, decides which count, makes single calls and follows changes."""
 
 from oatlink.platform.discovery.calls import MOST_BYTES
 from oatlink.platform.discovery.lists import Entry, ListError, News, Page, Server, read, server_of
--- a/oatlink/platform/discovery/calls.py
+++ b/oatlink/platform/discovery/calls.py
@@ -1,4 +1,4 @@
-"""One call to discovery: a GET over a connection of its own, from the first packet to the last byte of the answer."""
+"""A single call to discovery: one GET request over a connection of its own."""
 
 import asyncio
 import socket
@@ -8,36 +8,40 @@
 
 from oatlink.gateway.clock import Marks, Stream, patience
 
-MOST_BYTES = 4 * 1024 * 1024  # of a body
-MOST_AROUND = 65_536  # of all that is not body: status lines, headers, the frames of chunks
-MOST_HEAD = 16_384  # of a head that is not whole yet
-CHUNK = 16_384  # bytes read at once
+MOST_BYTES = 4 * 1024 * 1024  # limit of an answer's body
+MAX_OVERHEAD_BYTES = 65_536  # of everything but the body: status lines, headers, chunk framing
+MAX_PARTIAL_HEAD_BYTES = 16_384  # of a response head that is not complete yet
+READ_CHUNK_BYTES = 16_384
 
 
 class CallError(Exception):
-    """A call that brought no whole answer; says why."""
+    """A call failed to bring a complete answer; the message says why."""
 
 
-async def get(address: tuple[str, int], path: str, dial_s: float, most_s: float, marks: Marks) -> bytes:
-    """The body of a good answer. Ends with its last byte, or `most_s` after it began, whatever trickles in by then.
+async def get(address: tuple[str, int], path: str, dial_timeout_s: float, timeout_s: float, marks: Marks) -> bytes:
+    """Request `path` and return the body of the answer.
 
-    Raises `CallError` where no connection comes up within `dial_s`, where the answer is not whole in time or over its
-    bounds, and for any status but 200. However it ends, and when it is cancelled, its socket is closed.
+    The call takes at most `timeout_s`, however slowly bytes keep coming in. Raises `CallError` if no connection is
+    established within `dial_timeout_s`, if the answer is not complete in time or exceeds its limits, and for any status
+    but 200. The socket is closed in every case, also when the call is cancelled.
     """
     stream: Stream | None = None
     try:
-        async with patience(most_s):
+        async with patience(timeout_s):
             host, port = address
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             stream = Stream(
-                socket.socket(family, socket.SOCK_STREAM), marks, max_buffer_size=2 * CHUNK, read_chunk_size=CHUNK
+                socket.socket(family, socket.SOCK_STREAM),
+                marks,
+                max_buffer_size=2 * READ_CHUNK_BYTES,
+                read_chunk_size=READ_CHUNK_BYTES,
             )
             stream.set_nodelay(True)
-            # A connection that hangs is known as such before a watch's wait is over.
-            async with patience(dial_s):
+            # Detects a connection attempt that hangs before the wait of a watch is over.
+            async with patience(dial_timeout_s):
                 await stream.connect(address)
-            where = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-            return await _exchange(stream, where, path)
+            host_header = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+            return await _exchange(stream, host_header, path)
     except TimeoutError:
         raise CallError("no whole answer in time") from None
     except h11.ProtocolError as problem:
@@ -50,21 +54,21 @@
             stream.close()
 
 
-async def _exchange(stream: Stream, where: str, path: str) -> bytes:
-    """Ask and read the answer. Raises `CallError`, `h11.ProtocolError` or `StreamClosedError`."""
-    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
-    headers = [("Host", where), ("Accept", "application/json"), ("Connection", "close")]
-    ask = http.send(h11.Request(method="GET", target=path, headers=headers)) or b""
-    await stream.write(ask + (http.send(h11.EndOfMessage()) or b""))
+async def _exchange(stream: Stream, host_header: str, path: str) -> bytes:
+    """Send the request and read the answer. Raises `CallError`, `h11.ProtocolError` or `StreamClosedError`."""
+    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_PARTIAL_HEAD_BYTES)
+    headers = [("Host", host_header), ("Accept", "application/json"), ("Connection", "close")]
+    request = http.send(h11.Request(method="GET", target=path, headers=headers)) or b""
+    await stream.write(request + (http.send(h11.EndOfMessage()) or b""))
     body = bytearray()
-    came = 0
+    received_bytes = 0
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
-            data = await _more(stream)
-            came += len(data)
-            # Threat: a peer that never ends its chunks' frames or its interim answers; no body grows by them.
-            if came > MOST_BYTES + MOST_AROUND:
+            data = await _read_chunk(stream)
+            received_bytes += len(data)
+            # Bounds a peer that sends chunk framing or interim responses without end, which do not grow the body.
+            if received_bytes > MOST_BYTES + MAX_OVERHEAD_BYTES:
                 raise CallError("answer: too much around its body")
             http.receive_data(data)
         elif isinstance(event, h11.Response):
@@ -80,15 +84,15 @@
             raise CallError("answer: ended before it began")
 
 
-async def _more(stream: Stream) -> bytes:
-    """What came next; nothing where the peer has ended in order. Raises `StreamClosedError` for any other end."""
-    # Threat: a flood is read without a pause, and neither requests nor time-outs get their turn.
+async def _read_chunk(stream: Stream) -> bytes:
+    """Return the next bytes; none if the peer closed in order. Raises `StreamClosedError` for any other end."""
+    # Yields to the loop, so that a peer that floods the connection does not starve requests and timeouts.
     await asyncio.sleep(0)
     try:
-        return await stream.read_bytes(CHUNK, partial=True)
+        return await stream.read_bytes(READ_CHUNK_BYTES, partial=True)
     except StreamClosedError:
-        # Threat: an answer without a length whose connection is reset on the way. What came of it may read as a whole
-        # list, but only a peer that closes in order says that this was all: a reset is no end.
+        # An answer without a length ends only with an orderly close. After a reset, the part that was received could be
+        # mistaken for a complete list, so a reset is an error.
         if stream.error is not None:
             raise
         return b""
--- a/oatlink/platform/discovery/lists.py
+++ b/oatlink/platform/discovery/lists.py
@@ -1,6 +1,6 @@
-"""The list of database servers as discovery writes it: the bytes of an answer, and what they say. No I/O.
+"""Decodes discovery's list of database servers from the bytes of an answer, without I/O.
 
-One bad entry harms only itself. JSON may come indented.
+A bad entry affects no other entry. The JSON may be indented.
 """
 
 import ipaddress
@@ -11,11 +11,11 @@
 
 from oatlink.interface import Listing, RosterKind
 
-LISTINGS = {"in_service": Listing.READY, "terminating": Listing.TERMINATING, "terminated": Listing.GONE}
+LISTING_BY_STATE = {"in_service": Listing.READY, "terminating": Listing.TERMINATING, "terminated": Listing.GONE}
 
 
 class Entry(msgspec.Struct):
-    """One server as discovery writes it."""
+    """One server as discovery encodes it."""
 
     id: str
     state: str
@@ -28,22 +28,22 @@
 
 
 class Page(msgspec.Struct):
-    """An answer of discovery; each entry is read on its own."""
+    """An answer of discovery; each entry is decoded separately."""
 
     version: int
     servers: list[msgspec.Raw]
     full: bool = False
 
 
-class Named(msgspec.Struct):
-    """Whose entry it is, where no more of it can be read."""
+class EntryId(msgspec.Struct):
+    """The id of an entry of which nothing else can be decoded."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """An entry that makes sense."""
+    """A validated entry."""
 
     id: str
     address: tuple[str, int]
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What an answer says. `unread`: servers that are there, of which nothing else could be read."""
+    """The content of an answer. `unread` holds the ids of listed servers whose entries could not be decoded."""
 
     version: int
     kind: RosterKind
@@ -66,14 +66,14 @@
 
 
 class ListError(Exception):
-    """A list that cannot be read."""
+    """A list or an entry cannot be read."""
 
 
 def server_of(entry: Entry) -> Server:
-    """An entry's server. Raises `ListError` saying what was expected."""
-    listing = LISTINGS.get(entry.state)
+    """Validate an entry. Raises `ListError` saying what was expected."""
+    listing = LISTING_BY_STATE.get(entry.state)
     if listing is None:
-        raise ListError(f"state: expected one of {', '.join(LISTINGS)}")
+        raise ListError(f"state: expected one of {', '.join(LISTING_BY_STATE)}")
     host, _, port = entry.addr.rpartition(":")
     host = host.strip("[]")
     if listing is not Listing.GONE or entry.addr:
@@ -92,7 +92,7 @@
 
 
 def read(text: bytes, saved: bool, note: Callable[[str], None]) -> News:
-    """The news of an answer. Raises `ListError` where nothing of it can be read."""
+    """Decode an answer; bad entries are passed to `note`. Raises `ListError` if nothing of it can be read."""
     try:
         page = msgspec.json.decode(text, type=Page)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
@@ -104,7 +104,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError, ListError) as problem:
             note(f"discovery: entry {bytes(raw)[:80]!r}: {problem}")
             try:
-                unread.append(msgspec.json.decode(raw, type=Named).id)
+                unread.append(msgspec.json.decode(raw, type=EntryId).id)
             except (msgspec.DecodeError, UnicodeDecodeError):
                 continue
     kind = RosterKind.SAVED if saved else RosterKind.WHOLE if page.full else RosterKind.CHANGES
--- a/oatlink/platform/discovery/order.py
+++ b/oatlink/platform/discovery/order.py
@@ -1,7 +1,7 @@
-"""Which answers of discovery count, where calls cross each other or discovery itself goes back. No I/O.
+"""Decides which of discovery's answers count when calls overlap or discovery goes back to an older state. No I/O.
 
-Discovery numbers its lists. An answer below the newest version taken is one of two things: it was overtaken on its
-way, or discovery was put back to an older state, and counts from there.
+Discovery numbers its lists. An answer below the newest applied version has one of two causes: a newer answer overtook
+it, or discovery was restored to an older state and counts on from there.
 """
 
 import enum
@@ -10,45 +10,45 @@
 from oatlink.platform.discovery.lists import News
 
 
-class Verdict(enum.Enum):
-    """What becomes of the news of a call."""
+class AnswerStatus(enum.Enum):
+    """How the answer of a call is treated."""
 
-    TAKEN = "taken"
-    RESTORED = "restored"  # taken, though its version is lower: discovery went back, and its whole list is here
-    STALE = "stale"  # other news came while the call was under way: neither news nor a failure
-    BACK = "back"  # discovery went back, and changes do not say what is there now: the whole list has to be asked for
+    APPLIED = "taken"
+    RESTORED = "restored"  # applied although its version is lower: discovery was restored, and this is its whole list
+    STALE = "stale"  # another answer was applied during the call: neither news nor a failure
+    WENT_BACK = "back"  # discovery was restored; changes do not say what is listed now, so the whole list is needed
 
 
-class Order:
-    """The newest version taken, and which calls began before it was."""
+class VersionTracker:
+    """Tracks the newest applied version, and which calls began before it was applied."""
 
     def __init__(self) -> None:
         self.version = 0
-        self._taken = 0
-        self._restored_at = 0  # so many had been taken when discovery's going back was last taken in
+        self._applied_count = 0
+        self._restored_at_count = 0  # `_applied_count` when a restored list was last applied
 
-    def known(self, version: int) -> None:
-        """A list that came otherwise is had: calls begun from now on go on from it."""
-        self._taken += 1
+    def set_version(self, version: int) -> None:
+        """Set the version of a list that did not come from a call; calls that begin from now on continue from it."""
+        self._applied_count += 1
         self.version = version
 
-    def begin(self) -> int:
-        """A call begins: how many news have been taken so far, to be handed back with what it brings."""
-        return self._taken
-
-    def judge(self, began: int, news: News) -> Verdict:
-        """What becomes of the news of a call that began then; taken news changes the version."""
-        higher = news.version >= self.version
-        # Threat: a whole list asked for before a change and arriving after it would undo a drain. One of before
-        # discovery went back has a higher version than what is true now, and would do so too. To leave either out
-        # loses nothing, as the watch goes on from the version taken.
-        if began < self._restored_at or (not higher and began < self._taken):
-            return Verdict.STALE
-        if not higher and news.kind is RosterKind.CHANGES:
-            return Verdict.BACK
-        self._taken += 1
+    def begin_call(self) -> int:
+        """Return how many answers were applied before a call begins, to be passed to `classify` with its answer."""
+        return self._applied_count
+
+    def classify(self, began_at_count: int, news: News) -> AnswerStatus:
+        """Decide how to treat a call's answer; applying it changes the version."""
+        is_current = news.version >= self.version
+        # Prevents an undone drain: a whole list that was requested before a change may arrive after it, and a list from
+        # before discovery was restored has a higher version than the current one. Dropping either loses nothing,
+        # because the watch continues from the applied version.
+        if began_at_count < self._restored_at_count or (not is_current and began_at_count < self._applied_count):
+            return AnswerStatus.STALE
+        if not is_current and news.kind is RosterKind.CHANGES:
+            return AnswerStatus.WENT_BACK
+        self._applied_count += 1
         self.version = news.version
-        if higher:
-            return Verdict.TAKEN
-        self._restored_at = self._taken
-        return Verdict.RESTORED
+        if is_current:
+            return AnswerStatus.APPLIED
+        self._restored_at_count = self._applied_count
+        return AnswerStatus.RESTORED
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -13,7 +13,7 @@
 from oatlink.interface import Listing, RosterKind
 from oatlink.platform import discovery as disco
 from oatlink.platform.discovery import Discovery, News, calls
-from oatlink.platform.discovery.order import Order, Verdict
+from oatlink.platform.discovery.order import AnswerStatus, VersionTracker
 from tests.discovery_script import WHOLE, Script, changes, page, whole
 from tests.scenes import scene
 
@@ -115,24 +115,24 @@
 @pytest.mark.parametrize(
     ("version", "full", "crossed", "verdict"),
     [
-        (6, True, False, Verdict.TAKEN),
-        (4, True, True, Verdict.STALE),
-        (4, True, False, Verdict.RESTORED),
-        (5, False, True, Verdict.TAKEN),
-        (4, False, True, Verdict.STALE),
-        (4, False, False, Verdict.BACK),
+        (6, True, False, AnswerStatus.APPLIED),
+        (4, True, True, AnswerStatus.STALE),
+        (4, True, False, AnswerStatus.RESTORED),
+        (5, False, True, AnswerStatus.APPLIED),
+        (4, False, True, AnswerStatus.STALE),
+        (4, False, False, AnswerStatus.WENT_BACK),
     ],
 )
-def test_an_answers_verdict(version: int, full: bool, crossed: bool, verdict: Verdict) -> None:
-    order = Order()
-    order.known(4)
-    began = order.begin()
-    order.judge(began, disco.read(page(5), False, print))
+def test_an_answers_verdict(version: int, full: bool, crossed: bool, verdict: AnswerStatus) -> None:
+    order = VersionTracker()
+    order.set_version(4)
+    began = order.begin_call()
+    order.classify(began, disco.read(page(5), False, print))
     if not crossed:
-        began = order.begin()
-    assert order.judge(began, disco.read(page(version, full), False, print)) is verdict
-    counts = verdict in (Verdict.TAKEN, Verdict.RESTORED)
-    assert order.version == (version if counts else 5) and order.begin() == 2 + counts
+        began = order.begin_call()
+    assert order.classify(began, disco.read(page(version, full), False, print)) is verdict
+    counts = verdict in (AnswerStatus.APPLIED, AnswerStatus.RESTORED)
+    assert order.version == (version if counts else 5) and order.begin_call() == 2 + counts
 
 
 NAMES = "ab"
