--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -148,7 +148,7 @@
         self._server.close()
         self.changed.set()
 
-    def tell(self, entries: list[dict[str, Any]]) -> None:
+    def publish(self, entries: list[dict[str, Any]]) -> None:
         """A new list."""
         self.entries, self.version = entries, self.version + 1
         self.changed.set()
@@ -255,7 +255,7 @@
     async def start(self) -> None:
         """Start the gateway and wait until it serves."""
         await self.launch()
-        await self.serves()
+        await self.wait_until_ready()
 
     async def launch(self, **environment: str) -> None:
         """Start the gateway, and wait for nothing."""
@@ -285,9 +285,9 @@
         words = Path(f"/proc/{self.process.pid}/cmdline")
         await self.until(lambda: words.read_bytes().startswith(os.fsencode(sys.executable) + b"\0"))
 
-    async def serves(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it serves."""
-        line = await self.logged("ready: ")
+        line = await self.wait_for_line("ready: ")
         self.address = ("127.0.0.1", int(line.rpartition(":")[2]))
 
     async def _read(self) -> None:
@@ -301,12 +301,12 @@
             while not what():
                 await asyncio.sleep(0.01)
 
-    async def follows(self) -> None:
+    async def wait_until_following(self) -> None:
         """Wait until the gateway has taken the newest list: it asks for what comes after."""
         asks = f"since={self.discovery.version}&"
         await self.until(lambda: any(asks in call for call in self.discovery.calls))
 
-    async def logged(self, text: str) -> str:
+    async def wait_for_line(self, text: str) -> str:
         """Wait for a line of the log."""
         await self.until(lambda: any(text in line for line in self.lines) or self.process.returncode is not None)
         return next(line for line in self.lines if text in line)
@@ -355,13 +355,13 @@
 
 
 @contextlib.asynccontextmanager
-async def in_a_place(**more: Any) -> AsyncIterator[World]:
+async def temporary_world(**more: Any) -> AsyncIterator[World]:
     """The same in a folder of its own."""
     with tempfile.TemporaryDirectory() as place:
         async with world(Path(place), **more) as one:
             yield one
 
 
-def play(scene: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scene: Coroutine[Any, Any, None]) -> None:
     """Run one scene to its end."""
     asyncio.run(asyncio.wait_for(scene, 4 * PATIENCE_S))
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -19,7 +19,7 @@
 )
 from oatlink.protocols import pgwire as pg
 from tests.client_world import Home, home, query
-from tests.platform_world import World, in_a_place
+from tests.platform_world import World, temporary_world
 from tests.scenes import scene
 from tests.test_platform_crossings import SLOW
 from tests.test_platform_sockets import post, settled, value, view
@@ -198,7 +198,7 @@
     assert await peer.answers() == ["value of a", *["0A000"] * 4]
 
 
-@scene(in_a_place, settings=SLOW)
+@scene(temporary_world, settings=SLOW)
 async def test_a_server_that_hangs_under_one_request_keeps_none_behind_it_from_being_served(one: World) -> None:
     client = await settled(one)
     for server in one.servers:
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from oatlink.protocols import pgwire as pg
-from tests.platform_world import PATIENCE_S, Discovery, Server, World, in_a_place
+from tests.platform_world import PATIENCE_S, Discovery, Server, World, temporary_world
 from tests.scenes import scene
 from tests.test_adapter import OPTIONS
 from tests.test_platform_sockets import post, settled, sqlstate, value, view
@@ -34,10 +34,10 @@
 async def reload(one: World, discovery: str, settings: dict[str, Any] = OPTIONS) -> None:
     one.write(discovery, settings=settings)
     one.signal(signal.SIGHUP)
-    await one.logged("reload: ")
+    await one.wait_for_line("reload: ")
 
 
-@scene(in_a_place, replicas=0, settings=SLOW)
+@scene(temporary_world, replicas=0, settings=SLOW)
 async def test_a_client_leaves_while_its_request_waits_for_a_connection(one: World) -> None:
     client, server = await waiting(one, post()), one.servers[0]
     client.writer.close()
@@ -48,36 +48,36 @@
     assert len(server.statements) == 1, "what nobody waits for was not sent on"
 
 
-@scene(in_a_place, replicas=0, settings=SLOW)
+@scene(temporary_world, replicas=0, settings=SLOW)
 async def test_a_drain_is_told_while_a_request_waits_for_a_connection(one: World) -> None:
     client, server = await waiting(one, post(wait_ms=60_000)), one.servers[0]
     entries = one.entries()
     entries[0]["state"] = "terminating"
-    one.discovery.tell(entries)
-    await one.follows()
+    one.discovery.publish(entries)
+    await one.wait_until_following()
     greet(server)
     await one.until(lambda: server.open > 0)
-    one.discovery.tell(entries)
-    await one.follows()
+    one.discovery.publish(entries)
+    await one.wait_until_following()
     # It comes back into service: held until then, and sent only then.
     assert not server.statements
-    one.discovery.tell(one.entries())
+    one.discovery.publish(one.entries())
     assert value(await client.until_ready()) == b"value of 7f3a"
     assert len(server.statements) == 1
 
 
-@scene(in_a_place, replicas=0, settings=SLOW)
+@scene(temporary_world, replicas=0, settings=SLOW)
 async def test_a_server_moves_while_a_request_waits_for_a_connection_to_its_old_address(one: World) -> None:
     async with Server(True) as moved:
         client = await waiting(one, post(wait_ms=60_000))
-        one.discovery.tell([one.entries()[0] | {"addr": f"127.0.0.1:{moved.port}"}])
+        one.discovery.publish([one.entries()[0] | {"addr": f"127.0.0.1:{moved.port}"}])
         assert value(await client.until_ready()) == b"value of 7f3a"
         greet(one.servers[0])
         await one.until(lambda: one.servers[0].open == 0)
         assert not one.servers[0].statements and len(moved.statements) == 1
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_settings_change_while_a_request_of_a_removed_class_is_open(one: World) -> None:
     client, other = await settled(one), await one.client()
     for server in one.servers:
@@ -98,7 +98,7 @@
     assert value(await other.ask(view(name="look"))) == b"value of 7f3a"
 
 
-@scene(in_a_place, replicas=0, settings=SLOW | {"Limits": LONG})
+@scene(temporary_world, replicas=0, settings=SLOW | {"Limits": LONG})
 async def test_dial_and_idle_times_of_a_new_configuration_count_at_once(one: World) -> None:
     client = await waiting(one, post(wait_ms=60_000))
     await reload(one, one.discovery.address)  # a quarter of a second
@@ -110,7 +110,7 @@
     await one.until(lambda: one.servers[0].open == 0)
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_server_closes_its_resting_connections_just_as_requests_come(one: World) -> None:
     """What finds its connection closed goes on another; what was written on one that closes may have run."""
     client, server = await settled(one), one.servers[0]
@@ -122,7 +122,7 @@
     assert value(await client.ask(post())) == b"value of 7f3a"
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_request_behind_one_that_is_open_is_not_sent_on_once_its_client_has_gone(one: World) -> None:
     client, server = await settled(one), one.servers[0]
     server.statements.clear()
@@ -142,7 +142,7 @@
         assert await one.process.wait() == 0
 
 
-@scene(in_a_place, replicas=1, running=False)
+@scene(temporary_world, replicas=1, running=False)
 async def test_discovery_is_down_at_the_start_and_at_sighup_and_what_it_says_at_its_return_counts(one: World) -> None:
     async with Discovery() as dead, Discovery() as later:
         dead._server.close()
@@ -151,7 +151,7 @@
         await one.start()
         try:
             client = await settled(one)
-            await one.logged("discovery: /v1/endpoints")
+            await one.wait_for_line("discovery: /v1/endpoints")
             await reload(one, later.address)
             assert value(await client.ask(view())) == b"value of 7f3a", "the list it had stands"
             later.entries, later.version = [entry | {"state": "terminating"} for entry in one.entries()[1:]], 7
@@ -167,7 +167,7 @@
             await one.stop()
 
 
-@scene(in_a_place, running=False)
+@scene(temporary_world, running=False)
 async def test_a_new_configuration_in_the_first_moment_of_the_process_kills_nobody(one: World) -> None:
     """A gateway that was just being started died of the SIGHUP that told the fleet of a new configuration.
 
@@ -177,7 +177,7 @@
     await one.launch_as_deployed()
     try:
         one.signal(signal.SIGHUP)
-        await one.serves()
+        await one.wait_until_ready()
         client = await one.client()
         client.writer.close()
     finally:
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -11,7 +11,7 @@
 
 from oatlink.protocols import pgwire as pg
 from tests.client_world import STARTUP, Peer, query
-from tests.platform_world import PATIENCE_S, Client, World, in_a_place, play, world
+from tests.platform_world import PATIENCE_S, Client, World, run_scenario, temporary_world, world
 from tests.scenes import scene
 from tests.test_platform_sockets import settled, sqlstate, value, view
 
@@ -67,7 +67,7 @@
             one.signal(signal.SIGTERM)
         assert any("stopping" in line for line in one.lines)
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("where", ["imports", "configuration"])
@@ -79,15 +79,15 @@
         await follow
 
     async def then(one: World) -> None:
-        await one.serves()
-        await one.logged("reload: discovery at")
+        await one.wait_until_ready()
+        await one.wait_for_line("reload: discovery at")
         await settled(one)
         one.signal(signal.SIGTERM)
 
-    play(scene())
+    run_scenario(scene())
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_sigterm_again_and_again_up_to_the_last_moment_changes_nothing(one: World) -> None:
     client = await settled(one)
     one.servers[0].mode = "held"
@@ -95,7 +95,7 @@
     seen = len(one.servers[0].statements)
     await one.until(lambda: len(one.servers[0].statements) > seen)
     one.signal(signal.SIGTERM)
-    await one.logged("stopping")
+    await one.wait_for_line("stopping")
 
     async def again() -> None:
         # Not by the process's own method, which would take its end from under its watcher.
@@ -113,18 +113,18 @@
     assert sum("stopping" in line for line in one.lines) == 1
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_sigterm_while_a_half_written_file_is_looked_at_again(one: World) -> None:
     client = await settled(one)
     one.path.write_text('{"name": "n0", "list')
     one.signal(signal.SIGHUP)
-    await one.logged("reload: ")
+    await one.wait_for_line("reload: ")
     one.signal(signal.SIGTERM)
     assert value(await client.ask(view())) == b"value of 7f3a"
     await ended(one, client)
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_client_that_reads_only_after_the_process_has_ended_finds_all_its_answers(one: World) -> None:
     await settled(one)
     peer, server = Peer(one.address, small=True), one.servers[0]
@@ -133,7 +133,7 @@
     peer.send(STARTUP + query(view("k0")))
     await one.until(lambda: len(server.statements) > seen)
     one.signal(signal.SIGTERM)
-    await one.logged("stopping")
+    await one.wait_for_line("stopping")
     peer.send(query(view("k1")), query(view("k2")))
     server.release.set()
     await ended(one)
@@ -143,7 +143,7 @@
     peer.sock.close()
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_an_id_that_is_asked_again_elsewhere_is_answered_by_its_own_servers_answer(one: World) -> None:
     """The first client has left; both of the server's answers come together."""
     await settled(one)
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -16,7 +16,7 @@
 from oatlink.platform.discovery import Discovery as Calls
 from oatlink.platform.discovery import News
 from oatlink.protocols import pgwire as pg
-from tests.platform_world import PATIENCE_S, ROOT, Client, Discovery, World, in_a_place, play, world
+from tests.platform_world import PATIENCE_S, ROOT, Client, Discovery, World, run_scenario, temporary_world, world
 from tests.scenes import scene
 
 COUNT = iter(range(1, 1 << 30))
@@ -54,7 +54,7 @@
     return client
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_requests_are_served_and_only_their_wait_is_rewritten(one: World) -> None:
     client = await one.connect()
     ask = view("abc", wait_ms=1_800)
@@ -97,11 +97,11 @@
             await settled(one)
             await asyncio.to_thread(use, one.address)
 
-    play(scene())
+    run_scenario(scene())
 
 
 @pytest.mark.parametrize("mode", ["noise", "huge", "two rows", "no columns", "negative", "break", "error"])
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_a_spoilt_answer_is_a_failed_attempt_and_nothing_of_it_is_passed_on(one: World, mode: str) -> None:
     client = await settled(one)
     # The attempt may have run; a read goes again, a write within its window at its group's primary.
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("mode", ["behind", "twice"])
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_a_good_answer_with_more_behind_it_is_good_and_its_connection_is_dropped(one: World, mode: str) -> None:
     client = await settled(one)
     for server in one.servers:
@@ -125,7 +125,7 @@
     await one.until(lambda: sum(server.connections for server in one.servers) >= 10)
 
 
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_misses_and_refusals_of_servers_are_the_routers_and_never_relayed(one: World) -> None:
     client = await settled(one)
     one.servers[0].primary, one.servers[1].primary = False, True
@@ -142,7 +142,7 @@
     assert fields["C"] == "53300" and fields["M"] == "refused, try again" and int(fields["D"]) > 0
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_hung_server_costs_the_request_its_time_and_its_connection_is_closed(one: World) -> None:
     client = await settled(one)
     one.servers[0].mode = ["hang"]
@@ -151,7 +151,7 @@
     assert value(await client.ask(post())) == b"value of 7f3a"
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_server_that_accepts_and_never_greets_could_not_connect(one: World) -> None:
     one.servers[0].greets = False
     client = await one.client()
@@ -161,7 +161,7 @@
     assert value(await client.ask(post())) == b"value of 7f3a"
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_queries_of_a_connection_are_answered_in_order_and_a_close_ends_them(one: World) -> None:
     client = await settled(one)
     client.writer.write(b"".join(pg.make_query(view(f"k{number}")).encode() for number in range(300)))
@@ -232,10 +232,10 @@
                 assert sqlstate(await client.ask(text)) in ("42601", "22023")
             assert value(await client.ask(view())) == b"value of 7f3a", "a mistake does not end a connection"
 
-    play(scene())
+    run_scenario(scene())
 
 
-@scene(in_a_place, sockets=64)
+@scene(temporary_world, sockets=64)
 async def test_silent_clients_do_not_keep_others_out(one: World) -> None:
     await settled(one)
     silent = [await one.connect() for _ in range(100)]
@@ -251,17 +251,17 @@
     return [entry for entry in one.entries() if entry["id"] != f"s-{number}"]
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_the_list_is_followed_through_drains_failures_and_new_addresses(one: World) -> None:
     client = await settled(one)
     entries = one.entries()
     entries[1]["state"] = "terminating"
-    one.discovery.tell(entries)
-    await one.follows()
+    one.discovery.publish(entries)
+    await one.wait_until_following()
     one.servers[1].statements.clear()
     for mode in ("noise", "503", "good"):
         one.discovery.mode = mode
-        one.discovery.tell(entries)
+        one.discovery.publish(entries)
         failed = len(one.lines)
         await one.until(lambda failed=failed, mode=mode: mode == "good" or len(one.lines) > failed)  # type: ignore[misc]
         for _ in range(10):
@@ -269,8 +269,8 @@
     assert not one.servers[1].statements, "nothing is sent to what drains"
     # The two that are left go; the one that drained comes back, as primary, under a new address.
     one.servers[1].primary = True
-    one.discovery.tell([one.entries()[1] | {"id": "s-new"}])
-    await one.follows()
+    one.discovery.publish([one.entries()[1] | {"id": "s-new"}])
+    await one.wait_until_following()
     assert value(await client.ask(post())) == b"value of 7f3a"
     assert len(one.servers[1].statements) == 1
 
@@ -289,17 +289,17 @@
             calls.close()
             assert news is not None and news.version == 1
 
-    play(scene())
+    run_scenario(scene())
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_sighup_follows_the_new_discovery_and_a_half_written_file_changes_nothing(one: World) -> None:
     client = await settled(one)
     async with type(one.discovery)() as other:
         other.entries, other.version = one.entries(), 9
         one.path.write_text('{"name": "n0", "list')
         one.signal(signal.SIGHUP)
-        await one.logged("reload: ")
+        await one.wait_for_line("reload: ")
         assert value(await client.ask(view())) == b"value of 7f3a"
         one.write(other.address)
         await one.until(lambda: bool(other.calls))
@@ -309,7 +309,7 @@
         assert len(one.discovery.calls) == seen, "the old one is let go"
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_sigterm_answers_what_was_taken_and_ends(one: World) -> None:
     client, idle = await settled(one), await one.client()
     for server in one.servers:
@@ -317,7 +317,7 @@
     client.writer.write(pg.make_query(view()).encode())
     await one.until(lambda: sum(server.open for server in one.servers) > 0)
     one.signal(signal.SIGTERM)
-    await one.logged("stopping")
+    await one.wait_for_line("stopping")
     late = await one.client()  # for a while connections still come
     for server in one.servers:
         server.mode = "good"
@@ -329,7 +329,7 @@
         assert await one.process.wait() == 0
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_after_a_kill_it_starts_from_nothing_but_the_file(one: World) -> None:
     await settled(one)
     one.write(one.discovery.address)
@@ -366,7 +366,7 @@
         with pytest.raises(StreamClosedError):
             await reading
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_a_wrong_configuration_ends_with_one_line(tmp_path: Path) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,7 @@
 from oatlink.platform.gateway import Gateway
 from oatlink.rules import Router
 from tests.client_world import STARTUP, Peer, query
-from tests.platform_world import PATIENCE_S, Discovery, World, in_a_place, play, world
+from tests.platform_world import PATIENCE_S, Discovery, World, run_scenario, temporary_world, world
 from tests.scenes import scene
 from tests.test_platform_sockets import post, settled, value, view
 from tests.test_terms_discovery import read
@@ -32,7 +32,7 @@
     await one.until(lambda: state.read_text().rpartition(")")[2].split()[0] == "T")
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 @pytest.mark.parametrize("behind", [0, 3], ids=["seen", "behind unread bytes"])
 @pytest.mark.parametrize("stands", [True, False], ids=["at a standstill", "at work"])
 async def test_no_further_attempt_for_a_client_that_has_closed(one: World, behind: int, stands: bool) -> None:
@@ -55,7 +55,7 @@
     assert len(server.statements) == 2, "the first attempt, and the other client's"
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_no_attempt_for_a_held_request_whose_client_closed_at_a_standstill(one: World) -> None:
     """The pause behind a refusal ends at the standstill: its timer comes before what the sockets have."""
     await settled(one)
@@ -73,7 +73,7 @@
     assert len(server.statements) == sent + 1, "the other client's"
 
 
-@scene(in_a_place, replicas=0)
+@scene(temporary_world, replicas=0)
 async def test_a_further_attempt_is_told_what_is_left_at_its_write(one: World) -> None:
     client, server = await settled(one), one.servers[0]
     server.statements.clear()
@@ -89,7 +89,7 @@
     assert value(await client.until_ready()) == GOOD
 
 
-@scene(in_a_place, sockets=64, running=False)
+@scene(temporary_world, sockets=64, running=False)
 async def test_clients_that_fill_the_descriptors_keep_it_neither_from_discovery_nor_from_servers(one: World) -> None:
     """The process is held to its descriptors, all of clients' taken while discovery is down."""
     one.discovery._server.close()
@@ -102,13 +102,13 @@
             idle.append(await one.connect())
             idle[-1].writer.write(STARTUP + query(view()))
             await idle[-1].message()  # those that have asked are not closed for others
-        await one.logged("clients turned away")
+        await one.wait_for_line("clients turned away")
         entries = one.entries()
         entries[1]["state"] = "terminating"
-        one.discovery.tell(entries)
+        one.discovery.publish(entries)
         host, _, port = one.discovery.address.rpartition(":")
         one.discovery._server = await asyncio.start_server(one.discovery._serve, host, int(port))
-        await one.follows()
+        await one.wait_until_following()
         one.servers[1].statements.clear()
         for server in one.servers[2:]:
             server.hang_up()
@@ -123,14 +123,14 @@
         await one.stop()
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 @pytest.mark.parametrize("mode", ["hang", "503", "noise"])
 async def test_a_reload_that_moves_discovery_and_a_drain_right_behind_it(one: World, mode: str) -> None:
     """The old one fails, the new one answers its second call only."""
     client = await settled(one)
     one.discovery.mode = "503"
-    one.discovery.tell(one.entries())
-    await one.logged("status 503")
+    one.discovery.publish(one.entries())
+    await one.wait_for_line("status 503")
     async with Discovery() as later:
         later.entries, later.version, later.mode = one.entries(), 7, mode
         one.write(later.address)
@@ -138,7 +138,7 @@
         await one.until(lambda: bool(later.calls))
         later.mode = "good"
         later.entries[1]["state"] = "terminating"
-        later.tell(later.entries)
+        later.publish(later.entries)
         await one.until(lambda: any("since=8&" in call for call in later.calls))
         one.servers[1].statements.clear()
         for _ in range(10):
@@ -159,10 +159,10 @@
             assert book.ask_at_us - book.now <= 1.5 * config.NOTIFIED_US / 32
             gateway._discovery.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_a_kill_right_after_an_accept_and_a_start_on_the_same_port(one: World) -> None:
     """SIGKILL with connections that are taken and not yet read; what began before is no hindrance to the next."""
     await settled(one)
@@ -176,7 +176,7 @@
     assert value(await (await one.client()).ask(view())) == GOOD
 
 
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_sigterm_right_after_an_accept_loses_nothing(one: World) -> None:
     await settled(one)
     await stopped(one)  # all that comes now is accepted in the turn in which the signal is seen
@@ -192,7 +192,7 @@
         assert await one.process.wait() == 0
 
 
-@scene(in_a_place, replicas=1)
+@scene(temporary_world, replicas=1)
 async def test_requests_in_pieces_are_the_same_requests(one: World) -> None:
     """Byte by byte, or cut at any places: four messages, some of them in the same piece."""
     await settled(one)
@@ -207,12 +207,12 @@
         peer.sock.close()
 
 
-@scene(in_a_place)
+@scene(temporary_world)
 async def test_after_a_standstill_with_discovery_away_it_sends_on_at_once(one: World) -> None:
     client = await settled(one)
     one.discovery.mode = "503"
-    one.discovery.tell(one.entries())
-    await one.logged("status 503")
+    one.discovery.publish(one.entries())
+    await one.wait_for_line("status 503")
     await stopped(one)
     await asyncio.sleep(0.5)  # the standstill itself
     client.writer.write(query(view()))
@@ -275,4 +275,4 @@
                 for home in homes:
                     await home.stop()
 
-    play(scene())
+    run_scenario(scene())
