--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""Small servers and a discovery of ours on loopback, and the gateway as its own process: for tests only."""
+"""Test doubles of database servers and discovery on loopback, and the gateway as a process of its own."""
 
 import asyncio
 import contextlib
@@ -30,11 +30,16 @@
 
 
 class Server:
-    """One database server. `mode` says how it treats a statement, `greets` a new connection."""
+    """A database server.
+
+    `mode` is how it answers a statement: a key of `answers` below, or "held", "hang", "hang up", "huge" or "break".
+    A list gives one mode for each statement, then "good". While `greets` is False, a new connection gets no answer to
+    its startup until `release` is set.
+    """
 
     def __init__(self, primary: bool) -> None:
         self.primary = primary
-        self.mode: str | list[str] = "good"  # a list: one for each statement, then good
+        self.mode: str | list[str] = "good"
         self.greets = True
         self.statements: list[bytes] = []
         self.checks = self.connections = self.open = 0
@@ -52,12 +57,12 @@
         self._server.close()
 
     def hang_up(self) -> None:
-        """End all connections; new ones are greeted once it is released."""
+        """Close all connections; new ones get no answer to their startup until `release` is set."""
         self.greets = False
-        for one in self.writers:
-            one.close()
+        for writer in self.writers:
+            writer.close()
 
-    def _mode(self) -> str:
+    def _next_mode(self) -> str:
         if isinstance(self.mode, list):
             return self.mode.pop(0) if self.mode else "good"
         return self.mode
@@ -83,24 +88,24 @@
         writer.close()
 
     async def _hang(self, reader: asyncio.StreamReader) -> None:
-        """Until it is released, or the other side has closed."""
-        waits = [asyncio.ensure_future(self.release.wait()), asyncio.ensure_future(reader.read(1))]
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for one in waits:
-            one.cancel()
-        await asyncio.wait(waits)  # else the next read of this connection meets this one
+        """Wait until `release` is set or the gateway has closed the connection."""
+        tasks = [asyncio.ensure_future(self.release.wait()), asyncio.ensure_future(reader.read(1))]
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
+        await asyncio.wait(tasks)  # otherwise the next read of this connection would overlap with this one
 
     async def _answer(self, text: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        said = pg.make_status("recovery", "off" if self.primary else "on").encode()
+        role_status = pg.make_status("recovery", "off" if self.primary else "on").encode()
         if text == b"SHOW health":
             self.checks += 1
             report = b"x0=%.3f,x1=%d" % (time.time(), self.primary)
             writer.write(row(report) + READY)
             return True
         self.statements.append(text)
-        mode = self._mode()
-        good = row(b"value of " + text.split(b"'")[1]) + said + pg.make_status("lsn_ms", "17").encode() + READY
-        if mode == "held":  # answered once it is released
+        mode = self._next_mode()
+        good = row(b"value of " + text.split(b"'")[1]) + role_status + pg.make_status("lsn_ms", "17").encode() + READY
+        if mode == "held":  # answered once `release` is set
             await self.release.wait()
             mode = "good"
         if mode in ("hang", "hang up"):
@@ -121,7 +126,7 @@
                 "two rows": COLUMNS + pg.make_row((b"a",)).encode() * 2 + DONE + READY,
                 "no columns": good[len(COLUMNS) :],
                 "negative": COLUMNS + b"D\xff\xff\xff\x00" + DONE + READY,
-                "miss": pg.make_error("25006", "read only").encode() + said + READY,
+                "miss": pg.make_error("25006", "read only").encode() + role_status + READY,
                 "full": pg.make_error("53300", "full").encode() + READY,
                 "error": pg.make_error("XX000", "internal").encode() + READY,
             }
@@ -130,7 +135,11 @@
 
 
 class Discovery:
-    """The list, its watch, and what may go wrong with it."""
+    """Discovery: the list and its watch.
+
+    `mode` is how it answers a call: "good", "hang" (far too late), "crowded" (after 1.2 s, as if behind a queue), "503"
+    or "noise".
+    """
 
     def __init__(self) -> None:
         self.mode = "good"
@@ -149,7 +158,7 @@
         self.changed.set()
 
     def publish(self, entries: list[dict[str, Any]]) -> None:
-        """A new list."""
+        """Publish a new list, which answers the waiting watch calls."""
         self.entries, self.version = entries, self.version + 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -160,7 +169,7 @@
             path = head.split()[1].decode()
             self.calls.append(path)
             query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
-            if self.mode in ("hang", "crowded"):  # crowded: a second goes by in its queue
+            if self.mode in ("hang", "crowded"):
                 await asyncio.sleep(PATIENCE_S if self.mode == "hang" else 1.2)
             if query and int(query["since"]) >= self.version:
                 with contextlib.suppress(TimeoutError):
@@ -177,32 +186,32 @@
 
 
 class Client:
-    """A client that speaks bytes."""
+    """A client that sends and receives protocol messages as bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     async def message(self) -> pg.Message:
-        """The next message. Raises `asyncio.IncompleteReadError` at the end, `TimeoutError` where nothing comes."""
+        """Read a message. Raises `asyncio.IncompleteReadError` at the end, `TimeoutError` if nothing comes."""
         async with asyncio.timeout(PATIENCE_S):
             kind = await self.reader.readexactly(1)
             (size,) = struct.unpack("!i", await self.reader.readexactly(4))
             return pg.Message(kind, await self.reader.readexactly(size - 4))
 
     async def until_ready(self) -> list[pg.Message]:
-        """All messages up to ReadyForQuery, without it."""
-        found: list[pg.Message] = []
-        while (one := await self.message()).kind != b"Z":
-            found.append(one)
-        return found
+        """Read all messages up to ReadyForQuery, and return them without it."""
+        messages: list[pg.Message] = []
+        while (message := await self.message()).kind != b"Z":
+            messages.append(message)
+        return messages
 
     async def ask(self, text: bytes) -> list[pg.Message]:
-        """Send a query and take its answer."""
+        """Send a query and return its answer."""
         self.writer.write(pg.make_query(text).encode())
         return await self.until_ready()
 
     async def closed(self) -> bool:
-        """Wait for the gateway to close; what still comes is passed over."""
+        """Wait until the gateway has closed the connection, and discard what still comes."""
         with contextlib.suppress(ConnectionError):
             async with asyncio.timeout(PATIENCE_S):
                 await self.reader.read()
@@ -210,33 +219,33 @@
 
 
 class World:
-    """A gateway's process, its servers (the first is primary), its discovery and its clients."""
+    """A gateway process with its servers (the first is the primary), its discovery and its clients."""
 
-    def __init__(self, place: Path, servers: list[Server], discovery: Discovery) -> None:
+    def __init__(self, folder: Path, servers: list[Server], discovery: Discovery) -> None:
         self.servers, self.discovery = servers, discovery
-        self.path = place / "config.json"
+        self.path = folder / "config.json"
         self.lines: list[str] = []
         self.address = ("127.0.0.1", 0)
 
     def entries(self) -> list[dict[str, Any]]:
-        """The list of all servers."""
+        """Discovery's entries for all servers."""
         return [
             {
                 "id": f"s-{number}",
-                "addr": f"127.0.0.1:{one.port}",
+                "addr": f"127.0.0.1:{server.port}",
                 "zone": "a",
                 "kind": "k",
                 "cell": 1,
                 "state": "in_service",
                 "weight": 1.0,
                 "started_ms": 0,
-                "recovery": "off" if one.primary else "on",
+                "recovery": "off" if server.primary else "on",
             }
-            for number, one in enumerate(self.servers)
+            for number, server in enumerate(self.servers)
         ]
 
     def write(self, discovery: str, sockets: int = 256, settings: dict[str, Any] = OPTIONS) -> None:
-        """The configuration file, replaced whole."""
+        """Replace the configuration file atomically."""
         host, port = self.address
         known = {"version": 0, "full": True, "servers": self.entries()}
         text = {
@@ -248,9 +257,9 @@
             "known": known,
             "settings": settings,
         }
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(json.dumps(text))
-        fresh.replace(self.path)
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps(text))
+        new_path.replace(self.path)
 
     async def start(self) -> None:
         """Start the gateway and wait until it serves."""
@@ -258,7 +267,7 @@
         await self.wait_until_ready()
 
     async def launch(self, **environment: str) -> None:
-        """Start the gateway, and wait for nothing."""
+        """Start the gateway without waiting for it."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -270,7 +279,7 @@
         self._reading = asyncio.ensure_future(self._read())
 
     async def launch_as_deployed(self) -> None:
-        """Start the gateway by the deploy file's command, under a shell, and wait until that has become Python."""
+        """Start the gateway by the deploy file's command in a shell, and wait until Python has replaced the shell."""
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         command = deploy["run"].replace(".venv/bin/python", shlex.quote(sys.executable))
         self.process = await asyncio.create_subprocess_exec(
@@ -282,11 +291,11 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self._reading = asyncio.ensure_future(self._read())
-        words = Path(f"/proc/{self.process.pid}/cmdline")
-        await self.until(lambda: words.read_bytes().startswith(os.fsencode(sys.executable) + b"\0"))
+        command_line = Path(f"/proc/{self.process.pid}/cmdline")
+        await self.until(lambda: command_line.read_bytes().startswith(os.fsencode(sys.executable) + b"\0"))
 
     async def wait_until_ready(self) -> None:
-        """Wait until it serves."""
+        """Wait until the gateway serves."""
         line = await self.wait_for_line("ready: ")
         self.address = ("127.0.0.1", int(line.rpartition(":")[2]))
 
@@ -295,39 +304,39 @@
         async for line in self.process.stderr:
             self.lines.append(line.decode().rstrip())
 
-    async def until(self, what: Callable[[], bool]) -> None:
-        """Wait for something that comes to be true. Raises `TimeoutError`."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds. Raises `TimeoutError`."""
         async with asyncio.timeout(PATIENCE_S):
-            while not what():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     async def wait_until_following(self) -> None:
-        """Wait until the gateway has taken the newest list: it asks for what comes after."""
-        asks = f"since={self.discovery.version}&"
-        await self.until(lambda: any(asks in call for call in self.discovery.calls))
+        """Wait until the gateway has applied the newest list, which shows in its call for what comes after."""
+        query = f"since={self.discovery.version}&"
+        await self.until(lambda: any(query in call for call in self.discovery.calls))
 
     async def wait_for_line(self, text: str) -> str:
-        """Wait for a line of the log."""
+        """Wait for a log line that contains a text, and return it."""
         await self.until(lambda: any(text in line for line in self.lines) or self.process.returncode is not None)
         return next(line for line in self.lines if text in line)
 
     async def connect(self) -> Client:
-        """A client that has not started up."""
+        """Connect a client, without its startup."""
         return Client(*await asyncio.open_connection(*self.address))
 
     async def client(self) -> Client:
-        """A client that has."""
-        one = await self.connect()
-        one.writer.write(pg.make_startup({"user": "backend", "database": "store"}).encode())
-        await one.until_ready()
-        return one
+        """Connect a client and complete its startup."""
+        client = await self.connect()
+        client.writer.write(pg.make_startup({"user": "backend", "database": "store"}).encode())
+        await client.until_ready()
+        return client
 
     def signal(self, number: signal.Signals) -> None:
         """Send the gateway a signal."""
         self.process.send_signal(number)
 
     async def stop(self) -> None:
-        """End the gateway, whatever it does."""
+        """Kill the gateway if it still runs."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -336,32 +345,32 @@
 
 @contextlib.asynccontextmanager
 async def world(
-    place: Path, replicas: int = 2, sockets: int = 256, running: bool = True, settings: dict[str, Any] = OPTIONS
+    folder: Path, replicas: int = 2, sockets: int = 256, running: bool = True, settings: dict[str, Any] = OPTIONS
 ) -> AsyncIterator[World]:
-    """A gateway before one primary and so many replicas."""
+    """Open a gateway with one primary and `replicas` replicas."""
     async with contextlib.AsyncExitStack() as stack:
         servers = [await stack.enter_async_context(Server(number == 0)) for number in range(replicas + 1)]
         discovery = await stack.enter_async_context(Discovery())
-        one = World(place, servers, discovery)
-        discovery.entries = one.entries()
-        one.write(discovery.address, sockets, settings)
+        opened = World(folder, servers, discovery)
+        discovery.entries = opened.entries()
+        opened.write(discovery.address, sockets, settings)
         if running:
-            await one.start()
+            await opened.start()
         try:
-            yield one
+            yield opened
         finally:
             if running:
-                await one.stop()
+                await opened.stop()
 
 
 @contextlib.asynccontextmanager
 async def temporary_world(**more: Any) -> AsyncIterator[World]:
-    """The same in a folder of its own."""
-    with tempfile.TemporaryDirectory() as place:
-        async with world(Path(place), **more) as one:
-            yield one
+    """Open a world in a temporary folder."""
+    with tempfile.TemporaryDirectory() as folder:
+        async with world(Path(folder), **more) as opened:
+            yield opened
 
 
-def run_scenario(scene: Coroutine[Any, Any, None]) -> None:
-    """Run one scene to its end."""
-    asyncio.run(asyncio.wait_for(scene, 4 * PATIENCE_S))
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine to its end in an event loop of its own."""
+    asyncio.run(asyncio.wait_for(scenario, 4 * PATIENCE_S))
--- a/tests/test_discovery_calls.py
+++ b/tests/test_discovery_calls.py
@@ -25,15 +25,15 @@
 )
 @scene(Script)
 async def test_a_list_without_a_length_ends_with_an_orderly_close_and_no_reset(
-    at: Script, text: Callable[[bytes], bytes], turns: int | None, version: int
+    script: Script, text: Callable[[bytes], bytes], turns: int | None, version: int
 ) -> None:
     """Reset, it may lack entries and yet read as whole. One with a length counts whatever ends its connection."""
-    call = await at.fetches()
+    call = await script.fetch()
     call.writer.write(text(page(7, a="in_service")))
     for _ in range(turns or 0):  # most likely it is read by then: one that is not has to come to the same
         await asyncio.sleep(0)
     await call.end() if turns is None else call.reset()
-    assert await at.hears() == ((version, set()) if version else None) and at.one.version == version
+    assert await script.next_news() == ((version, set()) if version else None) and script.client.version == version
 
 
 BODY = page(7, a="in_service", b="terminating")
@@ -75,28 +75,30 @@
 @pytest.mark.parametrize("pieces", [False, True], ids=["at once", "byte by byte"])
 @pytest.mark.parametrize("name", WHOLE_ANSWERS)
 @scene(Script)
-async def test_whole_answers_are_read(at: Script, name: str, pieces: bool) -> None:
-    call, text = await at.fetches(), WHOLE_ANSWERS[name]
+async def test_whole_answers_are_read(script: Script, name: str, pieces: bool) -> None:
+    call, text = await script.fetch(), WHOLE_ANSWERS[name]
     call.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for number in range(len(text)) if pieces else ():
         call.writer.write(text[number : number + 1])
         await asyncio.sleep(0)
-    assert await at.hears(call, b"" if pieces else text) == (7, {"b"}), at.lines
+    assert await script.next_news(call, b"" if pieces else text) == (7, {"b"}), script.lines
 
 
 @pytest.mark.parametrize("name", BROKEN_ANSWERS)
 @scene(Script)
-async def test_broken_answers_are_failed_calls_and_the_watch_ends(at: Script, name: str) -> None:
-    assert await at.hears(await at.follows(), BROKEN_ANSWERS[name]) is None
-    assert await at.hears(await at.follows(), WHOLE_ANSWERS["length"]) == (7, {"b"}), "asked again, it goes on"
+async def test_broken_answers_are_failed_calls_and_the_watch_ends(script: Script, name: str) -> None:
+    assert await script.next_news(await script.follow(), BROKEN_ANSWERS[name]) is None
+    assert await script.next_news(await script.follow(), WHOLE_ANSWERS["length"]) == (7, {"b"}), (
+        "asked again, it goes on"
+    )
 
 
 @scene(Script)
-async def test_a_refused_connection_is_a_failed_call(at: Script) -> None:
+async def test_a_refused_connection_is_a_failed_call(script: Script) -> None:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))  # and does not listen
-        at.one.move(sock.getsockname())
-        assert await at.hears() is None and "refused" in at.lines[-1]
+        script.client.move(sock.getsockname())
+        assert await script.next_news() is None and "refused" in script.lines[-1]
 
 
 # ---- Bounds ----
@@ -115,41 +117,41 @@
 
 @pytest.mark.parametrize(("head", "more"), ENDLESS.values(), ids=ENDLESS)
 @scene(Script)
-async def test_an_answer_without_end_is_bounded(at: Script, head: bytes, more: bytes) -> None:
-    call, sent = await at.fetches(), 0
+async def test_an_answer_without_end_is_bounded(script: Script, head: bytes, more: bytes) -> None:
+    call, sent = await script.fetch(), 0
     call.writer.write(head)
     with contextlib.suppress(ConnectionError):
-        while at.news.empty():
+        while script.news.empty():
             call.writer.write(more)
             sent += len(more)
             await call.writer.drain()
             await asyncio.sleep(0)
             assert sent < 5 * disco.MOST_BYTES
-    assert await at.hears() is None
+    assert await script.next_news() is None
 
 
 @scene(Script, WAIT_S, WAIT_S)
-async def test_a_silent_discovery_is_a_failed_call_after_its_time(at: Script) -> None:
-    assert await at.hears(await at.follows(), whole(7)) == (7, set())
+async def test_a_silent_discovery_is_a_failed_call_after_its_time(script: Script) -> None:
+    assert await script.next_news(await script.follow(), whole(7)) == (7, set())
     began = asyncio.get_running_loop().time()
-    second = await at.call()
+    second = await script.call()
     assert second.path.endswith("?since=7&timeout_ms=50")
-    assert await at.hears() is None
+    assert await script.next_news() is None
     assert asyncio.get_running_loop().time() - began >= 1.5 * WAIT_S, "its wait and an answer's time"
-    await second.let_go()
+    await second.wait_closed()
 
 
 @scene(Script, WAIT_S, WAIT_S)
-async def test_a_trickle_does_not_make_a_call_longer(at: Script) -> None:
+async def test_a_trickle_does_not_make_a_call_longer(script: Script) -> None:
     """Were the time counted from the last byte, it would never end."""
-    call = await at.fetches()
+    call = await script.fetch()
     call.writer.write(OK + b"\r\n")
     async with asyncio.timeout(PATIENCE_S):
         with contextlib.suppress(ConnectionError):
-            while at.news.empty():
+            while script.news.empty():
                 call.writer.write(b" ")
                 await asyncio.sleep(WAIT_S / 10)
-    assert await at.hears() is None
+    assert await script.next_news() is None
 
 
 def test_a_connection_that_hangs_is_known_before_a_watchs_wait_is_over() -> None:
@@ -167,15 +169,15 @@
 
 
 @scene(Script, 1.5)
-async def test_a_new_wait_is_used_from_the_next_call_on(at: Script) -> None:
-    first = await at.follows()
+async def test_a_new_wait_is_used_from_the_next_call_on(script: Script) -> None:
+    first = await script.follow()
     assert first.path == f"{WHOLE}?since=0&timeout_ms=1"
     await first.end(whole(7))
-    second = await at.call()
+    second = await script.call()
     assert second.path == f"{WHOLE}?since=7&timeout_ms=1500"
-    at.one.wait(2.5)
+    script.client.wait(2.5)
     await second.end(changes(8))
-    assert (await at.call()).path == f"{WHOLE}?since=8&timeout_ms=2500"
+    assert (await script.call()).path == f"{WHOLE}?since=8&timeout_ms=2500"
 
 
 # ---- A call and a move ----
@@ -183,42 +185,42 @@
 
 @pytest.mark.parametrize("length", [True, False])
 @scene(Script)
-async def test_what_an_old_discovery_writes_after_a_move_is_not_told(at: Script, length: bool) -> None:
+async def test_what_an_old_discovery_writes_after_a_move_is_not_told(script: Script, length: bool) -> None:
     late = whole(99) if length else unbounded(page(99))
     async with Script() as other:
-        calls_there = await at.both()
+        calls_there = await script.follow_and_fetch()
         for call in calls_there:
             call.writer.write(OK)
-        at.one.move(other.address)
+        script.client.move(other.address)
         for call in calls_there:
             with contextlib.suppress(ConnectionError):
                 await call.end(late.partition(b"\n")[2])
-            await call.let_go()
-        assert await at.hears(await other.call(), whole(7)) == (7, set())
-        assert at.news.empty() and at.quiet
+            await call.wait_closed()
+        assert await script.next_news(await other.call(), whole(7)) == (7, set())
+        assert script.news.empty() and script.has_no_calls
 
 
 @scene(Script)
-async def test_an_answer_that_came_in_the_moment_of_a_close_is_not_told(at: Script) -> None:
-    call = await at.follows()
+async def test_an_answer_that_came_in_the_moment_of_a_close_is_not_told(script: Script) -> None:
+    call = await script.follow()
     await call.end(whole(7))
-    at.one.close()
-    await call.let_go()
-    assert at.news.empty() and not at.lines and at.quiet
+    script.client.close()
+    await call.wait_closed()
+    assert script.news.empty() and not script.lines and script.has_no_calls
 
 
 @scene(Script)
-async def test_who_hears_news_may_close(at: Script) -> None:
+async def test_who_hears_news_may_close(script: Script) -> None:
     done = asyncio.Event()
 
     def told(news: News | None) -> None:
         one.close()
         done.set()
 
-    one = Discovery(at.address, WAIT_S, told, lambda line: None)
+    one = Discovery(script.address, WAIT_S, told, lambda line: None)
     one.fetch()
-    call = await at.call()
+    call = await script.call()
     await call.end(whole(7))
     await asyncio.wait_for(done.wait(), PATIENCE_S)
-    await call.let_go()
-    assert at.quiet
+    await call.wait_closed()
+    assert script.has_no_calls
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -21,92 +21,92 @@
 
 
 @scene(Script)
-async def test_a_whole_list_overtaken_by_a_change_undoes_nothing(at: Script) -> None:
-    watch, fetch = await at.both(6)
-    assert await at.hears(watch, changes(8, a="terminating")) == (8, {"a"})
-    watch = await at.call()
+async def test_a_whole_list_overtaken_by_a_change_undoes_nothing(script: Script) -> None:
+    watch, fetch = await script.follow_and_fetch(6)
+    assert await script.next_news(watch, changes(8, a="terminating")) == (8, {"a"})
+    watch = await script.call()
     await fetch.end(whole(7, a="in_service"))  # written before the change, read after it
-    await at.noted("version 7 was overtaken by 8")
-    assert at.news.empty() and at.one.version == 8
-    assert await at.hears(watch, changes(9, b="terminating")) == (9, {"b"}), "the watch goes on"
+    await script.wait_for_line("version 7 was overtaken by 8")
+    assert script.news.empty() and script.client.version == 8
+    assert await script.next_news(watch, changes(9, b="terminating")) == (9, {"b"}), "the watch goes on"
 
 
 @scene(Script)
-async def test_a_whole_list_before_a_change_is_taken_and_then_the_change(at: Script) -> None:
-    watch, fetch = await at.both(6)
-    assert await at.hears(fetch, whole(7, a="in_service")) == (7, set())
-    assert await at.hears(watch, changes(8, a="terminating")) == (8, {"a"})
-    assert (await at.call()).path.startswith(f"{WHOLE}?since=8&")
+async def test_a_whole_list_before_a_change_is_taken_and_then_the_change(script: Script) -> None:
+    watch, fetch = await script.follow_and_fetch(6)
+    assert await script.next_news(fetch, whole(7, a="in_service")) == (7, set())
+    assert await script.next_news(watch, changes(8, a="terminating")) == (8, {"a"})
+    assert (await script.call()).path.startswith(f"{WHOLE}?since=8&")
 
 
 @scene(Script)
-async def test_changes_overtaken_by_a_whole_list_are_no_failure(at: Script) -> None:
-    watch, fetch = await at.both(6)
-    assert await at.hears(fetch, whole(9, a="terminating")) == (9, {"a"})
+async def test_changes_overtaken_by_a_whole_list_are_no_failure(script: Script) -> None:
+    watch, fetch = await script.follow_and_fetch(6)
+    assert await script.next_news(fetch, whole(9, a="terminating")) == (9, {"a"})
     await watch.end(changes(7, a="in_service"))
-    watch = await at.call()
+    watch = await script.call()
     assert watch.path.startswith(f"{WHOLE}?since=9&"), "it goes on from the newest"
-    assert at.news.empty()
-    assert await at.hears(watch, changes(10, b="terminating")) == (10, {"b"})
+    assert script.news.empty()
+    assert await script.next_news(watch, changes(10, b="terminating")) == (10, {"b"})
 
 
 @scene(Script)
-async def test_a_watch_that_failed_during_a_fetch_is_opened_again_by_its_news(at: Script) -> None:
+async def test_a_watch_that_failed_during_a_fetch_is_opened_again_by_its_news(script: Script) -> None:
     """News is a sign of life: after it nobody asks the calls to follow again."""
-    watch, fetch = await at.both()
+    watch, fetch = await script.follow_and_fetch()
     watch.reset()
-    assert await at.hears() is None
-    assert await at.hears(fetch, whole(7, a="in_service")) == (7, set())
-    assert (await at.call()).path == f"{WHOLE}?since=7&timeout_ms=1"
+    assert await script.next_news() is None
+    assert await script.next_news(fetch, whole(7, a="in_service")) == (7, set())
+    assert (await script.call()).path == f"{WHOLE}?since=7&timeout_ms=1"
 
 
 # ---- Discovery goes back ----
 
 
 @scene(Script)
-async def test_a_discovery_that_went_back_is_followed_from_its_whole_list(at: Script) -> None:
-    await (await at.follows(50)).end(changes(3))
-    fetch = await at.call()
-    assert fetch.path == WHOLE and at.news.empty()
-    assert await at.hears(fetch, whole(3, a="terminating", b="in_service")) == (3, {"a"})
-    assert at.last is not None and at.last.kind is RosterKind.WHOLE
-    watch = await at.call()
+async def test_a_discovery_that_went_back_is_followed_from_its_whole_list(script: Script) -> None:
+    await (await script.follow(50)).end(changes(3))
+    fetch = await script.call()
+    assert fetch.path == WHOLE and script.news.empty()
+    assert await script.next_news(fetch, whole(3, a="terminating", b="in_service")) == (3, {"a"})
+    assert script.last is not None and script.last.kind is RosterKind.WHOLE
+    watch = await script.call()
     assert watch.path.startswith(f"{WHOLE}?since=3&")
-    assert await at.hears(watch, changes(4, b="terminating")) == (4, {"b"})
+    assert await script.next_news(watch, changes(4, b="terminating")) == (4, {"b"})
 
 
 @scene(Script)
-async def test_a_watch_that_waits_above_a_restored_version_is_opened_anew(at: Script) -> None:
-    watch, fetch = await at.both(50)
-    assert await at.hears(fetch, whole(3, a="terminating")) == (3, {"a"})
-    assert (await at.call()).path == f"{WHOLE}?since=3&timeout_ms=1"
-    await watch.let_go()
-    assert at.news.empty()
+async def test_a_watch_that_waits_above_a_restored_version_is_opened_anew(script: Script) -> None:
+    watch, fetch = await script.follow_and_fetch(50)
+    assert await script.next_news(fetch, whole(3, a="terminating")) == (3, {"a"})
+    assert (await script.call()).path == f"{WHOLE}?since=3&timeout_ms=1"
+    await watch.wait_closed()
+    assert script.news.empty()
 
 
 @scene(Script)
-async def test_an_answer_from_before_discovery_went_back_undoes_nothing(at: Script) -> None:
-    watch, fetch = await at.both(50)
-    assert await at.hears(watch, whole(3, a="terminating")) == (3, {"a"})
+async def test_an_answer_from_before_discovery_went_back_undoes_nothing(script: Script) -> None:
+    watch, fetch = await script.follow_and_fetch(50)
+    assert await script.next_news(watch, whole(3, a="terminating")) == (3, {"a"})
     await fetch.end(whole(51, a="in_service"))
-    await at.noted("version 51 was overtaken by 3")
-    assert at.news.empty() and at.one.version == 3
+    await script.wait_for_line("version 51 was overtaken by 3")
+    assert script.news.empty() and script.client.version == 3
 
 
 @scene(Script)
-async def test_a_discovery_that_goes_back_again_and_again_is_not_asked_without_a_pause(at: Script) -> None:
-    await (await at.follows(50)).end(changes(3))
-    assert await at.hears(await at.call(), whole(50)) == (50, set())
-    assert await at.hears(await at.call(), changes(3)) is None
-    assert at.quiet
+async def test_a_discovery_that_goes_back_again_and_again_is_not_asked_without_a_pause(script: Script) -> None:
+    await (await script.follow(50)).end(changes(3))
+    assert await script.next_news(await script.call(), whole(50)) == (50, set())
+    assert await script.next_news(await script.call(), changes(3)) is None
+    assert script.has_no_calls
 
 
 @pytest.mark.parametrize("text", [changes(3), b""], ids=["changes", "failure"])
 @scene(Script)
-async def test_a_whole_list_that_does_not_come_is_one_failure(at: Script, text: bytes) -> None:
-    await (await at.follows(50)).end(changes(3))
-    assert await at.hears(await at.call(), text) is None
-    assert at.news.empty() and at.quiet and at.one.version == 50
+async def test_a_whole_list_that_does_not_come_is_one_failure(script: Script, text: bytes) -> None:
+    await (await script.follow(50)).end(changes(3))
+    assert await script.next_news(await script.call(), text) is None
+    assert script.news.empty() and script.has_no_calls and script.client.version == 50
 
 
 # ---- Any order ----
