--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -344,7 +344,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def open_world(
     folder: Path, replicas: int = 2, sockets: int = 256, running: bool = True, settings: dict[str, Any] = OPTIONS
 ) -> AsyncIterator[World]:
     """Open a gateway with one primary and `replicas` replicas."""
@@ -367,7 +367,7 @@
 async def temporary_world(**more: Any) -> AsyncIterator[World]:
     """Open a world in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
-        async with world(Path(folder), **more) as opened:
+        async with open_world(Path(folder), **more) as opened:
             yield opened
 
 
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -11,7 +11,7 @@
 
 from oatlink.protocols import pgwire as pg
 from tests.client_world import STARTUP, Peer, query
-from tests.platform_world import PATIENCE_S, Client, World, run_scenario, temporary_world, world
+from tests.platform_world import PATIENCE_S, Client, World, open_world, run_scenario, temporary_world
 from tests.scenes import scene
 from tests.test_platform_sockets import settled, sqlstate, value, view
 
@@ -40,7 +40,7 @@
 @contextlib.asynccontextmanager
 async def starting(place: Path, where: str) -> AsyncIterator[World]:
     """A gateway that stands still in its start, at its imports or at its configuration; behind the body it goes on."""
-    async with world(place, replicas=0, running=False) as one:
+    async with open_world(place, replicas=0, running=False) as one:
         gate, stub = place / "gate" if where == "imports" else one.path, place / "stub"
         gate.unlink(missing_ok=True)
         os.mkfifo(gate)
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -16,7 +16,7 @@
 from oatlink.platform.discovery import Discovery as Calls
 from oatlink.platform.discovery import News
 from oatlink.protocols import pgwire as pg
-from tests.platform_world import PATIENCE_S, ROOT, Client, Discovery, World, run_scenario, temporary_world, world
+from tests.platform_world import PATIENCE_S, ROOT, Client, Discovery, World, open_world, run_scenario, temporary_world
 from tests.scenes import scene
 
 COUNT = iter(range(1, 1 << 30))
@@ -93,7 +93,7 @@
             assert connection.execute(view().decode()).fetchone() is not None
 
     async def scene() -> None:
-        async with world(tmp_path) as one:
+        async with open_world(tmp_path) as one:
             await settled(one)
             await asyncio.to_thread(use, one.address)
 
@@ -218,7 +218,7 @@
         client.writer.close()
 
     async def scene() -> None:
-        async with world(tmp_path) as one:
+        async with open_world(tmp_path) as one:
             client = await settled(one)
             before = sum(len(server.statements) for server in one.servers)
             tasks = [bad(one, data, False) for data in [*BAD.values(), b""]]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,7 @@
 from oatlink.platform.gateway import Gateway
 from oatlink.rules import Router
 from tests.client_world import STARTUP, Peer, query
-from tests.platform_world import PATIENCE_S, Discovery, World, run_scenario, temporary_world, world
+from tests.platform_world import PATIENCE_S, Discovery, World, open_world, run_scenario, temporary_world
 from tests.scenes import scene
 from tests.test_platform_sockets import post, settled, value, view
 from tests.test_terms_discovery import read
@@ -264,7 +264,7 @@
     """Their time is measured by hand; here all of them come up and serve."""
 
     async def scene() -> None:
-        async with world(tmp_path, running=False) as one:
+        async with open_world(tmp_path, running=False) as one:
             homes = [World(tmp_path, one.servers, one.discovery) for _ in range(30)]
             began_s = time.monotonic()
             try:
