--- a/tests/test_discovery_calls.py
+++ b/tests/test_discovery_calls.py
@@ -1,4 +1,4 @@
-"""One call to discovery: where its answer ends, what bounds it, and a call that crosses a move or a close."""
+"""Single calls to discovery: where an answer ends, its limits, and races of a call with a move or a close."""
 
 import asyncio
 import contextlib
@@ -27,10 +27,10 @@
 async def test_a_list_without_a_length_ends_with_an_orderly_close_and_no_reset(
     script: Script, text: Callable[[bytes], bytes], turns: int | None, version: int
 ) -> None:
-    """Reset, it may lack entries and yet read as whole. One with a length counts whatever ends its connection."""
+    """After a reset, a list without a length may lack entries and still decode. One with a length always counts."""
     call = await script.fetch()
     call.writer.write(text(page(7, a="in_service")))
-    for _ in range(turns or 0):  # most likely it is read by then: one that is not has to come to the same
+    for _ in range(turns or 0):  # by then the answer has most likely been read; if not, the result must be the same
         await asyncio.sleep(0)
     await call.end() if turns is None else call.reset()
     assert await script.next_news() == ((version, set()) if version else None) and script.client.version == version
@@ -72,38 +72,36 @@
 }
 
 
-@pytest.mark.parametrize("pieces", [False, True], ids=["at once", "byte by byte"])
+@pytest.mark.parametrize("is_split", [False, True], ids=["at once", "byte by byte"])
 @pytest.mark.parametrize("name", WHOLE_ANSWERS)
 @scene(Script)
-async def test_whole_answers_are_read(script: Script, name: str, pieces: bool) -> None:
+async def test_whole_answers_are_read(script: Script, name: str, is_split: bool) -> None:
     call, text = await script.fetch(), WHOLE_ANSWERS[name]
     call.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    for number in range(len(text)) if pieces else ():
-        call.writer.write(text[number : number + 1])
+    for offset in range(len(text)) if is_split else ():
+        call.writer.write(text[offset : offset + 1])
         await asyncio.sleep(0)
-    assert await script.next_news(call, b"" if pieces else text) == (7, {"b"}), script.lines
+    assert await script.next_news(call, b"" if is_split else text) == (7, {"b"}), script.lines
 
 
 @pytest.mark.parametrize("name", BROKEN_ANSWERS)
 @scene(Script)
 async def test_broken_answers_are_failed_calls_and_the_watch_ends(script: Script, name: str) -> None:
     assert await script.next_news(await script.follow(), BROKEN_ANSWERS[name]) is None
-    assert await script.next_news(await script.follow(), WHOLE_ANSWERS["length"]) == (7, {"b"}), (
-        "asked again, it goes on"
-    )
+    assert await script.next_news(await script.follow(), WHOLE_ANSWERS["length"]) == (7, {"b"}), "a new watch succeeds"
 
 
 @scene(Script)
 async def test_a_refused_connection_is_a_failed_call(script: Script) -> None:
     with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))  # and does not listen
+        sock.bind(("127.0.0.1", 0))  # without listening
         script.client.move(sock.getsockname())
         assert await script.next_news() is None and "refused" in script.lines[-1]
 
 
 # ---- Bounds ----
 
-ENDLESS = {  # how it begins, and what comes again and again
+ENDLESS = {  # the beginning of each answer, and what is repeated without end
     "body": (OK + b"\r\n", b" " * 65_536),
     "length": (OK + b"Content-Length: 99999999999\r\n\r\n", b" " * 65_536),
     "chunks": (CHUNKED, b"10000\r\n" + b" " * 65_536 + b"\r\n"),
@@ -115,15 +113,15 @@
 }
 
 
-@pytest.mark.parametrize(("head", "more"), ENDLESS.values(), ids=ENDLESS)
+@pytest.mark.parametrize(("head", "repeated"), ENDLESS.values(), ids=ENDLESS)
 @scene(Script)
-async def test_an_answer_without_end_is_bounded(script: Script, head: bytes, more: bytes) -> None:
+async def test_an_answer_without_end_is_bounded(script: Script, head: bytes, repeated: bytes) -> None:
     call, sent = await script.fetch(), 0
     call.writer.write(head)
     with contextlib.suppress(ConnectionError):
         while script.news.empty():
-            call.writer.write(more)
-            sent += len(more)
+            call.writer.write(repeated)
+            sent += len(repeated)
             await call.writer.drain()
             await asyncio.sleep(0)
             assert sent < 5 * disco.MOST_BYTES
@@ -137,13 +135,15 @@
     second = await script.call()
     assert second.path.endswith("?since=7&timeout_ms=50")
     assert await script.next_news() is None
-    assert asyncio.get_running_loop().time() - began >= 1.5 * WAIT_S, "its wait and an answer's time"
+    assert asyncio.get_running_loop().time() - began >= 1.5 * WAIT_S, (
+        "the wait of a watch and the time limit of an answer"
+    )
     await second.wait_closed()
 
 
 @scene(Script, WAIT_S, WAIT_S)
 async def test_a_trickle_does_not_make_a_call_longer(script: Script) -> None:
-    """Were the time counted from the last byte, it would never end."""
+    """The limit counts from the start of the call: counted from the last byte, the call would never end."""
     call = await script.fetch()
     call.writer.write(OK + b"\r\n")
     async with asyncio.timeout(PATIENCE_S):
@@ -154,15 +154,15 @@
     assert await script.next_news() is None
 
 
-def test_a_connection_that_hangs_is_known_before_a_watchs_wait_is_over() -> None:
-    with socket.socket() as sock, contextlib.ExitStack() as held:
+def test_a_connection_that_hangs_is_detected_before_the_wait_of_a_watch_is_over() -> None:
+    with socket.socket() as sock, contextlib.ExitStack() as open_sockets:
         sock.bind(("127.0.0.1", 0))
         sock.listen(0)
-        # A full queue of connections that nobody takes: the next one's first packet is dropped.
+        # Fills the listener's queue, from which nothing accepts: the first packet of the next connection is dropped.
         for _ in range(8):
-            one = held.enter_context(socket.socket())
-            one.setblocking(False)
-            one.connect_ex(sock.getsockname())
+            waiting = open_sockets.enter_context(socket.socket())
+            waiting.setblocking(False)
+            waiting.connect_ex(sock.getsockname())
         call = calls.get(sock.getsockname(), WHOLE, WAIT_S, 2 * PATIENCE_S, Marks())
         with pytest.raises(calls.CallError, match="time"):
             asyncio.run(asyncio.wait_for(call, PATIENCE_S))
@@ -180,28 +180,28 @@
     assert (await script.call()).path == f"{WHOLE}?since=8&timeout_ms=2500"
 
 
-# ---- A call and a move ----
+# ---- Calls during a move or a close ----
 
 
-@pytest.mark.parametrize("length", [True, False])
+@pytest.mark.parametrize("has_length", [True, False])
 @scene(Script)
-async def test_what_an_old_discovery_writes_after_a_move_is_not_told(script: Script, length: bool) -> None:
-    late = whole(99) if length else unbounded(page(99))
+async def test_what_an_old_discovery_writes_after_a_move_is_not_passed_on(script: Script, has_length: bool) -> None:
+    late_answer = whole(99) if has_length else unbounded(page(99))
     async with Script() as other:
-        calls_there = await script.follow_and_fetch()
-        for call in calls_there:
+        old_calls = await script.follow_and_fetch()
+        for call in old_calls:
             call.writer.write(OK)
         script.client.move(other.address)
-        for call in calls_there:
+        for call in old_calls:
             with contextlib.suppress(ConnectionError):
-                await call.end(late.partition(b"\n")[2])
+                await call.end(late_answer.partition(b"\n")[2])
             await call.wait_closed()
         assert await script.next_news(await other.call(), whole(7)) == (7, set())
         assert script.news.empty() and script.has_no_calls
 
 
 @scene(Script)
-async def test_an_answer_that_came_in_the_moment_of_a_close_is_not_told(script: Script) -> None:
+async def test_an_answer_that_comes_at_the_moment_of_a_close_is_not_passed_on(script: Script) -> None:
     call = await script.follow()
     await call.end(whole(7))
     script.client.close()
@@ -210,17 +210,17 @@
 
 
 @scene(Script)
-async def test_who_hears_news_may_close(script: Script) -> None:
-    done = asyncio.Event()
+async def test_the_receiver_of_news_may_close_the_client(script: Script) -> None:
+    received = asyncio.Event()
 
-    def told(news: News | None) -> None:
-        one.close()
-        done.set()
+    def on_news(news: News | None) -> None:
+        client.close()
+        received.set()
 
-    one = Discovery(script.address, WAIT_S, told, lambda line: None)
-    one.fetch()
+    client = Discovery(script.address, WAIT_S, on_news, lambda line: None)
+    client.fetch()
     call = await script.call()
     await call.end(whole(7))
-    await asyncio.wait_for(done.wait(), PATIENCE_S)
+    await asyncio.wait_for(received.wait(), PATIENCE_S)
     await call.wait_closed()
     assert script.has_no_calls
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -1,4 +1,4 @@
-"""Discovery's answers where two of them cross: changes, a whole list, and discovery's going back; then in any order."""
+"""Overlapping answers of discovery: changes, whole lists and a restored discovery; then all of them in any order."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from tests.discovery_script import WHOLE, Script, changes, page, whole
 from tests.scenes import scene
 
-# ---- Two answers that cross ----
+# ---- Two answers that overlap ----
 
 
 @scene(Script)
@@ -28,7 +28,7 @@
     await fetch.end(whole(7, a="in_service"))  # written before the change, read after it
     await script.wait_for_line("version 7 was overtaken by 8")
     assert script.news.empty() and script.client.version == 8
-    assert await script.next_news(watch, changes(9, b="terminating")) == (9, {"b"}), "the watch goes on"
+    assert await script.next_news(watch, changes(9, b="terminating")) == (9, {"b"}), "the watch continues"
 
 
 @scene(Script)
@@ -45,14 +45,14 @@
     assert await script.next_news(fetch, whole(9, a="terminating")) == (9, {"a"})
     await watch.end(changes(7, a="in_service"))
     watch = await script.call()
-    assert watch.path.startswith(f"{WHOLE}?since=9&"), "it goes on from the newest"
+    assert watch.path.startswith(f"{WHOLE}?since=9&"), "it continues from the newest version"
     assert script.news.empty()
     assert await script.next_news(watch, changes(10, b="terminating")) == (10, {"b"})
 
 
 @scene(Script)
 async def test_a_watch_that_failed_during_a_fetch_is_opened_again_by_its_news(script: Script) -> None:
-    """News is a sign of life: after it nobody asks the calls to follow again."""
+    """After news the Router does not ask for a watch again, so the client itself has to restart it."""
     watch, fetch = await script.follow_and_fetch()
     watch.reset()
     assert await script.next_news() is None
@@ -60,7 +60,7 @@
     assert (await script.call()).path == f"{WHOLE}?since=7&timeout_ms=1"
 
 
-# ---- Discovery goes back ----
+# ---- Discovery goes back to an older version ----
 
 
 @scene(Script)
@@ -76,7 +76,7 @@
 
 
 @scene(Script)
-async def test_a_watch_that_waits_above_a_restored_version_is_opened_anew(script: Script) -> None:
+async def test_a_watch_that_waits_above_a_restored_version_is_restarted(script: Script) -> None:
     watch, fetch = await script.follow_and_fetch(50)
     assert await script.next_news(fetch, whole(3, a="terminating")) == (3, {"a"})
     assert (await script.call()).path == f"{WHOLE}?since=3&timeout_ms=1"
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ("version", "full", "crossed", "verdict"),
+    ("version", "is_full", "overlaps", "status"),
     [
         (6, True, False, AnswerStatus.APPLIED),
         (4, True, True, AnswerStatus.STALE),
@@ -123,16 +123,16 @@
         (4, False, False, AnswerStatus.WENT_BACK),
     ],
 )
-def test_an_answers_verdict(version: int, full: bool, crossed: bool, verdict: AnswerStatus) -> None:
-    order = VersionTracker()
-    order.set_version(4)
-    began = order.begin_call()
-    order.classify(began, disco.read(page(5), False, print))
-    if not crossed:
-        began = order.begin_call()
-    assert order.classify(began, disco.read(page(version, full), False, print)) is verdict
-    counts = verdict in (AnswerStatus.APPLIED, AnswerStatus.RESTORED)
-    assert order.version == (version if counts else 5) and order.begin_call() == 2 + counts
+def test_the_status_of_an_answer(version: int, is_full: bool, overlaps: bool, status: AnswerStatus) -> None:
+    versions = VersionTracker()
+    versions.set_version(4)
+    began_at_count = versions.begin_call()
+    versions.classify(began_at_count, disco.read(page(5), False, print))
+    if not overlaps:
+        began_at_count = versions.begin_call()
+    assert versions.classify(began_at_count, disco.read(page(version, is_full), False, print)) is status
+    is_applied = status in (AnswerStatus.APPLIED, AnswerStatus.RESTORED)
+    assert versions.version == (version if is_applied else 5) and versions.begin_call() == 2 + is_applied
 
 
 NAMES = "ab"
@@ -140,11 +140,11 @@
 
 
 class Pending(asyncio.Future[bytes]):
-    """A call under way; its answer is written at one moment and comes at another."""
+    """A running call; its answer is written at one moment and received at another."""
 
     path, written = "", b""
 
-    def come(self) -> None:
+    def receive(self) -> None:
         if self.written and not self.done():
             self.set_result(self.written)
 
@@ -154,24 +154,26 @@
 
 
 class Model:
-    """A discovery that changes and is put back, calls whose answers come in any order, and a gateway's belief.
+    """A discovery that changes and is restored, calls whose answers come in any order, and what the gateway believes.
 
-    An entry's `cell` says when it was written, its `zone` how often discovery had been put back by then. Versions alone
-    do not show that discovery was put back and has changed as often since: so while the gateway has not seen that it
-    was put back, it stays below the gateway's version.
+    An entry's `cell` is the time at which it was written, its `zone` how often discovery had been restored by then.
+    Versions alone cannot show that discovery was restored and has changed as often since. So while the gateway has not
+    noticed a restore, discovery's version stays below the gateway's.
     """
 
     def __init__(self) -> None:
-        self.now = self.put_back = 0
-        self.behind = False  # the gateway has to see that discovery was put back
-        self.undone: list[str] = []  # by an older answer
-        self.log: list[str] = []  # the server that turned with each version
+        self.now = self.restore_count = 0
+        self.is_restore_unseen = False  # the gateway has not noticed yet that discovery was restored
+        self.undone: list[str] = []  # servers whose newer state was undone by an older answer
+        self.log: list[str] = []  # the server that changed its state with each version
         self.calls: list[Pending] = []
         self.belief = {name: (Listing.READY, 0) for name in NAMES}
-        self.one = Discovery(("127.0.0.1", 1), 1.0, self.told, lambda line: None)
+        self.client = Discovery(("127.0.0.1", 1), 1.0, self.on_news, lambda line: None)
 
-    async def get(self, address: tuple[str, int], path: str, dial_s: float, most_s: float, marks: Marks) -> bytes:
-        """In place of a call over the network."""
+    async def get(
+        self, address: tuple[str, int], path: str, dial_timeout_s: float, timeout_s: float, marks: Marks
+    ) -> bytes:
+        """Replaces `calls.get`."""
         self.calls.append(call := Pending())
         call.path = path
         try:
@@ -182,83 +184,83 @@
     def state(self, name: str) -> Listing:
         return Listing.TERMINATING if self.log.count(name) % 2 else Listing.READY
 
-    def put_back_by(self, steps: int) -> None:
-        self.put_back += 1
+    def restore(self, steps: int) -> None:
+        self.restore_count += 1
         del self.log[-steps:]
-        self.behind = len(self.log) < self.one.version
-        for call in self.calls if not self.behind else ():
+        self.is_restore_unseen = len(self.log) < self.client.version
+        for call in self.calls if not self.is_restore_unseen else ():
             call.fail()
 
-    def write(self, call: Pending, full: bool) -> None:
-        """Discovery answers; the answer is on its way."""
+    def write(self, call: Pending, is_full: bool) -> None:
+        """Write discovery's answer to a call; it is received later."""
         if call.written:
             return
         self.now += 1
         query = parse_qs(urlsplit(call.path).query)
-        full = full or not query
-        names = NAMES if full else sorted(set(self.log[int(query["since"][0]) :]))
-        common = {"addr": "127.0.0.1:1", "cell": self.now, "zone": str(self.put_back)}
+        is_full = is_full or not query
+        names = NAMES if is_full else sorted(set(self.log[int(query["since"][0]) :]))
+        common = {"addr": "127.0.0.1:1", "cell": self.now, "zone": str(self.restore_count)}
         entries = [common | {"id": name, "state": STATES[self.state(name)]} for name in names]
-        call.written = json.dumps({"version": len(self.log), "full": full, "servers": entries}).encode()
+        call.written = json.dumps({"version": len(self.log), "full": is_full, "servers": entries}).encode()
 
-    def told(self, news: News | None) -> None:
+    def on_news(self, news: News | None) -> None:
         servers = news.servers if news is not None else ()
-        self.behind &= all(server.zone != str(self.put_back) for server in servers)
+        self.is_restore_unseen &= all(server.zone != str(self.restore_count) for server in servers)
         for server in servers:
             listing, written = self.belief[server.id]
             if listing is not server.listing and server.group <= written:
-                self.undone.append(server.id)  # nobody hears what is raised here
+                self.undone.append(server.id)  # recorded, because an exception raised here would be swallowed
             self.belief[server.id] = (server.listing, max(server.group, written))
 
     async def settle(self) -> None:
-        """Everything that follows from what has happened."""
+        """Let the loop run everything that follows from what has happened."""
         for _ in range(12):
             await asyncio.sleep(0)
 
-    async def step(self, what: str, which: int) -> None:
+    async def step(self, action: str, which: int) -> None:
         call = self.calls[which % len(self.calls)] if self.calls else None
-        if what == "change" and (not self.behind or len(self.log) + 1 < self.one.version):
+        if action == "change" and (not self.is_restore_unseen or len(self.log) + 1 < self.client.version):
             self.log.append(NAMES[which % len(NAMES)])
-        elif what == "put back" and 0 < which <= len(self.log) and self.put_back < 2:
-            self.put_back_by(which)
-        elif call and what in ("write", "write all"):
-            self.write(call, what == "write all")
-        elif call and what in ("come", "fail"):
-            getattr(call, what)()
-        self.one.follow()
-        self.one.fetch()
+        elif action == "restore" and 0 < which <= len(self.log) and self.restore_count < 2:
+            self.restore(which)
+        elif call and action in ("write", "write all"):
+            self.write(call, action == "write all")
+        elif call and action in ("receive", "fail"):
+            getattr(call, action)()
+        self.client.follow()
+        self.client.fetch()
         await self.settle()
 
-    async def rest(self) -> None:
-        """From here on nothing changes, and every call is answered at once."""
+    async def quiesce(self) -> None:
+        """Answer every call at once while nothing changes any more."""
         for _ in range(8):
-            self.one.follow()
+            self.client.follow()
             await self.settle()
             for call in list(self.calls):
                 self.write(call, False)
-                call.come()
+                call.receive()
             await self.settle()
 
 
-WHATS = ["change", "change", "put back", "write", "write", "write all", "come", "come", "come", "fail"]
+ACTIONS = ["change", "change", "restore", "write", "write", "write all", "receive", "receive", "receive", "fail"]
 
 
 @settings(max_examples=400, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(WHATS), st.integers(0, 3)), max_size=60))
+@given(st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 3)), max_size=60))
 def test_in_any_order_no_older_answer_undoes_a_newer_one_and_the_version_followed_is_discoverys(
     steps: list[tuple[str, int]],
 ) -> None:
-    async def played() -> Model:
-        one = Model()
-        with mock.patch.object(calls, "get", one.get):
-            for what, which in steps:
-                await one.step(what, which)
-            await one.rest()
-            one.one.close()
-            await one.settle()
-        return one
-
-    one = asyncio.run(played())
-    assert not one.undone and one.one.version <= len(one.log)
-    if one.put_back < 2:
-        assert {name: one.belief[name][0] for name in NAMES} == {name: one.state(name) for name in NAMES}
+    async def run_steps() -> Model:
+        model = Model()
+        with mock.patch.object(calls, "get", model.get):
+            for action, which in steps:
+                await model.step(action, which)
+            await model.quiesce()
+            model.client.close()
+            await model.settle()
+        return model
+
+    model = asyncio.run(run_steps())
+    assert not model.undone and model.client.version <= len(model.log)
+    if model.restore_count < 2:
+        assert {name: model.belief[name][0] for name in NAMES} == {name: model.state(name) for name in NAMES}
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -1,4 +1,4 @@
-"""When news counts as told: real calls and the real Router on a clock that leaps, then over loopback."""
+"""The time until the gateway knows a change: the real client and Router on a simulated clock, calls simulated."""
 
 import asyncio
 import json
@@ -15,65 +15,65 @@
 from tests.discovery_script import page
 from tests.test_adapter import OPTIONS
 
-TOLD_S = 6.0
-DUTIES = OPTIONS["Obligations"]
+NOTIFIED_S = 6.0
+OBLIGATIONS = OPTIONS["Obligations"]
 
 
-class Leaps(asyncio.SelectorEventLoop):
-    """A loop whose clock goes to the next timer at once."""
+class SimulatedClockLoop(asyncio.SelectorEventLoop):
+    """A loop whose clock jumps to the next timer when nothing is ready."""
 
-    at_s = 1.0
+    clock_s = 1.0
 
     def time(self) -> float:
-        return self.at_s
+        return self.clock_s
 
     def _run_once(self) -> None:
         if not self._ready and self._scheduled:  # type: ignore[attr-defined]
-            self.at_s = max(self.at_s, self._scheduled[0].when())  # type: ignore[attr-defined]
+            self.clock_s = max(self.clock_s, self._scheduled[0].when())  # type: ignore[attr-defined]
         super()._run_once()  # type: ignore[misc]
 
 
-class Asked:
-    """A gateway's calls and its Router; what becomes of a call is this test's. Reached again at `back_s`."""
+class SimulatedGateway:
+    """A discovery client and a Router; each call ends as drawn from `ends` until discovery is reachable at `back_s`."""
 
-    def __init__(self, read: config.Config, seed: int, ends: list[str], answer_s: float, back_s: float) -> None:
-        self.router, self.draw = Router(read.settings), random.Random(seed)
+    def __init__(self, loaded: config.Config, seed: int, ends: list[str], answer_s: float, back_s: float) -> None:
+        self.router, self.draw = Router(loaded.settings), random.Random(seed)
         self.router.book.random.seed(seed)
         self.ends, self.answer_s, self.back_s = ends, answer_s, back_s
         self.loop = asyncio.get_running_loop()
-        self.known: asyncio.Future[float] = self.loop.create_future()
-        self.one = Discovery(("127.0.0.1", 1), read.watch_s, self.told, lambda text: None)
+        self.known_at_s: asyncio.Future[float] = self.loop.create_future()
+        self.client = Discovery(("127.0.0.1", 1), loaded.watch_s, self.on_news, lambda text: None)
 
-    async def get(self, address: Any, path: str, dial_s: float, most_s: float, marks: Any) -> bytes:
-        """In the place of `calls.get`."""
+    async def get(self, address: Any, path: str, dial_timeout_s: float, timeout_s: float, marks: Any) -> bytes:
+        """Replaces `calls.get`."""
         if self.loop.time() >= self.back_s:
             await asyncio.sleep(self.answer_s)
             return page(9)
         end = self.draw.choice(self.ends)
-        if end == "empty":  # nothing new, once it has waited; a watch that was told so may fall silent on its next call
-            await asyncio.sleep(most_s - CALL_S)
+        if end == "empty":  # no changes after the full wait; the next call of the same watch may get no answer
+            await asyncio.sleep(timeout_s - CALL_S)
             return page(1, False)
-        await asyncio.sleep({"silent": most_s, "busy": CALL_S * self.draw.random(), "refused": 0.001}[end])
+        await asyncio.sleep({"silent": timeout_s, "busy": CALL_S * self.draw.random(), "refused": 0.001}[end])
         raise calls.CallError(end)
 
-    def told(self, news: News | None) -> None:
-        if news is not None and news.version == 9 and not self.known.done():
-            self.known.set_result(self.loop.time())
-        self.do(api.Roster(news.kind if news else api.RosterKind.FAILED))
+    def on_news(self, news: News | None) -> None:
+        if news is not None and news.version == 9 and not self.known_at_s.done():
+            self.known_at_s.set_result(self.loop.time())
+        self.handle(api.Roster(news.kind if news else api.RosterKind.FAILED))
 
-    def do(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         for action in self.router.handle(event, round(self.loop.time() * 1e6)):
             match action:
                 case api.FollowRoster():
-                    self.one.follow()
+                    self.client.follow()
                 case api.FetchRoster():
-                    self.one.fetch()
+                    self.client.fetch()
                 case api.SetTimer():
-                    self.loop.call_at(action.at_us / 1e6, self.do, api.TimerFired(action.name))
+                    self.loop.call_at(action.at_us / 1e6, self.handle, api.TimerFired(action.name))
 
 
-def read(place: Path, **changed: Any) -> config.Config:
-    path = place / "config.json"
+def load_config(folder: Path, **changed: Any) -> config.Config:
+    path = folder / "config.json"
     settings = OPTIONS | {"PeersTotal": 200} | changed
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}))
     return config.load({"GW_CONFIG": str(path)})
@@ -87,20 +87,20 @@
 def test_a_change_is_known_within_6_s_of_discoverys_being_reached_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: list[str], within_s: int, mode: str
 ) -> None:
-    """Whatever the calls before came to, and though the call that brings it takes most of its time."""
-    duties = DUTIES | {"AskWithinUs": within_s * 1_000_000, "StopSendingWithinUs": 700_000}
-    settings = read(tmp_path, Discovery=mode, Obligations=duties)
-
-    async def scene(seed: int) -> float:
-        asked = Asked(settings, seed, ends, 0.75 * CALL_S, back_s=1.0 + 20 * random.Random(seed).random())
-        monkeypatch.setattr(calls, "get", asked.get)
-        asked.do(api.Start())
-        at_s = await asyncio.wait_for(asked.known, 600)
-        asked.one.close()
-        return at_s - asked.back_s
-
-    took = []
+    """Holds whatever the calls before came to, and even if the call that brings the change takes most of its time."""
+    obligations = OBLIGATIONS | {"AskWithinUs": within_s * 1_000_000, "StopSendingWithinUs": 700_000}
+    loaded = load_config(tmp_path, Discovery=mode, Obligations=obligations)
+
+    async def run_once(seed: int) -> float:
+        gateway = SimulatedGateway(loaded, seed, ends, 0.75 * CALL_S, back_s=1.0 + 20 * random.Random(seed).random())
+        monkeypatch.setattr(calls, "get", gateway.get)
+        gateway.handle(api.Start())
+        known_at_s = await asyncio.wait_for(gateway.known_at_s, 600)
+        gateway.client.close()
+        return known_at_s - gateway.back_s
+
+    delays_s = []
     for seed in range(40):
-        with asyncio.Runner(loop_factory=Leaps) as runner:
-            took.append(runner.run(scene(seed)))
-    assert max(took) <= TOLD_S
+        with asyncio.Runner(loop_factory=SimulatedClockLoop) as runner:
+            delays_s.append(runner.run(run_once(seed)))
+    assert max(delays_s) <= NOTIFIED_S
