--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -23,8 +23,7 @@
 from tests.scenes import scene
 from tests.test_platform_crossings import SLOW
 from tests.test_platform_sockets import post, settled, value, view
-from tests.test_platform_values import READ, WRITE
-from tests.test_platform_values import World as Requests
+from tests.test_platform_values import READ, WRITE, RequestsHarness
 
 NAMES = some.lists(some.sampled_from([b"a", b"b", b"c"]), max_size=2, unique=True)
 
@@ -101,18 +100,18 @@
 
 @pytest.mark.parametrize("text", [READ, WRITE])
 def test_one_with_others_behind_it_ends_while_its_client_still_waits(text: bytes) -> None:
-    world = Requests(1)
+    harness = RequestsHarness(1)
     for number in (1, 2, 3):  # members known, so that it is sent
-        world.do(world.requests.handle(Checked(number, Outcome.SERVED, 1_000, None), world.now))
-    world.ask(text, 7)
-    one, end_us = world.open[0], world.open[0].expires_us
-    world.requests.shorten_deadline(one, SLACK_US)
-    assert world.requests.next_deadline_us() == end_us - SLACK_US
-    world.now = end_us - SLACK_US
-    world.do(world.requests.expire(world.now))
-    assert one.is_closed and len(world.owners[0].finals) == 1 and not world.requests._open
-    world.now = end_us
-    assert world.requests.expire(world.now) == []
+        harness.carry_out(harness.requests.handle(Checked(number, Outcome.SERVED, 1_000, None), harness.now))
+    harness.add_request(text, 7)
+    one, end_us = harness.open_requests[0], harness.open_requests[0].expires_us
+    harness.requests.shorten_deadline(one, SLACK_US)
+    assert harness.requests.next_deadline_us() == end_us - SLACK_US
+    harness.now = end_us - SLACK_US
+    harness.carry_out(harness.requests.expire(harness.now))
+    assert one.is_closed and len(harness.owners[0].finals) == 1 and not harness.requests._open
+    harness.now = end_us
+    assert harness.requests.expire(harness.now) == []
 
 
 @scene(home)
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -1,4 +1,4 @@
-"""The platform gateway's parts without I/O: statements, answers, open requests, the configuration, the list."""
+"""The platform gateway's modules without I/O: statements, answers, open requests, configuration, discovery's list."""
 
 import json
 import random
@@ -30,7 +30,7 @@
 )
 
 
-def read(text: bytes) -> Statement:
+def parse_statement(text: bytes) -> Statement:
     return parse(text, CLASSES, {1, 2})
 
 
@@ -38,18 +38,19 @@
 
 
 def test_a_statement_is_a_request_and_only_its_wait_is_rewritten() -> None:
-    one = read(READ)
-    assert (one.id, one.rule, one.wait_ms, one.group, one.session) == (b"9b1f", VIEW, 480, 2, "7f3a")
-    assert one.waiting(7) == READ.replace(b"d=480", b"d=7")
-    assert read(WRITE).waiting(1234) == WRITE.replace(b"d=480", b"d=1234")
-    odd = READ.replace(b"id=9b1f", b"id=d.480").replace(b"'7f3a'", b"', d=480,d=1'")
-    assert read(odd).waiting(3) == odd.replace(b",d=480,cluster", b",d=3,cluster")
-    assert read(READ.replace(b"r=1", b"after=1767225600123")).after_ms == 1767225600123
-    assert one.after_ms is None
+    statement = parse_statement(READ)
+    fields = (statement.id, statement.rule, statement.wait_ms, statement.group, statement.session)
+    assert fields == (b"9b1f", VIEW, 480, 2, "7f3a")
+    assert statement.waiting(7) == READ.replace(b"d=480", b"d=7")
+    assert parse_statement(WRITE).waiting(1234) == WRITE.replace(b"d=480", b"d=1234")
+    decoys = READ.replace(b"id=9b1f", b"id=d.480").replace(b"'7f3a'", b"', d=480,d=1'")
+    assert parse_statement(decoys).waiting(3) == decoys.replace(b",d=480,cluster", b",d=3,cluster")
+    assert parse_statement(READ.replace(b"r=1", b"after=1767225600123")).after_ms == 1767225600123
+    assert statement.after_ms is None
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "message"),
     [
         (READ[:-1], "expected /"),
         (READ + b"; DROP TABLE kv", "expected /"),
@@ -75,11 +76,11 @@
         (READ.replace(b"c=view", b"c=vi\xff"), "expected /"),
     ],
 )
-def test_what_is_not_in_the_form_is_one_clear_mistake(text: bytes, names: str) -> None:
+def test_a_malformed_statement_is_rejected_with_a_message_that_names_the_fault(text: bytes, message: str) -> None:
     with pytest.raises(StatementError) as problem:
-        read(text)
-    assert names in str(problem.value)
-    assert problem.value.sqlstate not in ("53300", "57P03"), "a mistake is no refusal"
+        parse_statement(text)
+    assert message in str(problem.value)
+    assert problem.value.sqlstate not in ("53300", "57P03"), "a client's mistake must not look like a refusal"
 
 
 @given(
@@ -90,12 +91,12 @@
         )
     )
 )
-def test_no_bytes_are_more_than_a_mistake(text: bytes) -> None:
+def test_any_bytes_are_parsed_or_rejected(text: bytes) -> None:
     try:
-        one = read(text)
+        statement = parse_statement(text)
     except StatementError:
         return
-    assert one.waiting(one.wait_ms) == text or b"d=0" in text
+    assert statement.waiting(statement.wait_ms) == text or b"d=0" in text
 
 
 # ---- Answers ----
@@ -114,7 +115,7 @@
 GREETING = pg.make_authentication(0).encode() + pg.Message(b"K", b"\0" * 8).encode() + READY
 
 
-def greeted() -> ReplyReader:
+def reader_after_handshake() -> ReplyReader:
     reader = ReplyReader()
     assert reader.feed(GREETING) is not None
     return reader
@@ -122,17 +123,17 @@
 
 @given(st.lists(st.integers(1, len(GOOD + READY)), max_size=6))
 def test_an_answer_is_the_same_at_any_split(cuts: list[int]) -> None:
-    reader, whole, answers = greeted(), GOOD + READY, []
+    reader, whole, answers = reader_after_handshake(), GOOD + READY, []
     for start, end in zip([0, *sorted(cuts)], [*sorted(cuts), len(whole)], strict=True):
         answers.append(reader.feed(whole[start:end]))
-    (answer,) = [one for one in answers if one is not None]
+    (answer,) = [each for each in answers if each is not None]
     assert answer.outcome is Outcome.SERVED and answer.payload == COLUMNS + ROW + DONE
     assert (answer.value, answer.role(), answer.position_ms()) == (b"\x9f\x03", Role.REPLICA, 1767225600123)
     assert reader.feed(whole) is not None, "the next answer on the same connection"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         ROW + DONE + READY,
         COLUMNS + DONE + READY,
@@ -152,12 +153,12 @@
         pg.make_status("a", "b").encode() * 100,
     ],
 )
-def test_a_spoilt_answer_is_none(spoilt: bytes) -> None:
-    for size in (1, 3, len(spoilt)):
-        reader = greeted()
+def test_a_malformed_answer_is_not_accepted(malformed: bytes) -> None:
+    for size in (1, 3, len(malformed)):
+        reader = reader_after_handshake()
         with pytest.raises(SpoiltError):
-            for at in range(0, len(spoilt), size):
-                assert reader.feed(spoilt[at : at + size]) is None
+            for offset in range(0, len(malformed), size):
+                assert reader.feed(malformed[offset : offset + size]) is None
 
 
 @pytest.mark.parametrize(
@@ -171,21 +172,21 @@
         ("", Outcome.ERROR),
     ],
 )
-def test_errors_are_outcomes_by_the_platforms_table(sqlstate: str, outcome: Outcome) -> None:
-    refused = pg.make_error(sqlstate, "no").encode()
-    reader = greeted()
-    assert reader.feed(refused) is None
-    cut = reader.cut_short()
+def test_errors_become_outcomes_by_the_platforms_table(sqlstate: str, outcome: Outcome) -> None:
+    error = pg.make_error(sqlstate, "no").encode()
+    reader = reader_after_handshake()
+    assert reader.feed(error) is None
+    cut_short = reader.cut_short()
     answer = reader.feed(READY)
-    assert cut is not None and answer is not None and cut.outcome is answer.outcome is outcome
-    begun = greeted()
+    assert cut_short is not None and answer is not None and cut_short.outcome is answer.outcome is outcome
+    begun = reader_after_handshake()
     assert begun.feed(COLUMNS) is None
-    late = begun.feed(refused + READY)
-    assert late is not None and late.outcome is Outcome.ERROR, "what had begun to answer has run"
+    late = begun.feed(error + READY)
+    assert late is not None and late.outcome is Outcome.ERROR, "a server that had begun to answer has run the statement"
 
 
-def test_more_behind_a_good_answer_is_seen() -> None:
-    reader = greeted()
+def test_bytes_after_a_good_answer_are_noticed() -> None:
+    reader = reader_after_handshake()
     answer = reader.feed(GOOD + READY + GOOD)
     assert answer is not None and answer.outcome is Outcome.SERVED and reader.pending == len(GOOD)
 
@@ -215,7 +216,9 @@
 # ---- Open requests ----
 
 
-class Asked:
+class RecordingOwner:
+    """Records the final answers that it gets."""
+
     def __init__(self) -> None:
         self.finals: list[req.Final] = []
 
@@ -223,148 +226,149 @@
         self.finals.append(final)
 
 
-class World:
-    """Requests around a Router, with servers that do anything in any order."""
+class RequestsHarness:
+    """`Requests` with a Router, and servers and clients that act in random order."""
 
-    def __init__(self, seed: int, decider: Any = None) -> None:
+    def __init__(self, seed: int, router: Any = None) -> None:
         self.draw = random.Random(seed)
         self.now = 100_000_000
-        self.requests = req.Requests(decider or Router(replace(SETTINGS, seed=seed)))
-        self.out: dict[int, req.Attempt] = {}
-        self.slow = 0.0 if decider else 0.2  # of the attempts wait for a connection
-        self.told: dict[int, int] = {}
-        self.owners: list[Asked] = []
-        self.open: list[req.Open] = []
+        self.requests = req.Requests(router or Router(replace(SETTINGS, seed=seed)))
+        self.running: dict[int, req.Attempt] = {}
+        self.delayed_share = 0.0 if router else 0.2  # of the attempts, which wait for a connection
+        self.owners: list[RecordingOwner] = []
+        self.open_requests: list[req.Open] = []
         self.checks: list[int] = []
         self.defects: list[str] = []
-        self.do(self.requests.handle(api.Start(), self.now))
+        self.carry_out(self.requests.handle(api.Start(), self.now))
         entries = tuple(member(number) for number in (1, 2, 3))
-        self.do(self.requests.handle(api.Roster(RosterKind.WHOLE, entries), self.now))
+        self.carry_out(self.requests.handle(api.Roster(RosterKind.WHOLE, entries), self.now))
 
-    def do(self, done: list[req.GatewayAction]) -> None:
-        for one in done:
-            match one:
+    def carry_out(self, actions: list[req.GatewayAction]) -> None:
+        for action in actions:
+            match action:
                 case req.Launch():
-                    assert not one.attempt.request.is_closed, "a send after the final answer"
-                    one.attempt.is_written = self.draw.random() >= self.slow
-                    self.out[id(one.attempt)] = one.attempt
+                    assert not action.attempt.request.is_closed, "a send after the final answer"
+                    action.attempt.is_written = self.draw.random() >= self.delayed_share
+                    self.running[id(action.attempt)] = action.attempt
                 case req.Abandon():
-                    self.out.pop(id(one.attempt), None)
+                    self.running.pop(id(action.attempt), None)
                 case req.SendAnswer():
-                    one.owner.answered(one.final)
+                    action.owner.answered(action.final)
                 case api.Check():
-                    self.checks.append(one.member)
+                    self.checks.append(action.member)
                 case req.Defect():
-                    self.defects.append(one.text)
+                    self.defects.append(action.text)
 
-    def ask(self, text: bytes, number: int) -> None:
-        statement = read(text.replace(b"9b1f", b"%04x" % number).replace(b"cluster=2", b"cluster=1"))
-        self.owners.append(Asked())
-        one, done = self.requests.handle_arrival(statement, self.owners[-1], statement.wait_ms * 1000, self.now, None)
-        self.open.append(one)
-        self.do(done)
+    def add_request(self, text: bytes, number: int) -> None:
+        statement = parse_statement(text.replace(b"9b1f", b"%04x" % number).replace(b"cluster=2", b"cluster=1"))
+        self.owners.append(RecordingOwner())
+        wait_us = statement.wait_ms * 1000
+        request, actions = self.requests.handle_arrival(statement, self.owners[-1], wait_us, self.now, None)
+        self.open_requests.append(request)
+        self.carry_out(actions)
 
     def step(self, number: int) -> None:
         self.now += self.draw.randrange(30_000)
-        self.do(self.requests.expire(self.now))
+        self.carry_out(self.requests.expire(self.now))
         match self.draw.randrange(7):
             case 0 | 1:
-                self.ask(self.draw.choice([READ, WRITE]), number)
-            case 2 | 3 if self.out:
-                attempt = self.out.pop(self.draw.choice(list(self.out)))
+                self.add_request(self.draw.choice([READ, WRITE]), number)
+            case 2 | 3 if self.running:
+                attempt = self.running.pop(self.draw.choice(list(self.running)))
                 if not attempt.is_written and self.requests.may_write(attempt, self.now):
-                    assert not attempt.request.is_closed and not attempt.has_ended, "written for nobody"
+                    assert not attempt.request.is_closed and not attempt.has_ended, "written though nobody waits for it"
                     attempt.is_written = True
-                    self.out[id(attempt)] = attempt
+                    self.running[id(attempt)] = attempt
                     return
                 if not attempt.is_written:
-                    self.do(self.requests.handle_attempt_end(attempt, Outcome.WITHDRAWN, self.now, self.now))
+                    self.carry_out(self.requests.handle_attempt_end(attempt, Outcome.WITHDRAWN, self.now, self.now))
                     return
                 outcome = self.draw.choice([*Outcome][:7] + [Outcome.SERVED] * 6 + [Outcome.MISS])
                 role = Role.PRIMARY if attempt.member == 1 else Role.REPLICA
-                self.do(
+                self.carry_out(
                     self.requests.handle_attempt_end(attempt, outcome, self.now, self.now, b"value", Report(None, role))
                 )
                 assert self.requests.handle_attempt_end(attempt, Outcome.SERVED, self.now, self.now, b"twice") == []
             case 4 if self.checks:
-                numbered = self.checks.pop()
-                role = Role.PRIMARY if numbered == 1 else Role.REPLICA
-                event = api.Checked(numbered, Outcome.SERVED, 2_000, Report(self.now, role))
-                self.do(self.requests.handle(event, self.now))
-            case 6 if self.open:
-                self.requests.shorten_deadline(self.draw.choice(self.open), SLACK_US)
-            case 5 if self.open:
-                gone = self.draw.choice(self.open)
-                self.do(self.requests.handle_departure(gone, self.now))
+                checked_member = self.checks.pop()
+                role = Role.PRIMARY if checked_member == 1 else Role.REPLICA
+                event = api.Checked(checked_member, Outcome.SERVED, 2_000, Report(self.now, role))
+                self.carry_out(self.requests.handle(event, self.now))
+            case 6 if self.open_requests:
+                self.requests.shorten_deadline(self.draw.choice(self.open_requests), SLACK_US)
+            case 5 if self.open_requests:
+                departing = self.draw.choice(self.open_requests)
+                self.carry_out(self.requests.handle_departure(departing, self.now))
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_each_request_has_one_answer_whatever_happens(seed: int) -> None:
-    world = World(seed)
+    harness = RequestsHarness(seed)
     for number in range(400):
-        world.step(number)
-    world.now += 10_000_000
-    world.do(world.requests.expire(world.now))
-    left = sum(not owner.finals for owner in world.owners)
-    assert all(len(owner.finals) <= 1 for owner in world.owners)
-    assert left <= sum(one.is_closed for one in world.open) and all(one.is_closed for one in world.open)
-    assert sum(bool(owner.finals) for owner in world.owners) > 30
-    assert len(world.requests) == 0 and not world.requests._open, "nothing is kept"
-    assert world.requests.next_deadline_us() is None
-    assert not any(attempt for attempt in world.out.values() if not attempt.has_ended)
-
-
-class Scripted:
-    """A decider that says what it is told to."""
-
-    def __init__(self, *answers: list[api.Action]) -> None:
-        self.answers = list(answers)
-        self.heard: list[api.Event] = []
+        harness.step(number)
+    harness.now += 10_000_000
+    harness.carry_out(harness.requests.expire(harness.now))
+    unanswered = sum(not owner.finals for owner in harness.owners)
+    assert all(len(owner.finals) <= 1 for owner in harness.owners)
+    assert unanswered <= sum(request.is_closed for request in harness.open_requests)
+    assert all(request.is_closed for request in harness.open_requests)
+    assert sum(bool(owner.finals) for owner in harness.owners) > 30
+    assert len(harness.requests) == 0 and not harness.requests._open, "no request is kept"
+    assert harness.requests.next_deadline_us() is None
+    assert not any(attempt for attempt in harness.running.values() if not attempt.has_ended)
+
+
+class ScriptedRouter:
+    """Returns the given actions, one list for each event."""
+
+    def __init__(self, *steps: list[api.Action]) -> None:
+        self.steps = list(steps)
+        self.events: list[api.Event] = []
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        self.heard.append(event)
-        return self.answers.pop(0) if self.answers else []
+        self.events.append(event)
+        return self.steps.pop(0) if self.steps else []
 
 
-def test_what_the_decider_leaves_unanswered_is_failed_at_its_deadline_and_logged() -> None:
-    decider = Scripted([], [], [api.Send("1", 1)])
-    world = World(1, decider)
-    world.ask(READ, 1)
-    world.now += 480_000
-    world.do(world.requests.expire(world.now))
-    assert world.owners[0].finals == [req.FAILED] and len(world.defects) == 1 and not world.out
-    assert any(isinstance(one, api.AttemptEnded) and one.outcome is Outcome.LATE for one in decider.heard)
+def test_a_request_that_the_router_leaves_unanswered_fails_at_its_deadline_and_is_logged() -> None:
+    router = ScriptedRouter([], [], [api.Send("1", 1)])
+    harness = RequestsHarness(1, router)
+    harness.add_request(READ, 1)
+    harness.now += 480_000
+    harness.carry_out(harness.requests.expire(harness.now))
+    assert harness.owners[0].finals == [req.FAILED] and len(harness.defects) == 1 and not harness.running
+    assert any(isinstance(event, api.AttemptEnded) and event.outcome is Outcome.LATE for event in router.events)
 
 
-def test_a_send_for_what_has_ended_is_never_carried_out() -> None:
-    decider = Scripted([], [], [api.Fail("1"), api.Send("1", 1), api.Send("99", 1)])
-    world = World(1, decider)
-    world.ask(READ, 1)
-    assert not world.out and world.owners[0].finals == [req.FAILED]
-    ended = [one for one in decider.heard if isinstance(one, api.AttemptEnded)]
-    assert [one.outcome for one in ended] == [Outcome.NOT_SENT] * 2
+def test_a_send_for_an_ended_request_is_never_carried_out() -> None:
+    router = ScriptedRouter([], [], [api.Fail("1"), api.Send("1", 1), api.Send("99", 1)])
+    harness = RequestsHarness(1, router)
+    harness.add_request(READ, 1)
+    assert not harness.running and harness.owners[0].finals == [req.FAILED]
+    ended = [event for event in router.events if isinstance(event, api.AttemptEnded)]
+    assert [event.outcome for event in ended] == [Outcome.NOT_SENT] * 2
 
 
-def test_a_cancelled_attempt_ends_once_and_its_late_answer_is_nobodys() -> None:
-    decider = Scripted([], [], [api.Send("1", 1)], [api.Cancel("1", 0), api.Send("1", 2)])
-    world = World(1, decider)
-    world.ask(READ, 1)
-    (first,) = world.out.values()
-    world.do(world.requests.handle(api.TimerFired("x"), world.now))
-    assert first.has_ended and [one.member for one in world.out.values()] == [2]
-    assert world.requests.handle_attempt_end(first, Outcome.SERVED, world.now, world.now, b"late") == []
-    assert world.owners[0].finals == []
+def test_a_cancelled_attempt_ends_once_and_its_late_answer_is_dropped() -> None:
+    router = ScriptedRouter([], [], [api.Send("1", 1)], [api.Cancel("1", 0), api.Send("1", 2)])
+    harness = RequestsHarness(1, router)
+    harness.add_request(READ, 1)
+    (first,) = harness.running.values()
+    harness.carry_out(harness.requests.handle(api.TimerFired("x"), harness.now))
+    assert first.has_ended and [attempt.member for attempt in harness.running.values()] == [2]
+    assert harness.requests.handle_attempt_end(first, Outcome.SERVED, harness.now, harness.now, b"late") == []
+    assert harness.owners[0].finals == []
 
 
 def test_an_open_id_is_known_until_its_answer() -> None:
-    world = World(1, Scripted([], [], [api.Send("1", 1)]))
-    world.ask(READ, 1)
-    assert world.requests.is_open(b"0001") and not world.requests.is_open(b"0002")
-    world.do(world.requests.handle_departure(world.open[0], world.now))
-    assert not world.requests.is_open(b"0001"), "the same id may come again on a new connection"
+    harness = RequestsHarness(1, ScriptedRouter([], [], [api.Send("1", 1)]))
+    harness.add_request(READ, 1)
+    assert harness.requests.is_open(b"0001") and not harness.requests.is_open(b"0002")
+    harness.carry_out(harness.requests.handle_departure(harness.open_requests[0], harness.now))
+    assert not harness.requests.is_open(b"0001"), "the same id may come again on a new connection"
 
 
-def test_numbers_are_never_given_again_and_what_left_is_let_go() -> None:
+def test_numbers_are_never_reused_and_members_that_left_are_forgotten() -> None:
     numbers = req.MemberNumbers()
     first = [numbers.number_for(name) for name in ("a", "b", "a")]
     assert first == [1, 2, 1] and numbers.name_of(2) == "b"
@@ -375,8 +379,9 @@
 # ---- Configuration ----
 
 
-def written(place: Path, **changes: Any) -> dict[str, str]:
-    text = {
+def write_config(folder: Path, **changes: Any) -> dict[str, str]:
+    """Write a configuration file and return the environment that names it."""
+    content = {
         "name": "n0",
         "listen": "127.0.0.1:6432",
         "discovery": "127.0.0.1:8500",
@@ -384,26 +389,26 @@
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "settings": OPTIONS,
     } | changes
-    path = place / "config.json"
-    path.write_text(json.dumps(text))
+    path = folder / "config.json"
+    path.write_text(json.dumps(content))
     return {"GW_CONFIG": str(path), "GW_DISCOVERY": "127.0.0.1:1"}
 
 
-def test_a_configuration_is_read_and_the_file_goes_before_a_variable(tmp_path: Path) -> None:
-    told = config.load(written(tmp_path))
-    assert told.discovery == ("127.0.0.1", 8500) and told.settings.seed == 0x8C1F30D27A5BE964
-    assert (told.dial_s, told.idle_s, told.limits.sockets) == (0.25, 15.0, 256)
-    assert config.load(written(tmp_path, discovery="")).discovery == ("127.0.0.1", 1)
+def test_a_value_in_the_configuration_file_wins_over_a_variable(tmp_path: Path) -> None:
+    loaded = config.load(write_config(tmp_path))
+    assert loaded.discovery == ("127.0.0.1", 8500) and loaded.settings.seed == 0x8C1F30D27A5BE964
+    assert (loaded.dial_s, loaded.idle_s, loaded.limits.sockets) == (0.25, 15.0, 256)
+    assert config.load(write_config(tmp_path, discovery="")).discovery == ("127.0.0.1", 1)
 
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
-def test_the_list_is_followed_whatever_the_settings_call_it_as_nobody_pushes_it(tmp_path: Path, discovery: str) -> None:
-    told = config.load(written(tmp_path, settings=OPTIONS | {"Discovery": discovery}))
-    assert api.FollowRoster() in Router(told.settings).handle(api.Start(), 0)
+def test_the_list_is_followed_even_if_the_settings_say_that_it_is_pushed(tmp_path: Path, discovery: str) -> None:
+    loaded = config.load(write_config(tmp_path, settings=OPTIONS | {"Discovery": discovery}))
+    assert api.FollowRoster() in Router(loaded.settings).handle(api.Start(), 0)
 
 
 @pytest.mark.parametrize(
-    ("changes", "names"),
+    ("changes", "message"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"discovery": "127.0.0.1:99999"}, "discovery"),
@@ -418,25 +423,25 @@
         ({"settings": OPTIONS | {"Fleet": {}}}, "settings.Fleet: expected none, gateways share nothing"),
     ],
 )
-def test_a_wrong_configuration_is_one_line_that_names_its_place(
-    tmp_path: Path, changes: dict[str, Any], names: str
+def test_a_configuration_error_is_one_line_that_names_its_place(
+    tmp_path: Path, changes: dict[str, Any], message: str
 ) -> None:
     with pytest.raises(config.ConfigError) as problem:
-        config.load(written(tmp_path, **changes))
-    assert names in str(problem.value) and "\n" not in str(problem.value)
+        config.load(write_config(tmp_path, **changes))
+    assert message in str(problem.value) and "\n" not in str(problem.value)
 
 
 def test_a_missing_or_broken_file_is_one_line(tmp_path: Path) -> None:
     for environment in ({}, {"GW_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(config.ConfigError, match="GW_CONFIG"):
             config.load(environment)
-    environment = written(tmp_path)
+    environment = write_config(tmp_path)
     (tmp_path / "config.json").write_text('{"name": "n0", "sett')
     with pytest.raises(config.ConfigError, match="config.json"):
         config.load(environment)
 
 
-# ---- The list ----
+# ---- Discovery's list ----
 
 ENTRY = {
     "id": "s-1",
@@ -451,8 +456,8 @@
 }
 
 
-def test_a_list_is_read_and_a_bad_entry_harms_only_itself() -> None:
-    bad = [
+def test_a_bad_entry_affects_no_other_entry() -> None:
+    bad_entries = [
         ENTRY | {"id": "s-2", "state": "asleep"},
         ENTRY | {"id": "s-3", "addr": "here"},
         {"id": 7},
@@ -460,12 +465,12 @@
         ENTRY | {"id": "s-4", "started_ms": -1},
         ENTRY | {"id": "s-5", "cell": "x"},
     ]
-    text = json.dumps({"version": 41, "full": True, "servers": [*bad, ENTRY]}).encode()
+    text = json.dumps({"version": 41, "full": True, "servers": [*bad_entries, ENTRY]}).encode()
     lines: list[str] = []
     news = discovery.read(text, False, lines.append)
-    assert (news.version, news.kind) == (41, RosterKind.WHOLE) and len(lines) == len(bad)
+    assert (news.version, news.kind) == (41, RosterKind.WHOLE) and len(lines) == len(bad_entries)
     assert news.servers == (discovery.Server("s-1", ("127.0.0.1", 6432), "a", "m", 3, api.Listing.READY, True, 5),)
-    assert news.unread == ("s-2", "s-3", "s-4", "s-5"), "they are there, whatever else is said of them"
+    assert news.unread == ("s-2", "s-3", "s-4", "s-5"), "they are listed, though the rest cannot be read"
     gone = {"id": "s-9", "state": "terminated"}
     changes = discovery.read(json.dumps({"version": 42, "servers": [gone]}).encode(), False, lines.append)
     assert changes.kind is RosterKind.CHANGES and changes.servers[0].listing is api.Listing.GONE
