--- a/oatlink/platform/discovery/watch.py
+++ b/oatlink/platform/discovery/watch.py
@@ -83,7 +83,7 @@
                 # turn without a pause. The whole list resolves a single step back; when discovery goes back again, the
                 # call counts as failed and the Router pauses.
                 if has_gone_back:
-                    self._report_failure(path, "versions go back again and again")
+                    self._report_failure(path, "version went back repeatedly")
                     return
                 status = await self._call_whole_list()
                 has_gone_back = status is not AnswerStatus.STALE
@@ -110,7 +110,7 @@
         """Request the whole list; None if the call failed. Raises nothing."""
         status = await self._call(LIST_PATH, 0.0)
         if status is AnswerStatus.WENT_BACK:
-            self._report_failure(LIST_PATH, "older changes where the whole list was asked for")
+            self._report_failure(LIST_PATH, "expected the whole list, got changes to an older version")
             return None
         return status
 
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -64,14 +64,14 @@
         available = config.limits.sockets - RESERVED_DESCRIPTORS
         max_server_connections = round(available * SERVER_DESCRIPTOR_SHARE)
         bounds = Bounds(config.dial_s, config.idle_s, max_server_connections)
-        self._servers = Servers(bounds, self._marks, self.note, self._keep)
+        self._servers = Servers(bounds, self._marks, self.note, self._track_task)
         self._max_clients = available - max_server_connections
         self.room = Room(0, 0)
         self._update_room()
-        self._clients = Clients(sock, self._max_clients, self, self._marks, self._keep, self.note)
+        self._clients = Clients(sock, self._max_clients, self, self._marks, self._track_task, self.note)
         self._discovery = Discovery(config.discovery, config.watch_s, self._on_news, self.note)
         self._ended = asyncio.Event()
-        self._reload = Reload(self._apply, self._keep)
+        self._reload = Reload(self._apply, self._track_task)
         self._answers = AnswersSeen()  # since the last state line in the log
 
     # ---- Start, sweeps and shutdown ----
@@ -104,7 +104,7 @@
         self._servers.close()
         LOG.info("ended")
 
-    def _keep(self, task: "asyncio.Future[None]") -> None:
+    def _track_task(self, task: "asyncio.Future[None]") -> None:
         """Keep a reference to a task, which could be garbage-collected otherwise, and log its exception, if any."""
         self._tasks.add(task)
         task.add_done_callback(self._task_done)
@@ -166,7 +166,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, lambda: None)
-        self._keep(asyncio.ensure_future(self._shut_down()))
+        self._track_task(asyncio.ensure_future(self._shut_down()))
 
     async def _shut_down(self) -> None:
         await asyncio.sleep(SHUTDOWN_GRACE_S)
@@ -331,7 +331,7 @@
             if position_ms is not None or answer.role() is not api.Role.UNKNOWN:
                 report = Report(None if position_ms is None else self._to_clock_us(position_ms * 1000), answer.role())
             if answer.sqlstate == "08P01":
-                LOG.error("defect: a server did not take a statement")
+                LOG.error("defect: a server rejected a statement as a protocol violation")
         payload = answer.payload if answer is not None else b""
         self._answers.add(outcome, at_us - sent.attempt.started_us)
         self._carry_out_all(self._requests.handle_attempt_end(sent.attempt, outcome, at_us, now_us(), payload, report))
--- a/oatlink/platform/reload.py
+++ b/oatlink/platform/reload.py
@@ -16,8 +16,8 @@
 class Reload:
     """Runs at most one reading of the file: a newer signal's reading replaces one that is in progress."""
 
-    def __init__(self, apply: Callable[[Config], None], keep: Callable[["asyncio.Future[None]"], None]) -> None:
-        self._apply, self._keep = apply, keep
+    def __init__(self, apply: Callable[[Config], None], track_task: Callable[["asyncio.Future[None]"], None]) -> None:
+        self._apply, self._track_task = apply, track_task
         self._reading: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -25,7 +25,7 @@
         if self._reading is not None:
             self._reading.cancel()
         self._reading = asyncio.ensure_future(self._read())
-        self._keep(self._reading)
+        self._track_task(self._reading)
 
     async def _read(self) -> None:
         """Read and apply the file. While it cannot be read, the old settings stay and the reading is retried.
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -49,7 +49,7 @@
         """Forget a connection that has closed."""
         ...
 
-    def keep(self, task: "asyncio.Future[None]") -> None:
+    def track_task(self, task: "asyncio.Future[None]") -> None:
         """Keep a reference to a task until it ends."""
         ...
 
@@ -104,7 +104,7 @@
         except StreamClosedError:
             self.close()
             return
-        self._owner.keep(asyncio.ensure_future(self._run(reading)))
+        self._owner.track_task(asyncio.ensure_future(self._run(reading)))
 
     def _read(self) -> Awaitable[bytes]:
         return self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
--- a/oatlink/platform/servers/pool.py
+++ b/oatlink/platform/servers/pool.py
@@ -36,7 +36,7 @@
         self.servers, self.number, self.address = servers, number, address
         self.idle: list[Connection] = []
         self.busy: dict[Job, Connection] = {}
-        self.waiting: dict[Job, int] = {}  # jobs without a connection, by the time since when they wait; in order
+        self.waiting: dict[Job, int] = {}  # jobs without a connection, in order, with the time since when they wait
         self.dialing = 0
         self.is_retired = False  # the server has left the list, or has another address
 
@@ -54,9 +54,9 @@
         """Write a line about this server to the log."""
         self.servers.note(f"server {self.address[0]}:{self.address[1]}: {text}")
 
-    def keep(self, task: "asyncio.Future[None]") -> None:
+    def track_task(self, task: "asyncio.Future[None]") -> None:
         """See `ConnectionOwner`."""
-        self.servers.keep(task)
+        self.servers.track_task(task)
 
     def launch(self, job: Job) -> None:
         """Write a job on an idle connection, or queue it until there is one."""
@@ -72,7 +72,7 @@
             return True
         while self.idle:
             connection = self.idle.pop()
-            # Prevents a reset when a server closes the connection right after an answer: such a one is not used again.
+            # A server may close a connection right after an answer; a request written to it would be reset.
             if connection.stream.at_rest():
                 self.busy[job], connection.pool_job = connection, job
                 connection.write_job(job)
@@ -146,7 +146,7 @@
     def _dial_more(self) -> None:
         while self.dialing < min(len(self.waiting), MAX_PARALLEL_DIALS) and self.servers.may_dial():
             self.dialing += 1
-            self.keep(asyncio.ensure_future(self._dial()))
+            self.track_task(asyncio.ensure_future(self._dial()))
 
     async def _dial(self) -> None:
         """Open one more connection. The job that has waited longest takes it, whichever it was dialled for."""
@@ -215,9 +215,13 @@
     """
 
     def __init__(
-        self, bounds: Bounds, marks: Marks, note: Callable[[str], None], keep: Callable[["asyncio.Future[None]"], None]
+        self,
+        bounds: Bounds,
+        marks: Marks,
+        note: Callable[[str], None],
+        track_task: Callable[["asyncio.Future[None]"], None],
     ) -> None:
-        self.bounds, self.marks, self.note, self.keep = bounds, marks, note, keep
+        self.bounds, self.marks, self.note, self.track_task = bounds, marks, note, track_task
         self.active: dict[Pool, None] = {}
         self._pools: dict[int, Pool] = {}
 
