--- a/benchmarks/scale/slopes/calls.py
+++ b/benchmarks/scale/slopes/calls.py
@@ -7,7 +7,7 @@
 
 from benchmarks.scale.lists import page, unchanged
 from benchmarks.scale.measure import Measurement, Values
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 from oatlink.platform.discovery import read
 from oatlink.platform.discovery.calls import get
 
@@ -70,13 +70,13 @@
 
 
 async def _calls(port: int) -> float:
-    marks = Marks()
+    turn_clock = TurnClock()
     path = "/v1/endpoints?since=1234567&timeout_ms=2500"
-    await get(("127.0.0.1", port), path, 1.0, 5.0, marks)
+    await get(("127.0.0.1", port), path, 1.0, 5.0, turn_clock)
     took = 0.0
     for _ in range(CALLS):
         began = time.thread_time()
-        text = await get(("127.0.0.1", port), path, 1.0, 5.0, marks)
+        text = await get(("127.0.0.1", port), path, 1.0, 5.0, turn_clock)
         read(text, False, _note)
         took += time.thread_time() - began
     return took
--- a/benchmarks/scale/slopes/host.py
+++ b/benchmarks/scale/slopes/host.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from oatlink.gateway.clock import Marks, now_us
+from oatlink.gateway.clock import TurnClock, now_us
 from oatlink.interface import Effect, Freshness, Outcome, RequestClass
 from oatlink.platform.clients import Clients, Query, Room
 from oatlink.platform.gateway import SWEEP_S
@@ -91,13 +91,15 @@
     def __init__(self, ports: list[int]) -> None:
         self.tasks: set[asyncio.Future[None]] = set()
         self.ports, self.members = ports, 0
-        marks = Marks()
-        self.servers = Servers(Bounds(5.0, 3_600.0, 60_000), marks, print, self.keep)
+        turn_clock = TurnClock()
+        self.servers = Servers(Bounds(5.0, 3_600.0, 60_000), turn_clock, print, self.keep)
         self.clients: Clients | None = None
         if not ports:
             sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
             sock.setblocking(False)
-            self.clients = Clients(sock, 60_000, Asker(), marks, self.keep, lambda text: print(text, file=sys.stderr))
+            self.clients = Clients(
+                sock, 60_000, Asker(), turn_clock, self.keep, lambda text: print(text, file=sys.stderr)
+            )
 
     def keep(self, task: "asyncio.Future[None]") -> None:
         """Hold a task until it ends."""
--- a/oatlink/gateway/clients.py
+++ b/oatlink/gateway/clients.py
@@ -50,7 +50,7 @@
             return False
         if self.unsent or self.out:
             return True  # within `client_write_timeout_ms`, which is longer than an ending's own patience
-        return not self.hung_us and (self.unanswered > 0 or not self.stream.at_rest())
+        return not self.hung_us and (self.unanswered > 0 or not self.stream.is_idle())
 
     def _ended(self) -> None:
         self.wake()
--- a/oatlink/gateway/clock.py
+++ b/oatlink/gateway/clock.py
@@ -16,7 +16,7 @@
 
 from tornado.iostream import IOStream
 
-CLIENTS_A_TURN = 64  # about 10 ms of work
+CLIENTS_PER_TURN = 64  # about 10 ms of work
 LATE_S = 0.01  # a timer later than this was held up by this process
 
 
@@ -25,12 +25,12 @@
     return time.monotonic_ns() // 1000
 
 
-def slept_us() -> int:
+def machine_sleep_us() -> int:
     """How long the machine has slept since it started: time that `now_us` does not count."""
     return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()) // 1000
 
 
-class Marks:
+class TurnClock:
     """When the present turn of the loop began, and who waits for the next one.
 
     Threat: thousands of clients that ask in the same turn. The answers of boxes that came meanwhile would wait until
@@ -38,10 +38,10 @@
     """
 
     def __init__(self) -> None:
-        self._let_in = 0
+        self._admitted_count = 0
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._began_us = 0
-        self.before_us = 0  # when the turn before it began: what a poll finds came after that
+        self.previous_began_us = 0  # when the turn before it began: what a poll finds came after that
         self._marked = False
         self._used = False
 
@@ -50,7 +50,7 @@
         self._used = True
         if not self._marked:
             self._marked = True
-            self._began_us = self.before_us = now_us()
+            self._began_us = self.previous_began_us = now_us()
             asyncio.get_running_loop().call_soon(self._mark)
         return self._began_us
 
@@ -58,29 +58,29 @@
         """The next turn has begun; marking goes on while there is something to mark."""
         if self._used:
             self._used = False
-            self.before_us, self._began_us = self._began_us, now_us()
-            self._let_in = 0
-            while self._waiting and self._let_in < CLIENTS_A_TURN:
+            self.previous_began_us, self._began_us = self._began_us, now_us()
+            self._admitted_count = 0
+            while self._waiting and self._admitted_count < CLIENTS_PER_TURN:
                 one = self._waiting.popleft()
                 if not one.done():
                     one.set_result(None)
-                    self._let_in += 1
+                    self._admitted_count += 1
                     self._used = True
             asyncio.get_running_loop().call_soon(self._mark)
         else:
             self._marked = False
-            self._let_in = 0
+            self._admitted_count = 0
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Clients that wait to be let in."""
         return len(self._waiting)
 
-    async def let_in(self, again: bool = False) -> None:
+    async def admit_client(self, again: bool = False) -> None:
         """Wait for one's place in this turn or a later one; `again`: one has had a place in this one."""
         self.turn_began_us()
-        if not again and self._let_in < CLIENTS_A_TURN and not self._waiting:
-            self._let_in += 1
+        if not again and self._admitted_count < CLIENTS_PER_TURN and not self._waiting:
+            self._admitted_count += 1
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
@@ -90,24 +90,24 @@
 class Stream(IOStream):
     """A stream that knows since when, at least, the bytes read last had been there."""
 
-    def __init__(self, sock: socket.socket, marks: Marks, **more: Any) -> None:
-        self._marks = marks
+    def __init__(self, sock: socket.socket, turn_clock: TurnClock, **more: Any) -> None:
+        self._turn_clock = turn_clock
         self._polled = False
-        self.ready_us = 0  # the bytes read last were there then
-        self.since_us = 0  # and had not come before
-        self.handed = 0  # bytes that the socket has taken
+        self.arrived_by_us = 0  # the bytes read last were there then
+        self.arrived_after_us = 0  # and had not come before
+        self.sent_bytes = 0  # bytes that the socket has taken
         super().__init__(sock, **more)
 
     def _handle_events(self, fd: Any, events: int) -> None:
         # Tornado's one entry from the poll; a read outside of it is tried on the chance, of bytes that just came.
         self._polled = True
-        self._marks.turn_began_us()
+        self._turn_clock.turn_began_us()
         try:
             super()._handle_events(fd, events)
         finally:
             self._polled = False
 
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether a read waits and nothing has come for it, neither bytes nor the end; what has come may be unseen yet.
 
         Threat: a peer that is just asking, or has just closed. Bytes may lie in the socket, or be read from it and not
@@ -134,21 +134,21 @@
     def write_to_fd(self, data: memoryview) -> int:
         """See `BaseIOStream.write_to_fd`."""
         taken = super().write_to_fd(data)
-        self.handed += taken
+        self.sent_bytes += taken
         return taken
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         """See `BaseIOStream.read_from_fd`."""
         got = super().read_from_fd(buf)
         if got:
-            self.ready_us = self.since_us = self._marks.turn_began_us() if self._polled else now_us()
+            self.arrived_by_us = self.arrived_after_us = self._turn_clock.turn_began_us() if self._polled else now_us()
             if self._polled:
-                self.since_us = self._marks.before_us
+                self.arrived_after_us = self._turn_clock.previous_began_us
         return got
 
 
 @contextlib.asynccontextmanager
-async def patience(seconds: float) -> AsyncIterator[None]:
+async def timeout_excluding_stalls(seconds: float) -> AsyncIterator[None]:
     """Like `asyncio.timeout`, but time for which this process stood still is given back, once.
 
     Threat: a process stopped for a second finds all its time-outs passed and reads none of the answers that came.
--- a/oatlink/gateway/links/connection.py
+++ b/oatlink/gateway/links/connection.py
@@ -87,7 +87,7 @@
         except (StreamClosedError, ProtocolError):
             raise DialError("refused") from None
         self.run_id = parse_info(info).run_id
-        self.greeted = self.stream.handed
+        self.greeted = self.stream.sent_bytes
         return info
 
     async def info(self, count: int) -> bytes:
@@ -187,7 +187,7 @@
         if not self.pending:
             self.alone = False
             self.idle_since_us = self._reports.now()
-        now, ready = self._reports.now(), self.stream.ready_us
+        now, ready = self._reports.now(), self.stream.arrived_by_us
         # How long the answer had lain here is the gateway's own lateness, not the box's time.
         took = max(0, (ready if ready > head.flushed_us else now) - head.flushed_us)
         self._reports.replied(head.send, head.sent_us, took, head.frames, info, follows, self.address)
@@ -202,7 +202,7 @@
         self.stream.close()
         self._owner.lost(self)
         pending, self.pending = list(self.pending), deque()
-        handed = self.stream.handed - self.greeted
+        handed = self.stream.sent_bytes - self.greeted
         with self._reports.turn():
             for one in pending:
                 # A server runs a command once it has all of it (redis.io, protocol specification: arrays of bulk
--- a/oatlink/gateway/links/dialling.py
+++ b/oatlink/gateway/links/dialling.py
@@ -8,7 +8,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.netutil import Resolver
 
-from oatlink.gateway.clock import Marks, Stream, patience
+from oatlink.gateway.clock import Stream, TurnClock, timeout_excluding_stalls
 from oatlink.settings.parts import address_fits
 
 
@@ -16,24 +16,24 @@
     """No connection; the text is a word of `outcomes.ENDINGS`."""
 
 
-async def connect(address: str, timeout_s: float, marks: Marks | None = None, keepalive_s: int = 0) -> Stream:
+async def connect(address: str, timeout_s: float, turn_clock: TurnClock | None = None, keepalive_s: int = 0) -> Stream:
     """A stream to host:port or unix:PATH. Raises `DialError`.
 
     `keepalive_s` above 0: the kernel asks an idle peer so often, and ends the connection after three silences.
     """
     assert address_fits(address)
     stream: Stream | None = None
-    marks = marks or Marks()
+    turn_clock = turn_clock or TurnClock()
     try:
-        async with patience(timeout_s):
+        async with timeout_excluding_stalls(timeout_s):
             if address.startswith("unix:"):
-                stream = Stream(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), marks, max_buffer_size=1 << 30)
+                stream = Stream(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), turn_clock, max_buffer_size=1 << 30)
                 await stream.connect(address[5:])
                 return stream
             host, _, port = address.rpartition(":")
             found = await Resolver().resolve(host.strip("[]"), int(port))
             family, where = found[0]
-            stream = Stream(socket.socket(family, socket.SOCK_STREAM), marks, max_buffer_size=1 << 30)
+            stream = Stream(socket.socket(family, socket.SOCK_STREAM), turn_clock, max_buffer_size=1 << 30)
             stream.set_nodelay(True)
             if keepalive_s:
                 stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/oatlink/gateway/links/probes.py
+++ b/oatlink/gateway/links/probes.py
@@ -5,7 +5,7 @@
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
-from oatlink.gateway.clock import patience
+from oatlink.gateway.clock import timeout_excluding_stalls
 from oatlink.gateway.links.connection import ASK, Connection, Owner
 from oatlink.gateway.links.dialling import DialError, connect
 from oatlink.gateway.links.facts import Facts
@@ -46,10 +46,10 @@
         way, settings = self._facts.ways.get(address), self._facts.settings
         dial_s = ((way.connect_timeout_ms if way is not None else 0) or settings.connect_timeout_ms) / 1000
         try:
-            async with patience(settings.probe_timeout_ms / 1000):
+            async with timeout_excluding_stalls(settings.probe_timeout_ms / 1000):
                 connection = self._open.get(address)
                 if connection is None:
-                    stream = await connect(address, dial_s, self._reports.marks)
+                    stream = await connect(address, dial_s, self._reports.turn_clock)
                     connection = Connection(self._owner, stream, 2, address)
                     self._open[address] = connection
                     asked_us = self._reports.now()
@@ -74,8 +74,8 @@
                 connection.close("reset")
         self._asking.discard(address)
         took_us = self._reports.now() - asked_us
-        if how == "reply" and connection is not None and connection.stream.ready_us > asked_us:
-            took_us = connection.stream.ready_us - asked_us
+        if how == "reply" and connection is not None and connection.stream.arrived_by_us > asked_us:
+            took_us = connection.stream.arrived_by_us - asked_us
         with self._reports.turn():
             self._reports.probed(how, asked_us, took_us, info, address)
 
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -12,7 +12,7 @@
 
     def __init__(self, name: str, shell: Shell) -> None:
         self._name, self._shell = name, shell
-        self.now, self.turn, self.dirty, self.marks = shell.now, shell.turn, shell.dirty, shell.marks
+        self.now, self.turn, self.dirty, self.turn_clock = shell.now, shell.turn, shell.dirty, shell.turn_clock
 
     def ended(self, send: m.Send, how: str, sent_us: int, frames: list[bytes], info: bytes, address: str = "") -> None:
         """A request has ended."""
--- a/oatlink/gateway/links/turn.py
+++ b/oatlink/gateway/links/turn.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from oatlink.core import messages as m
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 
 
 class Flushed(Protocol):
@@ -21,7 +21,7 @@
     """What a link, or who reads a client, needs of the gateway."""
 
     now: Callable[[], int]
-    marks: Marks
+    turn_clock: TurnClock
 
     def feed(self, given: m.AnyInput) -> None:
         """Hand the engine an input."""
--- a/oatlink/gateway/links/wants.py
+++ b/oatlink/gateway/links/wants.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from oatlink.core import messages as m
-from oatlink.gateway.clock import patience
+from oatlink.gateway.clock import timeout_excluding_stalls
 from oatlink.gateway.links.connection import Connection, Owner
 from oatlink.gateway.links.dialling import DialError, connect
 from oatlink.gateway.links.facts import Facts
@@ -81,13 +81,13 @@
         """A connection that has said nothing yet. Raises `DialError`."""
         way = self._facts.ways.get(effect.address)
         keepalive_s = (way.keepalive_s if way is not None else 0) or self._facts.settings.keepalive_s
-        stream = await connect(effect.address, effect.timeout_us / 1e6, self._reports.marks, keepalive_s)
+        stream = await connect(effect.address, effect.timeout_us / 1e6, self._reports.turn_clock, keepalive_s)
         return Connection(self._owner, stream, protocol, effect.address)
 
     async def _greet(self, connection: Connection, timeout_s: float) -> bytes:
         """What the box says of itself on a new connection. Raises `DialError`."""
         try:
-            async with patience(timeout_s):
+            async with timeout_excluding_stalls(timeout_s):
                 info = await connection.greet(self._facts.settings.user, self._facts.settings.password)
         except TimeoutError:
             connection.close("reset")
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -29,14 +29,14 @@
         if client.is_deaf:
             client.ending.discard(len(data))
             return
-        came_us = turn_us = stream.since_us
+        came_us = turn_us = stream.arrived_after_us
         if not resumed_us:
             # Threat: the stream reads ahead. What came while its client's earlier commands were seen to
             # waited for those, as the rest of a full pipeline does.
             turn_us = max(came_us, ready_us)
         elif resumed_us <= came_us < resumed_us + 1_000:
             came_us = turn_us = client.refused_us  # it lay unread; since when is not known
-        await shell.marks.let_in()
+        await shell.turn_clock.admit_client()
         reader.feed(data)
         while True:
             # Threat: a pipeline that is refused for its own length. A command waits for its client's earlier
@@ -54,7 +54,7 @@
                         break
                     client.unanswered += 1
                     taken += 1
-                    waiting = shell.marks.waiting
+                    waiting = shell.turn_clock.waiting_count
                     shell.feed(m.Asked(client.number, args, late_us, waiting, waited_us, turn_us - came_us))
             if client.is_over:
                 break
@@ -71,7 +71,9 @@
                 client.lacks_room = False
             turn_us = now_us()  # the rest waited for its own earlier commands, not for this process
             if taken == COMMANDS_A_TURN:
-                await shell.marks.let_in(again=True)  # what is answered here at once never fills the pipeline
+                await shell.turn_clock.admit_client(
+                    again=True
+                )  # what is answered here at once never fills the pipeline
 
 
 async def _pause(client: Client) -> int:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -16,7 +16,7 @@
 from oatlink.core.snapshot import take
 from oatlink.core.ways import ways_of
 from oatlink.gateway.clients import Client, accept_rest, discard
-from oatlink.gateway.clock import Marks, Stream, now_us, slept_us
+from oatlink.gateway.clock import Stream, TurnClock, machine_sleep_us, now_us
 from oatlink.gateway.links import Flushed, Link, Shell, Turn, swallow
 from oatlink.gateway.listeners import boxes_of
 from oatlink.gateway.metrics import Metrics
@@ -45,7 +45,7 @@
     def __init__(self, settings: Settings, notes: Notes | None = None) -> None:
         self.settings = settings
         self.now = now_us
-        self.marks = Marks()
+        self.turn_clock = TurnClock()
         self.notes = notes or Notes(settings.logs)
         began_us = now_us()
         self.engine = start_engine(settings, began_us, lambda text: self.notes.note("snapshot", text))
@@ -62,7 +62,7 @@
         self._inputs: deque[m.AnyInput] = deque()
         self._running = False
         self._now_us = began_us  # of the newest input
-        self._slept_us = slept_us()
+        self._slept_us = machine_sleep_us()
         self._turn = Turn(self._flush)
         self._dirty_links: list[Flushed] = []
         self._dirty_clients: list[Client] = []
@@ -170,7 +170,7 @@
         return any(link.probing for link in self._links.values())
 
     def _sweep(self) -> None:
-        slept = slept_us()
+        slept = machine_sleep_us()
         if slept - self._slept_us > SLEPT_US:
             self.feed(m.Gapped())
         self._slept_us = slept
@@ -289,7 +289,7 @@
 
     def _accept(self, sock: socket.socket, address: object, admin: bool = False) -> None:
         most_unsent = self.settings.limits.client_output_bytes
-        stream = Stream(sock, self.marks, max_buffer_size=1 << 30, max_write_buffer_size=most_unsent)
+        stream = Stream(sock, self.turn_clock, max_buffer_size=1 << 30, max_write_buffer_size=most_unsent)
         if len(self._clients) >= self.settings.limits.clients:
             self._turn_away(stream)
             return
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -130,7 +130,7 @@
                     self.ending.discard(len(data))
                 else:
                     self._reader.feed(data)
-                    self._arrivals.came(len(data), self.stream.ready_us)
+                    self._arrivals.came(len(data), self.stream.arrived_by_us)
                     self.step()
         except StreamClosedError:
             pass
@@ -145,7 +145,7 @@
         """Whether something is still to be answered: a query, or one that is here in part or may be."""
         if self.waits or self.ending.discards:
             return self.waits
-        return self._paused or self._reader.pending > 0 or not self.stream.at_rest()
+        return self._paused or self._reader.pending > 0 or not self.stream.is_idle()
 
     def step(self) -> None:
         """Take the messages that are here, as far as there is room, up to a query; the next turn goes on behind it.
@@ -342,7 +342,7 @@
         """Since when nothing is open here and nothing under way; None while something is, or the connection ends."""
         if self.waits or not self.ending.may_take or self._reader.pending or self._is_busy():
             return None
-        if not self.stream.at_rest():
+        if not self.stream.is_idle():
             return None
         return self.free_us
 
--- a/oatlink/platform/clients/listener.py
+++ b/oatlink/platform/clients/listener.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from oatlink.gateway.clock import Marks, Stream, now_us
+from oatlink.gateway.clock import Stream, TurnClock, now_us
 from oatlink.platform.clients import answers
 from oatlink.platform.clients.connection import CHUNK, Asker, Client
 
@@ -27,11 +27,11 @@
         sock: socket.socket,
         most: int,
         asker: Asker,
-        marks: Marks,
+        turn_clock: TurnClock,
         keep: Callable[["asyncio.Future[None]"], None],
         note: Callable[[str], None],
     ) -> None:
-        self._sock, self._asker, self._marks, self._keep, self._note = sock, asker, marks, keep, note
+        self._sock, self._asker, self._turn_clock, self._keep, self._note = sock, asker, turn_clock, keep, note
         self._most_ending = max(2, most // ENDING_PART)
         self._most = most - self._most_ending
         self.all: dict[Client, None] = {}
@@ -66,7 +66,7 @@
 
     def _take(self, sock: socket.socket) -> Client:
         stream = Stream(
-            sock, self._marks, max_buffer_size=2 * CHUNK, max_write_buffer_size=MOST_WRITTEN, read_chunk_size=CHUNK
+            sock, self._turn_clock, max_buffer_size=2 * CHUNK, max_write_buffer_size=MOST_WRITTEN, read_chunk_size=CHUNK
         )
         stream.set_nodelay(True)
         client = Client(stream, self._asker, self)
--- a/oatlink/platform/discovery/calls.py
+++ b/oatlink/platform/discovery/calls.py
@@ -6,7 +6,7 @@
 import h11
 from tornado.iostream import StreamClosedError
 
-from oatlink.gateway.clock import Marks, Stream, patience
+from oatlink.gateway.clock import Stream, TurnClock, timeout_excluding_stalls
 
 MOST_BYTES = 4 * 1024 * 1024  # of a body
 MOST_AROUND = 65_536  # of all that is not body: status lines, headers, the frames of chunks
@@ -18,7 +18,7 @@
     """A call that brought no whole answer; says why."""
 
 
-async def get(address: tuple[str, int], path: str, dial_s: float, most_s: float, marks: Marks) -> bytes:
+async def get(address: tuple[str, int], path: str, dial_s: float, most_s: float, turn_clock: TurnClock) -> bytes:
     """The body of a good answer. Ends with its last byte, or `most_s` after it began, whatever trickles in by then.
 
     Raises `CallError` where no connection comes up within `dial_s`, where the answer is not whole in time or over its
@@ -26,15 +26,15 @@
     """
     stream: Stream | None = None
     try:
-        async with patience(most_s):
+        async with timeout_excluding_stalls(most_s):
             host, port = address
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             stream = Stream(
-                socket.socket(family, socket.SOCK_STREAM), marks, max_buffer_size=2 * CHUNK, read_chunk_size=CHUNK
+                socket.socket(family, socket.SOCK_STREAM), turn_clock, max_buffer_size=2 * CHUNK, read_chunk_size=CHUNK
             )
             stream.set_nodelay(True)
             # A connection that hangs is known as such before a watch's wait is over.
-            async with patience(dial_s):
+            async with timeout_excluding_stalls(dial_s):
                 await stream.connect(address)
             where = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
             return await _exchange(stream, where, path)
--- a/oatlink/platform/discovery/watch.py
+++ b/oatlink/platform/discovery/watch.py
@@ -6,7 +6,7 @@
 import asyncio
 from collections.abc import Callable
 
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 from oatlink.platform.discovery import calls
 from oatlink.platform.discovery.lists import ListError, News, read
 from oatlink.platform.discovery.order import Order, Verdict
@@ -30,7 +30,7 @@
         """`told`: news, or None for a call that failed. `wait_s`: how long a watch may wait for something new."""
         self.address, self._wait_s, self._told, self._note, self._call_s = address, wait_s, told, note, call_s
         self._order = Order()
-        self._marks = Marks()
+        self._turn_clock = TurnClock()
         self._watch: asyncio.Task[None] | None = None
         self._fetch: asyncio.Task[None] | None = None
 
@@ -116,7 +116,7 @@
         """One call's verdict; None where it failed. What counts of it has been told. Raises nothing of the call's."""
         began = self._order.begin()
         try:
-            text = await calls.get(self.address, path, self._call_s, wait_s + self._call_s, self._marks)
+            text = await calls.get(self.address, path, self._call_s, wait_s + self._call_s, self._turn_clock)
             news = read(text, False, self._note)
         except (calls.CallError, ListError) as problem:
             self._failed(path, str(problem))
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -14,7 +14,7 @@
 
 from oatlink import interface as api
 from oatlink.beliefs import belief as belief_of
-from oatlink.gateway.clock import Marks, now_us
+from oatlink.gateway.clock import TurnClock, now_us
 from oatlink.interface import Outcome, Report, RosterKind
 from oatlink.platform import discovery as disco
 from oatlink.platform import requests as req
@@ -46,7 +46,7 @@
         self._config = config
         self._offset_us = time.time_ns() // 1000 - now_us()
         self._tasks: set[asyncio.Future[None]] = set()
-        self._marks = Marks()
+        self._turn_clock = TurnClock()
         self._classes = {rule.name: rule for rule in config.settings.classes}
         self._router = Router(config.settings)
         self._requests = req.Requests(self._router)
@@ -63,11 +63,13 @@
         self._timer: asyncio.TimerHandle | None = None
         spare = config.limits.sockets - RESERVE
         most_servers = round(spare * SERVERS_PART)
-        self._servers = Servers(Bounds(config.dial_s, config.idle_s, most_servers), self._marks, self.note, self._keep)
+        self._servers = Servers(
+            Bounds(config.dial_s, config.idle_s, most_servers), self._turn_clock, self.note, self._keep
+        )
         self._most_clients = spare - most_servers
         self.room = Room(0, 0)
         self._divide()
-        self._clients = Clients(sock, self._most_clients, self, self._marks, self._keep, self.note)
+        self._clients = Clients(sock, self._most_clients, self, self._turn_clock, self._keep, self.note)
         self._discovery = Discovery(config.discovery, config.watch_s, self._told, self.note)
         self._ended = asyncio.Event()
         self._reload = Reload(self._apply, self._keep)
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -79,7 +79,7 @@
         """Write a job that may be written; the connection has nothing on it."""
         self.job = job
         payload = job.payload()
-        self._whole_at = self.stream.handed + len(payload)
+        self._whole_at = self.stream.sent_bytes + len(payload)
         try:
             self.stream.write(payload)
         except StreamClosedError:
@@ -120,7 +120,7 @@
                 if answer is not None and self._reader.pending:
                     self._end(answer.outcome, answer)
                     return
-                at_us = self.stream.ready_us
+                at_us = self.stream.arrived_by_us
                 if answer is None:
                     reading = self._read()
                     continue
@@ -165,7 +165,7 @@
 
     def close(self) -> None:
         """Close; a job on it could not connect, or was reset."""
-        whole = self.stream.handed >= self._whole_at
+        whole = self.stream.sent_bytes >= self._whole_at
         self._end(Outcome.RESET if whole else Outcome.NO_CONNECTION, None)
 
     def _do(self, step: Step) -> None:
--- a/oatlink/platform/servers/pool.py
+++ b/oatlink/platform/servers/pool.py
@@ -11,7 +11,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from oatlink.gateway.clock import Marks, Stream, now_us, patience
+from oatlink.gateway.clock import Stream, TurnClock, now_us, timeout_excluding_stalls
 from oatlink.interface import Outcome
 from oatlink.platform.servers.connection import CHUNK, Connection, Job
 
@@ -73,7 +73,7 @@
         while self.idle:
             connection = self.idle.pop()
             # Threat: a server that closes right behind an answer. A request written to it would be a reset.
-            if connection.stream.at_rest():
+            if connection.stream.is_idle():
                 self.busy[job], connection.bound = connection, job
                 connection.give(job)
                 return True
@@ -154,7 +154,7 @@
         everybody, problem = False, "ended at its greeting"
         connection: Connection | None = None
         try:
-            async with patience(self.servers.bounds.dial_s):
+            async with timeout_excluding_stalls(self.servers.bounds.dial_s):
                 connection = await self._connect()
                 answer = await connection.greet()
                 if answer is not None:
@@ -193,7 +193,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         stream = Stream(
             socket.socket(family, socket.SOCK_STREAM),
-            self.servers.marks,
+            self.servers.turn_clock,
             max_buffer_size=MOST_BUFFERED,
             max_write_buffer_size=MOST_BUFFERED,
             read_chunk_size=CHUNK,
@@ -215,9 +215,13 @@
     """
 
     def __init__(
-        self, bounds: Bounds, marks: Marks, note: Callable[[str], None], keep: Callable[["asyncio.Future[None]"], None]
+        self,
+        bounds: Bounds,
+        turn_clock: TurnClock,
+        note: Callable[[str], None],
+        keep: Callable[["asyncio.Future[None]"], None],
     ) -> None:
-        self.bounds, self.marks, self.note, self.keep = bounds, marks, note, keep
+        self.bounds, self.turn_clock, self.note, self.keep = bounds, turn_clock, note, keep
         self.used: dict[Pool, None] = {}
         self._pools: dict[int, Pool] = {}
 
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator, Callable
 from typing import Any
 
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 from oatlink.interface import Effect, Freshness, RequestClass
 from oatlink.platform.clients import Client, Clients, Query, Room
 from oatlink.platform.requests import Final
@@ -151,7 +151,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.listen(512)
         sock.setblocking(False)
-        self.clients = Clients(sock, most, self.asker, Marks(), self._keep, lambda text: None)
+        self.clients = Clients(sock, most, self.asker, TurnClock(), self._keep, lambda text: None)
         self.address = sock.getsockname()
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: self.faults.append(context))
 
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -66,7 +66,7 @@
     client.writer.write(resp.command("GET", "c"))
     (seen,) = one.gateway._clients.values()
     await until(lambda: seen.stream._read_buffer_size)
-    came_us = seen.stream.since_us
+    came_us = seen.stream.arrived_after_us
     for _ in range(3):
         await client.reply()
     # Before, it had come only when its client's earlier ones had ended.
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -216,7 +216,7 @@
 @scene(home, small=True)
 async def test_one_whose_answer_is_still_being_written_does_not_idle(one: Home) -> None:
     peer, client = await unread(one)
-    assert client.stream.at_rest() and client.idle_since_us() is None
+    assert client.stream.is_idle() and client.idle_since_us() is None
     assert await peer.answer() == "value of a"
     await one.until(lambda: client.idle_since_us() is not None)
 
--- a/tests/test_discovery_calls.py
+++ b/tests/test_discovery_calls.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 from oatlink.platform import discovery as disco
 from oatlink.platform.discovery import Discovery, News, calls
 from tests.discovery_script import PATIENCE_S, WHOLE, Script, answer, changes, page, unbounded, whole
@@ -161,7 +161,7 @@
             one = held.enter_context(socket.socket())
             one.setblocking(False)
             one.connect_ex(sock.getsockname())
-        call = calls.get(sock.getsockname(), WHOLE, WAIT_S, 2 * PATIENCE_S, Marks())
+        call = calls.get(sock.getsockname(), WHOLE, WAIT_S, 2 * PATIENCE_S, TurnClock())
         with pytest.raises(calls.CallError, match="time"):
             asyncio.run(asyncio.wait_for(call, PATIENCE_S))
 
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oatlink.gateway.clock import Marks
+from oatlink.gateway.clock import TurnClock
 from oatlink.interface import Listing, RosterKind
 from oatlink.platform import discovery as disco
 from oatlink.platform.discovery import Discovery, News, calls
@@ -170,7 +170,9 @@
         self.belief = {name: (Listing.READY, 0) for name in NAMES}
         self.one = Discovery(("127.0.0.1", 1), 1.0, self.told, lambda line: None)
 
-    async def get(self, address: tuple[str, int], path: str, dial_s: float, most_s: float, marks: Marks) -> bytes:
+    async def get(
+        self, address: tuple[str, int], path: str, dial_s: float, most_s: float, turn_clock: TurnClock
+    ) -> bytes:
         """In place of a call over the network."""
         self.calls.append(call := Pending())
         call.path = path
--- a/tests/test_hand_over.py
+++ b/tests/test_hand_over.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oatlink.gateway.clock import Marks, now_us
+from oatlink.gateway.clock import TurnClock, now_us
 from oatlink.interface import Outcome
 from oatlink.platform.reply import Answer
 from oatlink.platform.servers import Bounds, Pool, Servers
@@ -91,7 +91,7 @@
         server.greets = greets
         tasks: set[asyncio.Future[None]] = set()
         lines: list[str] = []
-        one = Room(server, Servers(Bounds(dial_s, 60.0, 32), Marks(), lines.append, tasks.add), tasks, lines)
+        one = Room(server, Servers(Bounds(dial_s, 60.0, 32), TurnClock(), lines.append, tasks.add), tasks, lines)
         one.servers.listed(1, ("127.0.0.1", server.port))
         yield one
         one.servers.close()
@@ -290,7 +290,7 @@
     """Ten times a second all 7,200 of a list were walked: 175 ms of processor time a second."""
     swept: list[int] = []
     monkeypatch.setattr(Pool, "sweep", lambda self, at_us: swept.append(self.number))
-    servers = Servers(Bounds(1.0, 1.0, 10), Marks(), print, lambda task: None)
+    servers = Servers(Bounds(1.0, 1.0, 10), TurnClock(), print, lambda task: None)
     for number in range(1_000):
         servers.listed(number, ("127.0.0.1", 1))
     servers.sweep()
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -12,7 +12,7 @@
 from oatlink.book import Book, Group
 from oatlink.core import messages as m
 from oatlink.core.recording import Recorder, Recording, replay
-from oatlink.gateway.clock import CLIENTS_A_TURN, Marks, patience
+from oatlink.gateway.clock import CLIENTS_PER_TURN, TurnClock, timeout_excluding_stalls
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
 from oatlink.rules import placing
@@ -163,35 +163,35 @@
 
 def test_a_turn_lets_in_so_many_clients_in_order() -> None:
     async def test() -> None:
-        marks, order, turns = Marks(), list[int](), list[int]()
+        turn_clock, order, turns = TurnClock(), list[int](), list[int]()
 
         async def client(number: int) -> None:
-            await marks.let_in()
+            await turn_clock.admit_client()
             order.append(number)
-            turns.append(marks._let_in)
+            turns.append(turn_clock._admitted_count)
 
-        await asyncio.gather(*[client(number) for number in range(3 * CLIENTS_A_TURN + 5)])
-        assert order == list(range(3 * CLIENTS_A_TURN + 5)) and max(turns) == CLIENTS_A_TURN
-        gone = asyncio.ensure_future(asyncio.gather(*[client(number) for number in range(2 * CLIENTS_A_TURN)]))
+        await asyncio.gather(*[client(number) for number in range(3 * CLIENTS_PER_TURN + 5)])
+        assert order == list(range(3 * CLIENTS_PER_TURN + 5)) and max(turns) == CLIENTS_PER_TURN
+        gone = asyncio.ensure_future(asyncio.gather(*[client(number) for number in range(2 * CLIENTS_PER_TURN)]))
         await asyncio.sleep(0)
         gone.cancel()  # clients that leave while they wait hold nobody up
         await asyncio.sleep(0.01)
-        assert marks.waiting == 0
+        assert turn_clock.waiting_count == 0
 
     asyncio.run(test())
 
 
 def test_time_for_which_the_process_stood_still_is_given_back_once() -> None:
     async def test() -> None:
-        async with patience(0.05):
+        async with timeout_excluding_stalls(0.05):
             time.sleep(0.2)  # noqa: ASYNC251 - the process stands still
             await asyncio.sleep(0.02)
         with pytest.raises(TimeoutError):
-            async with patience(0.05):
+            async with timeout_excluding_stalls(0.05):
                 time.sleep(0.1)  # noqa: ASYNC251
                 await asyncio.sleep(0.5)
         with pytest.raises(TimeoutError):
-            async with patience(0.02):
+            async with timeout_excluding_stalls(0.02):
                 await asyncio.sleep(1)
 
     asyncio.run(test())
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -12,7 +12,7 @@
 import pytest
 from tornado.iostream import StreamClosedError
 
-from oatlink.gateway.clock import Marks, Stream
+from oatlink.gateway.clock import Stream, TurnClock
 from oatlink.platform.discovery import Discovery as Calls
 from oatlink.platform.discovery import News
 from oatlink.protocols import pgwire as pg
@@ -346,22 +346,22 @@
     async def scene() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        stream = Stream(ours, Marks())
-        assert not stream.at_rest(), "nobody reads"
+        stream = Stream(ours, TurnClock())
+        assert not stream.is_idle(), "nobody reads"
         reading = asyncio.ensure_future(stream.read_bytes(100, partial=True))
         await asyncio.sleep(0)
-        assert stream.at_rest()
+        assert stream.is_idle()
         theirs.send(b"x")
-        assert not stream.at_rest(), "in the socket"
+        assert not stream.is_idle(), "in the socket"
         while stream.reading():
             await asyncio.sleep(0)
-        assert not reading.done() or not stream.at_rest(), "read, and not handed on yet"
+        assert not reading.done() or not stream.is_idle(), "read, and not handed on yet"
         assert await reading == b"x"
         reading = asyncio.ensure_future(stream.read_bytes(100, partial=True))
         await asyncio.sleep(0)
-        assert stream.at_rest()
+        assert stream.is_idle()
         theirs.close()
-        assert not stream.at_rest(), "closed by its peer"
+        assert not stream.is_idle(), "closed by its peer"
         stream.close()
         with pytest.raises(StreamClosedError):
             await reading
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -44,7 +44,7 @@
         self.known: asyncio.Future[float] = self.loop.create_future()
         self.one = Discovery(("127.0.0.1", 1), read.watch_s, self.told, lambda text: None)
 
-    async def get(self, address: Any, path: str, dial_s: float, most_s: float, marks: Any) -> bytes:
+    async def get(self, address: Any, path: str, dial_s: float, most_s: float, turn_clock: Any) -> bytes:
         """In the place of `calls.get`."""
         if self.loop.time() >= self.back_s:
             await asyncio.sleep(self.answer_s)
