--- a/benchmarks/scale/slopes/host.py
+++ b/benchmarks/scale/slopes/host.py
@@ -16,7 +16,7 @@
 
 from oatlink.gateway.clock import TurnClock, now_us
 from oatlink.interface import Effect, Freshness, Outcome, RequestClass
-from oatlink.platform.clients import Clients, Query, Room
+from oatlink.platform.clients import Clients, PipelineLimits, Query
 from oatlink.platform.gateway import SWEEP_S
 from oatlink.platform.reply import Answer
 from oatlink.platform.requests import Final
@@ -45,25 +45,25 @@
 RULE = RequestClass("read", Freshness.ANY, Effect.IDEMPOTENT, 1_000_000, 2_000_000, 1.0)
 
 
-class Asker:
+class QueryResponder:
     """Answers each query at once, whatever it says."""
 
     def __init__(self) -> None:
-        self.room = Room(1, 0)
+        self.pipeline_limits = PipelineLimits(1, 0)
 
-    def read(self, text: bytes) -> Statement:
-        """See `clients.connection.Asker`."""
+    def parse_query(self, text: bytes) -> Statement:
+        """See `clients.connection.QueryHandler`."""
         return Statement(text, RULE, 2_000, 0, "", None, b"", text, b"")
 
-    def ask(self, query: Query) -> None:
-        """See `clients.connection.Asker`."""
+    def submit_query(self, query: Query) -> None:
+        """See `clients.connection.QueryHandler`."""
         query.answered(Final(ANSWER))
 
-    def hurry(self, query: Query) -> None:
-        """See `clients.connection.Asker`."""
+    def expedite_query(self, query: Query) -> None:
+        """See `clients.connection.QueryHandler`."""
 
-    def left(self, query: Query) -> None:
-        """See `clients.connection.Asker`."""
+    def abandon_query(self, query: Query) -> None:
+        """See `clients.connection.QueryHandler`."""
 
 
 class Probe:
@@ -98,7 +98,7 @@
             sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
             sock.setblocking(False)
             self.clients = Clients(
-                sock, 60_000, Asker(), turn_clock, self.keep, lambda text: print(text, file=sys.stderr)
+                sock, 60_000, QueryResponder(), turn_clock, self.keep, lambda text: print(text, file=sys.stderr)
             )
 
     def keep(self, task: "asyncio.Future[None]") -> None:
@@ -131,7 +131,7 @@
                     await asyncio.sleep(0.002)
             for _ in range(count):
                 assert await done.get() is Outcome.SERVED
-        opened = self.clients.open if self.clients is not None else self.servers.open
+        opened = self.clients.open_count if self.clients is not None else self.servers.open
         return {
             "cpu_s": time.process_time() - began_cpu,
             "took_s": time.perf_counter() - began,
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -71,9 +71,8 @@
                 client.lacks_room = False
             turn_us = now_us()  # the rest waited for its own earlier commands, not for this process
             if taken == COMMANDS_A_TURN:
-                await shell.turn_clock.admit_client(
-                    again=True
-                )  # what is answered here at once never fills the pipeline
+                # What is answered here at once never fills the pipeline.
+                await shell.turn_clock.admit_client(again=True)
 
 
 async def _pause(client: Client) -> int:
--- a/oatlink/platform/__main__.py
+++ b/oatlink/platform/__main__.py
@@ -7,7 +7,7 @@
 
 def main() -> int:
     """Run until an orderly end; 2 where the configuration is wrong."""
-    signals.hold()  # until the gateway takes them: the imports below are most of its start
+    signals.block()  # until the gateway takes them: the imports below are most of its start
     from oatlink.platform.start import run
 
     return run()
--- a/oatlink/platform/answers_seen.py
+++ b/oatlink/platform/answers_seen.py
@@ -5,19 +5,19 @@
 from oatlink.interface import Outcome
 
 
-class AnswersSeen:
+class AttemptCounts:
     """Counts by outcome, and how long served ones took. Times are microseconds."""
 
     def __init__(self) -> None:
         self._ended: Counter[str] = Counter()
         self._took_us = 0
 
-    def add(self, outcome: Outcome, took_us: int) -> None:
+    def record(self, outcome: Outcome, took_us: int) -> None:
         """An attempt has ended so long after it began."""
         self._ended[outcome.value] += 1
         self._took_us += took_us if outcome is Outcome.SERVED else 0
 
-    def take(self) -> str:
+    def take_summary(self) -> str:
         """What has been counted, as the log says it; counting begins anew."""
         ended, self._ended = self._ended, Counter()
         took_ms, self._took_us = self._took_us / max(1, ended[Outcome.SERVED.value]) / 1000, 0
--- a/oatlink/platform/clients/__init__.py
+++ b/oatlink/platform/clients/__init__.py
@@ -1,7 +1,7 @@
 """Client connections: startup, then queries, taken side by side, each answered once and in order."""
 
-from oatlink.platform.clients.connection import Asker, Client, Query
+from oatlink.platform.clients.connection import Client, Query, QueryHandler
 from oatlink.platform.clients.listener import Clients
-from oatlink.platform.clients.pipeline import Room
+from oatlink.platform.clients.pipeline import PipelineLimits
 
-__all__ = ["Asker", "Client", "Clients", "Query", "Room"]
+__all__ = ["QueryHandler", "Client", "Clients", "Query", "PipelineLimits"]
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -1,8 +1,8 @@
 """One client connection: startup, then queries, taken side by side, each answered once and in order.
 
-A shell: what a query asks for is read by `statement`; `pipeline` says in which order they are asked and answered; what
-one is answered is told by its `Asker`, how the connection ends by `transport.ending`. A peer's mistake is answered once
-with an error or a close, costs nobody else anything and holds bounded memory.
+Carries out I/O only: `statement` parses a query, `pipeline` decides the order of execution and of answers, the
+`QueryHandler` supplies each answer, and `transport.ending` decides how the connection ends. A client's mistake is
+answered once, with an error or a close, costs no other client anything, and holds a bounded amount of memory.
 """
 
 import asyncio
@@ -12,9 +12,9 @@
 
 from oatlink.gateway.clock import Stream, now_us
 from oatlink.platform.clients import answers
-from oatlink.platform.clients.pipeline import Arrivals, Command, Pipeline, Room
+from oatlink.platform.clients.pipeline import Arrivals, Command, Pipeline, PipelineLimits
 from oatlink.platform.requests import Final
-from oatlink.platform.statement import QUERY_BYTES, Statement, StatementError
+from oatlink.platform.statement import MAX_QUERY_BYTES, Statement, StatementError
 from oatlink.protocols import pgwire as pg
 from oatlink.protocols.buffer import Limits, ProtocolError
 from oatlink.transport.closing import State
@@ -26,31 +26,31 @@
 DRAIN_US = 300_000  # so long what is there in part when the connection drains may take to come whole
 MOST_MISTAKES = 4  # statements that cannot be read, of one connection; then it is closed
 PAUSE_S = 0.05  # after a mistake, times their count: the same again at once takes no turn of others
-LIMITS = Limits(message_bytes=QUERY_BYTES)
+LIMITS = Limits(message_bytes=MAX_QUERY_BYTES)
 PLAIN = frozenset((b"SET", b"RESET", b"DISCARD"))  # answered here: nothing of a connection is kept
 
 
-class Asker(Protocol):
+class QueryHandler(Protocol):
     """Where queries go."""
 
-    def read(self, text: bytes) -> Statement:
+    def parse_query(self, text: bytes) -> Statement:
         """What a query asks for. Raises `StatementError`."""
         ...
 
-    def ask(self, query: "Query") -> None:
+    def submit_query(self, query: "Query") -> None:
         """Take a query; it is answered once, at once or later. Raises `StatementError` where it cannot be taken."""
         ...
 
-    def hurry(self, query: "Query") -> None:
+    def expedite_query(self, query: "Query") -> None:
         """Others wait behind it now: it is answered so much earlier."""
         ...
 
-    def left(self, query: "Query") -> None:
+    def abandon_query(self, query: "Query") -> None:
         """Its client has gone, or has been sent away, and it is still open."""
         ...
 
     @property
-    def room(self) -> Room:
+    def pipeline_limits(self) -> PipelineLimits:
         """What connections may have open."""
         ...
 
@@ -68,9 +68,9 @@
 
     __slots__ = ("client", "statement")
 
-    def __init__(self, client: "Client", statement: Statement, came_us: int) -> None:
+    def __init__(self, client: "Client", statement: Statement, arrived_us: int) -> None:
         names = (b"name " + statement.session.encode(), b"key " + statement.key if statement.key else b"")
-        super().__init__(came_us, tuple(filter(None, names)), statement.is_write)
+        super().__init__(arrived_us, tuple(filter(None, names)), statement.is_write)
         self.client, self.statement = client, statement
 
     def answered(self, final: Final) -> None:
@@ -81,13 +81,13 @@
 class Client:
     """One client connection, from its accept to its end."""
 
-    def __init__(self, stream: Stream, asker: Asker, home: Home) -> None:
-        self.stream, self._asker, self._home = stream, asker, home
+    def __init__(self, stream: Stream, handler: QueryHandler, home: Home) -> None:
+        self.stream, self._handler, self._home = stream, handler, home
         self.ending = Ending(stream, self._is_owed, self._closed)
         self._reader = pg.frontend_reader(LIMITS)
         self._started = False
         self._arrivals = Arrivals()
-        self._pipeline = Pipeline(asker.room)
+        self._pipeline = Pipeline(handler.pipeline_limits)
         self.asked = False  # a request has come
         self.born_us = self.free_us = now_us()
         self._half_us = 0  # since when a message is under way
@@ -120,7 +120,7 @@
         try:
             while True:
                 # While no more is taken the next bytes are read, to notice a close: one message of them at most.
-                while self._reader.pending > QUERY_BYTES and self._is_busy():
+                while self._reader.pending > MAX_QUERY_BYTES and self._is_busy():
                     self._blocked = True
                     self._room.clear()
                     await self._room.wait()
@@ -209,13 +209,13 @@
             self.close()  # what it sent before it went must not be sent on
         else:
             try:
-                query = Query(self, self._asker.read(text), self._arrivals.last_us(self._reader.pending))
+                query = Query(self, self._handler.parse_query(text), self._arrivals.last_us(self._reader.pending))
             except StatementError as problem:
                 self._mistaken(answers.error(problem.sqlstate, str(problem)))
                 return
             hurried = self._pipeline.add(query)
             if isinstance(hurried, Query):
-                self._asker.hurry(hurried)
+                self._handler.expedite_query(hurried)
             self._go_on_later()
             self._ask(query)
 
@@ -224,7 +224,7 @@
         if query.ahead or self.closed:
             return
         try:
-            self._asker.ask(query)
+            self._handler.submit_query(query)
             self.asked = True
         except StatementError as problem:
             self._answer(query, answers.error(problem.sqlstate, str(problem)))  # in its own place
@@ -335,7 +335,7 @@
         self._room.set()
         for one in self._pipeline.clear():
             if isinstance(one, Query):
-                self._asker.left(one)
+                self._handler.abandon_query(one)
         self._home.gone(self)
 
     def idle_since_us(self) -> int | None:
--- a/oatlink/platform/clients/listener.py
+++ b/oatlink/platform/clients/listener.py
@@ -9,7 +9,7 @@
 
 from oatlink.gateway.clock import Stream, TurnClock, now_us
 from oatlink.platform.clients import answers
-from oatlink.platform.clients.connection import CHUNK, Asker, Client
+from oatlink.platform.clients.connection import CHUNK, Client, QueryHandler
 
 MOST_WRITTEN = 262_144  # bytes that a client has not taken
 FULL_US = 20_000  # between two looks for a connection to close, where none may be
@@ -26,15 +26,15 @@
         self,
         sock: socket.socket,
         most: int,
-        asker: Asker,
+        handler: QueryHandler,
         turn_clock: TurnClock,
         keep: Callable[["asyncio.Future[None]"], None],
         note: Callable[[str], None],
     ) -> None:
-        self._sock, self._asker, self._turn_clock, self._keep, self._note = sock, asker, turn_clock, keep, note
+        self._sock, self._handler, self._turn_clock, self._keep, self._note = sock, handler, turn_clock, keep, note
         self._most_ending = max(2, most // ENDING_PART)
         self._most = most - self._most_ending
-        self.all: dict[Client, None] = {}
+        self.active: dict[Client, None] = {}
         self._ending: dict[Client, None] = {}  # in the order in which they began to end
         self.stopping = False
         self._turned_away = 0  # since the last sweep
@@ -57,7 +57,7 @@
                 self._make_room(now_us())
                 return False
             client = self._take(sock)
-            if len(self.all) > self._most and not self._make_room(now_us()):
+            if len(self.active) > self._most and not self._make_room(now_us()):
                 # Threat: a close with no answer, over what it has sent already, leaves its client without a word.
                 self._turned_away += 1
                 client.end(answers.TURNED_AWAY)
@@ -69,20 +69,20 @@
             sock, self._turn_clock, max_buffer_size=2 * CHUNK, max_write_buffer_size=MOST_WRITTEN, read_chunk_size=CHUNK
         )
         stream.set_nodelay(True)
-        client = Client(stream, self._asker, self)
-        self.all[client] = None
+        client = Client(stream, self._handler, self)
+        self.active[client] = None
         self._keep(asyncio.ensure_future(client.run()))
         return client
 
     def gone(self, client: Client) -> None:
         """See `Home`."""
-        self.all.pop(client, None)
+        self.active.pop(client, None)
         self._ending.pop(client, None)
 
     def _began_to_end(self, client: Client) -> None:
         """Its descriptor counts with those that end. Threat: peers that never end their side hold them all."""
-        if client in self.all:
-            del self.all[client]
+        if client in self.active:
+            del self.active[client]
             self._ending[client] = None
         while len(self._ending) > self._most_ending and not self.stopping:
             next(iter(self._ending)).close()
@@ -95,7 +95,7 @@
         """
         if at_us < self._full_until_us:
             return False
-        for client in self.all:  # in the order they came
+        for client in self.active:  # in the order they came
             if not client.asked and client.idle_since_us() is not None:
                 self._end(client)
                 return True
@@ -113,7 +113,7 @@
 
     def _idle_long(self, at_us: int) -> list[Client]:
         """Clients that may be closed, the one that idles longest first."""
-        idle = [one for one in self.all if at_us - one.free_us >= IDLE_US and one.idle_since_us() is not None]
+        idle = [one for one in self.active if at_us - one.free_us >= IDLE_US and one.idle_since_us() is not None]
         return sorted(idle, key=lambda one: one.free_us)
 
     def _relieve(self, at_us: int) -> None:
@@ -121,30 +121,30 @@
 
         Past a share of the connections, the ones that idle longest are closed, if long enough.
         """
-        spare = len(self.all) - round(PRESSURE * (self._most + self._most_ending))
+        spare = len(self.active) - round(PRESSURE * (self._most + self._most_ending))
         spare = min(spare, self._most_ending - len(self._ending))
         if spare > 0:
             for client in self._idle_long(at_us)[:spare]:
                 self._end(client)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Connections held, those that end among them."""
-        return len(self.all) + len(self._ending)
+        return len(self.active) + len(self._ending)
 
     @property
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         """Connections with nothing open."""
-        return sum(one.idle_since_us() is not None for one in self.all)
+        return sum(one.idle_since_us() is not None for one in self.active)
 
     def sweep(self) -> None:
         """End what has had its time; at an orderly end all that owes nothing."""
         at_us = now_us()
         if self._turned_away:
-            self._note(f"clients turned away: {self._turned_away}, {len(self.all)} connections")
+            self._note(f"clients turned away: {self._turned_away}, {len(self.active)} connections")
             self._turned_away = 0
         self._relieve(at_us)
-        for client in list(self.all):
+        for client in list(self.active):
             if self.stopping:
                 client.drain()
             client.sweep(at_us)
--- a/oatlink/platform/clients/pipeline.py
+++ b/oatlink/platform/clients/pipeline.py
@@ -18,21 +18,21 @@
 
 
 @dataclass(slots=True)
-class Room:
+class PipelineLimits:
     """What the connections of a gateway may have open: `each` of them, and all of them beside one each.
 
     Threat: a hundred clients that each ask for as many of the longest answers as they may behind one that hangs. Each
     such answer needs memory until its turn comes, so its place is taken when it is asked for.
     """
 
-    each: int
-    behind: int
-    taken: int = 0
+    per_connection: int
+    shared: int
+    shared_used: int = 0
 
     @property
     def is_full(self) -> bool:
         """Whether no connection may have another one open behind others."""
-        return self.taken >= self.behind
+        return self.shared_used >= self.shared
 
 
 class Arrivals:
@@ -62,18 +62,18 @@
 class Command:
     """One request of a connection. `names` are what it must not share with an open one that writes, or if it writes."""
 
-    came_us: int
+    arrived_us: int
     names: tuple[bytes, ...] = ()
     is_write: bool = False
     answer: bytes | None = None
-    is_hurried: bool = False  # another one is behind it
+    is_expedited: bool = False  # another one is behind it
     ahead: int = 0  # commands that it is asked after
     behind: list["Command"] = field(default_factory=list)  # commands that are asked after it
 
     @property
     def early_us(self) -> int:
         """How much sooner than its client's time is up it has to be answered."""
-        return SLACK_US if self.is_hurried else 0
+        return SLACK_US if self.is_expedited else 0
 
 
 @dataclass(slots=True)
@@ -104,10 +104,10 @@
 class Pipeline:
     """What one connection has asked and not been answered, in order."""
 
-    __slots__ = ("_behind", "_held", "_line", "_names", "_room", "open")
+    __slots__ = ("_behind", "_held", "_line", "_names", "_limits", "open")
 
-    def __init__(self, room: Room) -> None:
-        self._room = room
+    def __init__(self, limits: PipelineLimits) -> None:
+        self._limits = limits
         self.open: dict[Command, None] = {}  # without an answer
         self._line: list[Command] = []
         self._names: dict[bytes, _Name] = {}
@@ -120,8 +120,10 @@
     @property
     def has_room(self) -> bool:
         """Whether another command may be taken."""
-        room = self._room
-        return not self._line or (len(self._line) < room.each and self._held < HELD_BYTES and not room.is_full)
+        limits = self._limits
+        return not self._line or (
+            len(self._line) < limits.per_connection and self._held < HELD_BYTES and not limits.is_full
+        )
 
     def add(self, one: Command) -> Command | None:
         """Take a command; it may be asked where none is `ahead`. The one before it, if that has to hurry now."""
@@ -133,9 +135,9 @@
             for other in self._names.setdefault(name, _Name()).join(one):
                 other.behind.append(one)
                 one.ahead += 1
-        if last is None or last.answer is not None or last.is_hurried:
+        if last is None or last.answer is not None or last.is_expedited:
             return None
-        last.is_hurried = True
+        last.is_expedited = True
         return last
 
     def say(self, data: bytes) -> None:
@@ -185,5 +187,5 @@
     def _settle(self) -> None:
         """All but the first take a place in the room that connections share."""
         behind = max(0, len(self._line) - 1)
-        self._room.taken += behind - self._behind
+        self._limits.shared_used += behind - self._behind
         self._behind = behind
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -19,15 +19,15 @@
 from oatlink.platform import discovery as disco
 from oatlink.platform import requests as req
 from oatlink.platform import signals
-from oatlink.platform.answers_seen import AnswersSeen
-from oatlink.platform.clients import Clients, Query, Room
+from oatlink.platform.answers_seen import AttemptCounts
+from oatlink.platform.clients import Clients, PipelineLimits, Query
 from oatlink.platform.config import Config
 from oatlink.platform.discovery import Discovery, News
-from oatlink.platform.jobs import Checking, Sent
+from oatlink.platform.jobs import AttemptJob, CheckJob
 from oatlink.platform.reload import Reload
-from oatlink.platform.reply import Answer, load_report
+from oatlink.platform.reply import Answer, parse_load_report
 from oatlink.platform.servers import Bounds, Servers
-from oatlink.platform.statement import VALUE_BYTES, Statement, StatementError, parse
+from oatlink.platform.statement import MAX_VALUE_BYTES, Statement, StatementError, parse
 from oatlink.rules import Router
 
 LOG = logging.getLogger("oatlink.platform")
@@ -56,8 +56,8 @@
         self._groups: set[int] = set()
         self._entries: dict[int, api.RosterEntry] = {}
         self._asking: dict[Query, req.Open] = {}
-        self._sending: dict[int, Sent] = {}
-        self._checks: dict[int, Checking] = {}
+        self._sending: dict[int, AttemptJob] = {}
+        self._checks: dict[int, CheckJob] = {}
         self._due_at_us: int | None = None
         self._due: asyncio.TimerHandle | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -67,13 +67,13 @@
             Bounds(config.dial_s, config.idle_s, most_servers), self._turn_clock, self.note, self._keep
         )
         self._most_clients = spare - most_servers
-        self.room = Room(0, 0)
+        self.pipeline_limits = PipelineLimits(0, 0)
         self._divide()
         self._clients = Clients(sock, self._most_clients, self, self._turn_clock, self._keep, self.note)
         self._discovery = Discovery(config.discovery, config.watch_s, self._told, self.note)
         self._ended = asyncio.Event()
         self._reload = Reload(self._apply, self._keep)
-        self._answers = AnswersSeen()  # since the last line of state
+        self._answers = AttemptCounts()  # since the last line of state
 
     # ---- Life ----
 
@@ -83,7 +83,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload.start)
         for one in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(one, self._stop)
-        signals.take()
+        signals.unblock()
         self._know()
         self._do(self._requests.handle(api.Start(), now_us()))
         self._clients.listen()
@@ -99,7 +99,7 @@
         LOG.info("ready: %s on %s:%s", self._config.name, *self._clients.address)
         sweeping = asyncio.ensure_future(self._sweep())
         await self._ended.wait()
-        signals.hold()  # for good: the handlers go with the loop, and an interpreter takes its time to end
+        signals.block()  # for good: the handlers go with the loop, and an interpreter takes its time to end
         sweeping.cancel()
         self._discovery.close()
         self._servers.close()
@@ -126,7 +126,7 @@
                 self._servers.sweep()
                 self._clients.sweep()
                 limit_us = now_us() - round(self._config.dial_s * 1e6)
-                for check in [one for one in self._checks.values() if one.since_us <= limit_us]:
+                for check in [one for one in self._checks.values() if one.started_us <= limit_us]:
                     if check.pool is not None:
                         check.pool.abandon(check)
                     self.check_ended(check, Outcome.LATE, now_us(), None)
@@ -148,10 +148,10 @@
                 members.append(f"{self._numbers.name(number)}:{role}{doubt} {belief.out}/{belief.room:.1f}")
         LOG.info(
             "state: %s; requests %d, clients %d (%d idle), to servers %d; %s, %d more",
-            self._answers.take(),
+            self._answers.take_summary(),
             len(self._requests),
-            self._clients.open,
-            self._clients.idle,
+            self._clients.open_count,
+            self._clients.idle_count,
             self._servers.open,
             ", ".join(members) or "none",
             max(0, len(self._entries) - len(members)),
@@ -172,7 +172,7 @@
     async def _wind_down(self) -> None:
         await asyncio.sleep(GRACE_S)
         # Requests' own deadlines bound this: each is answered by then.
-        while self._clients.open or len(self._requests):
+        while self._clients.open_count or len(self._requests):
             self._clients.stop()
             await asyncio.sleep(0.02)
         self._ended.set()
@@ -199,8 +199,8 @@
     def _divide(self) -> None:
         """What each connection may have open: its part of what the gateway may, and memory for the longest answers."""
         most, memory = self._config.settings.max_open, self._config.limits.memory_mb * 1024 * 1024 * ANSWERS_PART
-        self.room.each = max(1, most // self._most_clients)
-        self.room.behind = round(memory / VALUE_BYTES) if memory else most
+        self.pipeline_limits.per_connection = max(1, most // self._most_clients)
+        self.pipeline_limits.shared = round(memory / MAX_VALUE_BYTES) if memory else most
 
     # ---- Clock ----
 
@@ -264,12 +264,12 @@
 
     # ---- Clients ----
 
-    def read(self, text: bytes) -> Statement:
-        """See `Asker`."""
+    def parse_query(self, text: bytes) -> Statement:
+        """See `QueryHandler`."""
         return parse(text, self._classes, self._groups)
 
-    def ask(self, query: Query) -> None:
-        """See `Asker`."""
+    def submit_query(self, query: Query) -> None:
+        """See `QueryHandler`."""
         statement = query.statement
         if self._requests.is_open(statement.id):
             raise StatementError("42710", "id: a request by this id is open")
@@ -277,7 +277,7 @@
             query.answered(req.Final(refused=True))  # no mistake of the client's: its connection goes on as it was
             return
         at_us = now_us()
-        left_us = statement.wait_ms * 1000 - max(0, at_us - query.came_us) - query.early_us
+        left_us = statement.wait_ms * 1000 - max(0, at_us - query.arrived_us) - query.early_us
         since_us = None
         if statement.after_ms:
             since_us = max(0, at_us - self._on_clock(statement.after_ms * 1000))
@@ -286,15 +286,15 @@
             self._asking[query] = one
         self._do(done)
 
-    def hurry(self, query: Query) -> None:
-        """See `Asker`."""
+    def expedite_query(self, query: Query) -> None:
+        """See `QueryHandler`."""
         one = self._asking.get(query)
         if one is not None:
             self._requests.hurry(one, query.early_us)
             self._set_deadline()
 
-    def left(self, query: Query) -> None:
-        """See `Asker`."""
+    def abandon_query(self, query: Query) -> None:
+        """See `QueryHandler`."""
         one = self._asking.pop(query, None)
         if one is not None:
             self._do(self._requests.departed(one, now_us()))
@@ -315,7 +315,7 @@
             return False
         return True
 
-    def attempt_ended(self, sent: Sent, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
+    def attempt_ended(self, sent: AttemptJob, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """An attempt's end, with the position and role that came with it."""
         self._sending.pop(id(sent.attempt), None)
         report: Report | None = None
@@ -326,10 +326,10 @@
             if answer.sqlstate == "08P01":
                 LOG.error("defect: a server did not take a statement")
         payload = answer.payload if answer is not None else b""
-        self._answers.add(outcome, at_us - sent.attempt.started_us)
+        self._answers.record(outcome, at_us - sent.attempt.started_us)
         self._do(self._requests.ended(sent.attempt, outcome, at_us, now_us(), payload, report))
 
-    def check_ended(self, check: Checking, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
+    def check_ended(self, check: CheckJob, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """A check's end."""
         if check.done:
             return
@@ -339,8 +339,8 @@
             return
         if self._checks.get(check.member) is check:
             del self._checks[check.member]
-        report = self._report(load_report(answer.value)) if answer is not None and answer.value else None
-        event = api.Checked(check.member, outcome, max(0, at_us - check.since_us), report)
+        report = self._report(parse_load_report(answer.value)) if answer is not None and answer.value else None
+        event = api.Checked(check.member, outcome, max(0, at_us - check.started_us), report)
         self._do(self._requests.handle(event, now_us()))
 
     # ---- Actions ----
@@ -363,7 +363,7 @@
         match one:
             case req.Launch():
                 pool = self._servers.pool(one.attempt.member)
-                sent = Sent(self, one.attempt, pool)
+                sent = AttemptJob(self, one.attempt, pool)
                 if pool is None:
                     sent.ended(Outcome.NO_CONNECTION, now_us(), None)
                 elif not one.attempt.ended:
@@ -396,7 +396,7 @@
 
     def _check(self, member: int) -> None:
         pool = self._servers.pool(member)
-        check = Checking(self, member, pool, now_us())
+        check = CheckJob(self, member, pool, now_us())
         self._checks[member] = check
         if pool is None:
             check.ended(Outcome.NO_CONNECTION, now_us(), None)
--- a/oatlink/platform/jobs.py
+++ b/oatlink/platform/jobs.py
@@ -11,33 +11,33 @@
 from oatlink.protocols import pgwire as pg
 
 
-class Carrier(Protocol):
+class JobOwner(Protocol):
     """Who is told how they end."""
 
     def may_write(self, attempt: req.Attempt) -> bool:
         """Whether an attempt may be written at this moment."""
         ...
 
-    def attempt_ended(self, sent: "Sent", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
+    def attempt_ended(self, sent: "AttemptJob", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """An attempt's end."""
         ...
 
-    def check_ended(self, check: "Checking", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
+    def check_ended(self, check: "CheckJob", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """A check's end."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class Sent:
+class AttemptJob:
     """An attempt on its way."""
 
-    carrier: Carrier
+    owner: JobOwner
     attempt: req.Attempt
     pool: Pool | None
 
     def may_write(self) -> bool:
         """See `Job`."""
-        return self.carrier.may_write(self.attempt)
+        return self.owner.may_write(self.attempt)
 
     def payload(self) -> bytes:
         """The statement as a query."""
@@ -46,17 +46,17 @@
 
     def ended(self, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """See `Job`."""
-        self.carrier.attempt_ended(self, outcome, at_us, answer)
+        self.owner.attempt_ended(self, outcome, at_us, answer)
 
 
 @dataclass(slots=True, eq=False)
-class Checking:
+class CheckJob:
     """A check on its way."""
 
-    carrier: Carrier
+    owner: JobOwner
     member: int
     pool: Pool | None
-    since_us: int
+    started_us: int
     done: bool = False
 
     def may_write(self) -> bool:
@@ -69,4 +69,4 @@
 
     def ended(self, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
         """See `Job`."""
-        self.carrier.check_ended(self, outcome, at_us, answer)
+        self.owner.check_ended(self, outcome, at_us, answer)
--- a/oatlink/platform/lines.py
+++ b/oatlink/platform/lines.py
@@ -5,7 +5,7 @@
 LINES_PER_S = 50
 
 
-class Lines(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Threat: a fault that says the same thousands of times a second. What is left out is counted."""
 
     def __init__(self) -> None:
--- a/oatlink/platform/reply.py
+++ b/oatlink/platform/reply.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 
 from oatlink.interface import Outcome, Report, Role
-from oatlink.platform.statement import VALUE_BYTES
+from oatlink.platform.statement import MAX_VALUE_BYTES
 from oatlink.protocols import pgwire as pg
 from oatlink.protocols.buffer import Limits, ProtocolError
 
-LIMITS = Limits(message_bytes=VALUE_BYTES + 1_024)  # a row of one value, or names
+LIMITS = Limits(message_bytes=MAX_VALUE_BYTES + 1_024)  # a row of one value, or names
 MOST_MESSAGES = 64  # of one answer; parameters and notices without end are no answer
 MOST_POSITION_MS = 1 << 46  # some two thousand years
 # SQLSTATEs of the platform's table; all others are errors after which it may have run.
@@ -20,7 +20,7 @@
 TURNED_AWAY = "53300"
 
 
-class SpoiltError(Exception):
+class InvalidReplyError(Exception):
     """An answer that is none: what came is not understood, and the connection is of no further use."""
 
 
@@ -46,7 +46,7 @@
         return {"off": Role.PRIMARY, "on": Role.REPLICA}.get(self.parameters.get("recovery", ""), Role.UNKNOWN)
 
 
-def load_report(text: bytes) -> Report | None:
+def parse_load_report(text: bytes) -> Report | None:
     """A load report, `x0=1767225600.1,x1=1`: position in Unix seconds, here in microseconds, and role.
 
     None for one that cannot be read.
@@ -90,27 +90,27 @@
         return self._reader.pending
 
     def feed(self, data: bytes) -> Answer | None:
-        """Add bytes; the answer, once it is whole. Raises `SpoiltError`."""
+        """Add bytes; the answer, once it is whole. Raises `InvalidReplyError`."""
         self._reader.feed(data)
         try:
             while (message := self._reader.take()) is not None:
                 self._messages += 1
                 if self._messages > MOST_MESSAGES:
-                    raise SpoiltError("messages without end")
+                    raise InvalidReplyError("messages without end")
                 if self._take(message):
                     answer, self._due = self._answer, b"T"
                     self._begin()
                     return answer
         except ProtocolError as problem:
-            raise SpoiltError(str(problem)) from None
+            raise InvalidReplyError(str(problem)) from None
         return None
 
-    def cut_short(self) -> Answer | None:
+    def answer_at_close(self) -> Answer | None:
         """The connection ended: an error that had come whole stands, after a fatal one nothing more is owed."""
         return self._answer if self._answer is not None and self._answer.outcome is not Outcome.SERVED else None
 
     def _take(self, message: pg.Message) -> bool:
-        """One message; True when it ends the answer. Raises `SpoiltError` or `ProtocolError`."""
+        """One message; True when it ends the answer. Raises `InvalidReplyError` or `ProtocolError`."""
         kind = message.kind
         if kind == b"S":
             name, value = pg.status(message)
@@ -131,7 +131,7 @@
             self._due = b"Z"
             return False
         if kind != self._due:
-            raise SpoiltError(f"expected {pg.BACKEND[self._due]}, got {pg.BACKEND[kind]}")
+            raise InvalidReplyError(f"expected {pg.BACKEND[self._due]}, got {pg.BACKEND[kind]}")
         if kind == b"Z":
             pg.ready(message)
             if self._answer is None:
@@ -140,16 +140,16 @@
         self._parts.append(message.encode())
         if kind == b"R":
             if pg.authentication(message)[0] != 0:
-                raise SpoiltError("asks for a password")
+                raise InvalidReplyError("asks for a password")
             self._due = b"Z"
         elif kind == b"T":
             if pg.columns(message) != 1:
-                raise SpoiltError("expected one column")
+                raise InvalidReplyError("expected one column")
             self._due = b"D"
         elif kind == b"D":
             values = pg.row(message)
             if len(values) != 1 or values[0] is None:
-                raise SpoiltError("expected a row of one value")
+                raise InvalidReplyError("expected a row of one value")
             self._value = values[0]
             self._due = b"C"
         else:
--- a/oatlink/platform/requests.py
+++ b/oatlink/platform/requests.py
@@ -50,7 +50,7 @@
 
     def payload(self, now_us: int) -> bytes:
         """The statement, with the time that is left."""
-        return self.open.statement.waiting(max(1, (self.open.expires_us - now_us) // 1000))
+        return self.open.statement.with_wait(max(1, (self.open.expires_us - now_us) // 1000))
 
 
 @dataclass(slots=True)
@@ -141,7 +141,7 @@
         self._open[one.id] = one
         self._ids[statement.id] = one
         heapq.heappush(self._ends, (one.expires_us, one.id))
-        rule = statement.rule
+        rule = statement.request_class
         tied = rule.freshness in (api.Freshness.WRITE, api.Freshness.SESSION)
         event = api.Arrival(
             one.id,
@@ -224,7 +224,7 @@
                 outcome = Outcome.LATE if attempt.written else Outcome.WITHDRAWN
                 done += self.ended(attempt, outcome, now_us, now_us)
             if not one.over:
-                self._do.append(Defect(f"class {one.statement.rule.name}: unanswered at its deadline"))
+                self._do.append(Defect(f"class {one.statement.request_class.name}: unanswered at its deadline"))
                 self._final(one, FAILED)
                 done += self.handle(api.Departure(one.id), now_us)
             self._release(one)
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -13,7 +13,7 @@
 
 from oatlink.gateway.clock import Stream, now_us
 from oatlink.interface import Outcome
-from oatlink.platform.reply import Answer, ReplyReader, SpoiltError
+from oatlink.platform.reply import Answer, InvalidReplyError, ReplyReader
 from oatlink.protocols import pgwire as pg
 from oatlink.transport.closing import Closing, State, Step
 
@@ -92,8 +92,8 @@
             while (answer := self._reader.feed(await self.stream.read_bytes(CHUNK, partial=True))) is None:
                 pass
         except StreamClosedError:
-            return self._reader.cut_short()
-        except SpoiltError:
+            return self._reader.answer_at_close()
+        except InvalidReplyError:
             return None
         return answer if not self._reader.pending else None
 
@@ -135,10 +135,10 @@
                     self._keeper.freed(self)
                 job.ended(answer.outcome, at_us, answer)
         except StreamClosedError:
-            answer = self._reader.cut_short()
+            answer = self._reader.answer_at_close()
             if answer is not None and self.job is not None:
                 self._end(answer.outcome, answer)
-        except SpoiltError as problem:
+        except InvalidReplyError as problem:
             self._keeper.note(f"spoilt answer: {problem}")
             self._end(Outcome.ERROR, None)
         self.close()
--- a/oatlink/platform/signals.py
+++ b/oatlink/platform/signals.py
@@ -5,11 +5,11 @@
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
-def hold() -> None:
+def block() -> None:
     """Let them wait. Threat: one that comes while there is nobody to take it kills the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def take() -> None:
+def unblock() -> None:
     """There are handlers: what has waited comes now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
--- a/oatlink/platform/start.py
+++ b/oatlink/platform/start.py
@@ -10,7 +10,7 @@
 
 from oatlink.platform.config import Config, ConfigError, read
 from oatlink.platform.gateway import Gateway
-from oatlink.platform.lines import Lines
+from oatlink.platform.lines import LogRateLimit
 
 BACKLOG = 512
 
@@ -35,7 +35,7 @@
     """Run until an orderly end; 2 where the configuration is wrong."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(levelname)s %(message)s", "%H:%M:%S"))
-    handler.addFilter(Lines())
+    handler.addFilter(LogRateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     logging.getLogger("tornado").setLevel(logging.ERROR)
     try:
--- a/oatlink/platform/statement.py
+++ b/oatlink/platform/statement.py
@@ -11,8 +11,8 @@
 
 from oatlink.interface import Effect, Freshness, RequestClass
 
-VALUE_BYTES = 64 * 1024  # the platform's bound of a value
-QUERY_BYTES = 2 * VALUE_BYTES + 2_048  # a value is written in hex; the rest is names and the comment
+MAX_VALUE_BYTES = 64 * 1024  # the platform's bound of a value
+MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 2_048  # a value is written in hex; the rest is names and the comment
 MOST_WAIT_MS = 3_600_000  # a longer wait is no wait but a mistake
 _PAIR = rb"[a-z][a-z_]{0,31}=[^,*\x00-\x20\x7f]{1,256}"  # no comma, no end of the comment; names are the settings'
 _WORD = rb"[A-Za-z_][A-Za-z0-9_]{0,62}"
@@ -39,7 +39,7 @@
     """One request as its client wrote it."""
 
     id: bytes
-    rule: RequestClass
+    request_class: RequestClass
     wait_ms: int
     group: int
     session: str
@@ -51,9 +51,9 @@
     @property
     def is_write(self) -> bool:
         """Whether it writes what it names."""
-        return self.rule.freshness is Freshness.WRITE
+        return self.request_class.freshness is Freshness.WRITE
 
-    def waiting(self, wait_ms: int) -> bytes:
+    def with_wait(self, wait_ms: int) -> bytes:
         """The statement for a server: it is told how long this gateway will wait."""
         return b"%s%d%s" % (self._before, wait_ms, self._behind)
 
@@ -74,15 +74,17 @@
         if name in said:
             raise StatementError("42601", f"{name.decode()}: expected once")
         said[name] = word
-    rule = classes.get(_said(said, b"c").decode())
-    if rule is None:
+    request_class = classes.get(_said(said, b"c").decode())
+    if request_class is None:
         raise StatementError("22023", "c: expected a class of the settings")
-    if (rule.freshness is Freshness.WRITE) != (written is not None):
-        raise StatementError("22023", f"c: {rule.name} expects {'an INSERT' if written is None else 'a SELECT'}")
-    if value is not None and len(value) > 2 * VALUE_BYTES:
-        raise StatementError("22001", f"expected a value of at most {VALUE_BYTES} bytes")
-    if rule.effect is Effect.KEYED and b"k" not in said:
-        raise StatementError("22023", f"k: expected in class {rule.name}")
+    if (request_class.freshness is Freshness.WRITE) != (written is not None):
+        raise StatementError(
+            "22023", f"c: {request_class.name} expects {'an INSERT' if written is None else 'a SELECT'}"
+        )
+    if value is not None and len(value) > 2 * MAX_VALUE_BYTES:
+        raise StatementError("22001", f"expected a value of at most {MAX_VALUE_BYTES} bytes")
+    if request_class.effect is Effect.KEYED and b"k" not in said:
+        raise StatementError("22023", f"k: expected in class {request_class.name}")
     wait_ms = _number(said, b"d")
     if not 0 < wait_ms <= MOST_WAIT_MS:
         raise StatementError("22023", f"d: expected 1 to {MOST_WAIT_MS} milliseconds")
@@ -94,7 +96,7 @@
         raise StatementError("22023", "d: expected a number")
     return Statement(
         id=_said(said, b"id"),
-        rule=rule,
+        request_class=request_class,
         wait_ms=wait_ms,
         group=group,
         session=(written or read).decode("utf-8", "replace"),
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -9,7 +9,7 @@
 
 from oatlink.gateway.clock import TurnClock
 from oatlink.interface import Effect, Freshness, RequestClass
-from oatlink.platform.clients import Client, Clients, Query, Room
+from oatlink.platform.clients import Client, Clients, PipelineLimits, Query
 from oatlink.platform.requests import Final
 from oatlink.platform.statement import Statement, StatementError
 from oatlink.protocols import pgwire as pg
@@ -46,14 +46,14 @@
         self.hurried: list[bytes] = []
         self.at_once = False
         self.size = 0  # of the answers' contents
-        self.room = Room(1, 1 << 20)  # one open at once of a connection
+        self.pipeline_limits = PipelineLimits(1, 1 << 20)  # one open at once of a connection
 
-    def read(self, text: bytes) -> Statement:
+    def parse_query(self, text: bytes) -> Statement:
         name, _, key = text.partition(b"#")
         rule = WRITE if b"!" in text else RULE
         return Statement(text, rule, 400, 0, name.rstrip(b"!").decode(), None, key, b"", b"")
 
-    def ask(self, query: Query) -> None:
+    def submit_query(self, query: Query) -> None:
         if b"bad" in query.statement.id:
             raise StatementError("42710", "not now")
         self.texts.append(query.statement.id)
@@ -61,10 +61,10 @@
         if self.at_once:
             self.answer(query)
 
-    def hurry(self, query: Query) -> None:
+    def expedite_query(self, query: Query) -> None:
         self.hurried.append(query.statement.id)
 
-    def left(self, query: Query) -> None:
+    def abandon_query(self, query: Query) -> None:
         if query in self.open:
             self.gone.append(self.open.pop(query))
 
@@ -172,10 +172,10 @@
 
     async def client(self) -> tuple[Peer, Client]:
         """One that has started up, and the gateway's side of it."""
-        before = set(self.clients.all)
+        before = set(self.clients.active)
         peer = self.knock(STARTUP)
         assert await peer.answer() == ""
-        (client,) = set(self.clients.all) - before
+        (client,) = set(self.clients.active) - before
         await self.until(lambda: client.idle_since_us() is not None)
         return peer, client
 
@@ -217,7 +217,7 @@
         for peer in one.peers:
             peer.sock.close()
         one.clients.stop()
-        for client in list(one.clients.all):
+        for client in list(one.clients.active):
             client.close()
         await one.until(lambda: not one.tasks)
         asyncio.get_running_loop().set_exception_handler(None)
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -9,7 +9,7 @@
 import pytest
 
 from oatlink.platform.clients import connection, listener
-from oatlink.platform.statement import QUERY_BYTES
+from oatlink.platform.statement import MAX_QUERY_BYTES
 from oatlink.transport import ending
 from oatlink.transport.closing import State
 from tests.client_world import STARTUP, Home, Peer, home, query
@@ -82,7 +82,7 @@
     monkeypatch.setattr(client, "idle_since_us", crossed)
     if how == "make room":
         one.knock(STARTUP)
-        await one.until(lambda: len(one.clients.all) + len(one.clients._ending) > 14)
+        await one.until(lambda: len(one.clients.active) + len(one.clients._ending) > 14)
     else:
         one.clients.sweep()
     assert client.ending.state is State.DRAINING
@@ -103,11 +103,11 @@
     for each in silent[:-2]:  # the oldest go hard, for they hold descriptors
         with contextlib.suppress(ConnectionError):
             assert await each.answers() in ([REFUSED], [])
-        assert one.clients.open <= 16
+        assert one.clients.open_count <= 16
     for each in silent[-2:]:
         assert await each.answers() == [REFUSED]
-    assert len(one.asker.texts) == 14 and len(one.clients.all) == 14
-    one.asker.answer(next(iter(one.clients.all)))
+    assert len(one.asker.texts) == 14 and len(one.clients.active) == 14
+    one.asker.answer(next(iter(one.clients.active)))
     assert await one.peers[0].answer() == "value of q0", "those inside are served"
 
 
@@ -169,17 +169,17 @@
     peer.send(query(b"first"))
     await one.asked(1)
     pile = query(b"behind".ljust(10_000))
-    for _ in range(QUERY_BYTES // len(pile) + 6):
+    for _ in range(MAX_QUERY_BYTES // len(pile) + 6):
         peer.send(pile)
         await asyncio.sleep(0)
-    await one.until(lambda: client._reader.pending > QUERY_BYTES)
+    await one.until(lambda: client._reader.pending > MAX_QUERY_BYTES)
     peer.sock.close()
     if is_answered:  # before anybody has looked
         one.asker.answer(client)
     await one.until(lambda: client.closed, sweeps=not is_answered)
     assert one.asker.texts == [b"first"]
     assert one.asker.gone == ([] if is_answered else [b"first"])
-    assert client not in one.clients.all
+    assert client not in one.clients.active
 
 
 async def unread(one: Home, behind: bytes = b"") -> tuple[Peer, connection.Client]:
@@ -201,7 +201,7 @@
         assert one.asker.texts == [b"a"] and len(held) <= BIG + 200, "the next waits for the last one's taking"
     monkeypatch.setattr(connection, "HALF_US", 0)
     await one.until(lambda: client.closed, sweeps=True)
-    assert one.asker.texts == [b"a"] and not one.clients.open
+    assert one.asker.texts == [b"a"] and not one.clients.open_count
     with pytest.raises((ConnectionError, EOFError)):  # cut short, and to be recognised as such
         await peer.answer()
 
@@ -228,7 +228,7 @@
     assert client.ending.state is State.DRAINING
     assert await peer.answers() == ["value of a"]
     peer.sock.close()
-    await one.until(lambda: not one.clients.open)
+    await one.until(lambda: not one.clients.open_count)
 
 
 @scene(home, small=True, watched=True)
@@ -240,11 +240,11 @@
     one.clients.stop()  # its time to take the answer runs
     assert await peer.answers() == ["value of a"]
     await one.until(lambda: client.closed)  # its time to end came after, and was looked for again
-    assert not one.clients.open
+    assert not one.clients.open_count
 
 
 @pytest.mark.parametrize("how", ["reset", "close"])
-@pytest.mark.parametrize("behind", [b"", query(b"b".ljust(10_000)) * (QUERY_BYTES // 10_000 + 6)], ids=["", "pile"])
+@pytest.mark.parametrize("behind", [b"", query(b"b".ljust(10_000)) * (MAX_QUERY_BYTES // 10_000 + 6)], ids=["", "pile"])
 @scene(home, small=True)
 async def test_a_client_that_goes_while_its_answer_is_written(one: Home, how: str, behind: bytes) -> None:
     """With more behind its query than is read, its reader waits: the write alone sees that it has gone."""
@@ -254,11 +254,11 @@
     await one.asked(1)
     loop = asyncio.get_running_loop()
     await asyncio.wait_for(loop.sock_sendall(peer.sock, behind), 10)
-    await one.until(lambda: (client._reader.pending > QUERY_BYTES) == bool(behind))
+    await one.until(lambda: (client._reader.pending > MAX_QUERY_BYTES) == bool(behind))
     one.asker.answer(client)
     assert client.stream.writing()
     peer.reset() if how == "reset" else peer.sock.close()
-    await one.until(lambda: client not in one.clients.all)
+    await one.until(lambda: client not in one.clients.active)
     assert client.closed and not one.asker.gone, "it was answered"
     assert one.asker.texts == [b"a"]
 
@@ -273,16 +273,16 @@
     usual.send(query(b"before"))
     assert await usual.answer() == "value of before"
     slow = [one.knock(STARTUP[: number % 4]) for number in range(300)]  # none, or a few bytes, and no more
-    await one.until(lambda: len(one.clients.all) > 50)
+    await one.until(lambda: len(one.clients.active) > 50)
     for number in range(50):
         usual.send(query(b"k%d" % number))
         assert await usual.answer() == f"value of k{number}"
         for each in slow[number::50]:
             with contextlib.suppress(OSError):  # it has been sent away
                 each.send(STARTUP[4:5])
-        assert one.clients.open <= 64
+        assert one.clients.open_count <= 64
     while await (fresh := one.knock(STARTUP)).answer() != "":
         pass  # one that is sent away comes again
     fresh.send(query(b"fresh"))
     assert await fresh.answer() == "value of fresh"
-    await one.until(lambda: len(one.clients.all) <= 2)
+    await one.until(lambda: len(one.clients.active) <= 2)
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize("name", ["prix/vue", "éclair", "a@b#c", "x" * 256, "class=1"])
 def test_a_class_may_be_named_as_the_settings_like(name: str) -> None:
     rule = replace(VIEW, name=name)
-    assert parse(READ.replace(b"c=view", b"c=" + name.encode()), {name: rule}, {1}).rule is rule
+    assert parse(READ.replace(b"c=view", b"c=" + name.encode()), {name: rule}, {1}).request_class is rule
 
 
 @pytest.mark.parametrize("name", [b"a*/b", b"a,b", b"a b", b"a\nb", b"", b"x" * 257])
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -15,7 +15,7 @@
     Arrivals,
     Command,
     Pipeline,
-    Room,
+    PipelineLimits,
 )
 from oatlink.protocols import pgwire as pg
 from tests.client_world import Home, home, query
@@ -33,7 +33,7 @@
 def test_answers_come_in_order_and_none_is_asked_before_what_it_depends_on(
     drawn: list[tuple[list[bytes], bool, int]], draw: random.Random
 ) -> None:
-    line, taken, asked, told = Pipeline(Room(5, 100)), [Command(0)][:0], [Command(0)][:0], b""
+    line, taken, asked, told = Pipeline(PipelineLimits(5, 100)), [Command(0)][:0], [Command(0)][:0], b""
 
     def answer() -> bytes:
         one = draw.choice([each for each in asked if each in line.open])
@@ -53,14 +53,14 @@
         for _ in range(min(answers, len(line.open))):
             told += answer()
     while line.open:
-        assert all(each.is_hurried for each in list(line.open)[:-1]), "somebody waits behind it"
+        assert all(each.is_expedited for each in list(line.open)[:-1]), "somebody waits behind it"
         told += answer()
     assert told == b"".join(b"%d " % number for number in range(len(taken))) and len(line) == 0
     assert len(asked) == len(taken), "each was asked once"
 
 
 def test_only_so_many_bytes_of_answers_wait_for_the_one_ahead() -> None:
-    line, head, other = Pipeline(Room(100, 100)), Command(0), Command(0)
+    line, head, other = Pipeline(PipelineLimits(100, 100)), Command(0), Command(0)
     line.add(head)
     for _ in range(1_000):
         line.say(b"x" * 10)  # a flood of what asks nothing takes one place
@@ -73,8 +73,8 @@
 
 
 def test_answers_are_let_go_in_pieces_and_places_behind_others_are_shared() -> None:
-    room = Room(100, 3)
-    lines = [Pipeline(room), Pipeline(room)]
+    limits = PipelineLimits(100, 3)
+    lines = [Pipeline(limits), Pipeline(limits)]
     for line in (0, 1, 0, 0, 1):
         assert lines[line].has_room
         lines[line].add(Command(0))
@@ -82,9 +82,9 @@
     for one in list(lines[0].open)[::-1]:
         lines[0].answer(one, b"x" * (WRITTEN_BYTES // 2))
     assert [len(lines[0].ready()) for _ in range(3)] == [WRITTEN_BYTES, WRITTEN_BYTES // 2, 0]
-    assert room.taken == 1 and lines[1].has_room
+    assert limits.shared_used == 1 and lines[1].has_room
     lines[1].clear()
-    assert room.taken == 0
+    assert limits.shared_used == 0
 
 
 def test_each_command_is_timed_by_its_own_last_byte_and_never_too_late() -> None:
@@ -117,7 +117,7 @@
 
 @scene(home)
 async def test_what_comes_behind_one_that_hangs_is_asked_at_once_and_answered_in_order(one: Home) -> None:
-    one.asker.room.each = 4
+    one.asker.pipeline_limits.per_connection = 4
     peer, client = await one.client()
     peer.send(query(b"hangs"), query(b"b"), query(b""), query(b"c") + query(b"d"), query(b"past"))
     await one.asked(3)
@@ -136,7 +136,7 @@
 
 @scene(home)
 async def test_a_read_waits_for_its_own_write_and_a_key_for_itself_but_others_pass(one: Home) -> None:
-    one.asker.room.each = 8
+    one.asker.pipeline_limits.per_connection = 8
     peer, client = await one.client()
     peer.send(query(b"a!#k"), query(b"a"), query(b"b!#k"), query(b"c"), query(b"b"))
     await one.asked(2)
@@ -149,7 +149,7 @@
 
 @scene(home)
 async def test_one_that_cannot_be_asked_is_told_so_in_its_own_place(one: Home) -> None:
-    one.asker.room.each = 8
+    one.asker.pipeline_limits.per_connection = 8
     peer, client = await one.client()
     peer.send(query(b"a!"), query(b"b"), query(b"a#bad"), query(b"c"))
     await one.asked(3)
@@ -161,7 +161,7 @@
 
 @scene(home)
 async def test_a_client_that_sends_hundreds_at_once_takes_turns_with_others(one: Home) -> None:
-    one.asker.room.each = 500
+    one.asker.pipeline_limits.per_connection = 500
     flood, client = await one.client()
     other, _ = await one.client()
     flood.send(b"".join(query(b"f%d" % number) for number in range(400)))
@@ -176,7 +176,7 @@
 @scene(home, small=True)
 async def test_many_long_answers_that_waited_for_one_all_reach_a_client_that_reads_slowly(one: Home) -> None:
     """Found on the bench: more at once than the stream holds closed the connection, and all of them were lost."""
-    one.asker.room.each, one.asker.size = 20, 60_000
+    one.asker.pipeline_limits.per_connection, one.asker.size = 20, 60_000
     peer, client = await one.client()
     peer.send(b"".join(query(b"%d" % number) for number in range(10)))
     await one.asked(10)
@@ -190,7 +190,7 @@
 
 @scene(home, watched=True)
 async def test_mistakes_behind_an_open_query_end_the_connection_behind_its_answer(one: Home) -> None:
-    one.asker.room.each = 8
+    one.asker.pipeline_limits.per_connection = 8
     peer, client = await one.client()
     peer.send(query(b"a"), *[pg.Message(b"F", b"").encode()] * 4)
     await one.until(lambda: client.ending.discards)
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -15,7 +15,7 @@
 from oatlink.platform import config, discovery
 from oatlink.platform import requests as req
 from oatlink.platform.clients.pipeline import SLACK_US
-from oatlink.platform.reply import Answer, ReplyReader, SpoiltError, load_report
+from oatlink.platform.reply import Answer, InvalidReplyError, ReplyReader, parse_load_report
 from oatlink.platform.statement import Statement, StatementError, parse
 from oatlink.protocols import pgwire as pg
 from oatlink.rules import Router
@@ -39,11 +39,11 @@
 
 def test_a_statement_is_a_request_and_only_its_wait_is_rewritten() -> None:
     one = read(READ)
-    assert (one.id, one.rule, one.wait_ms, one.group, one.session) == (b"9b1f", VIEW, 480, 2, "7f3a")
-    assert one.waiting(7) == READ.replace(b"d=480", b"d=7")
-    assert read(WRITE).waiting(1234) == WRITE.replace(b"d=480", b"d=1234")
+    assert (one.id, one.request_class, one.wait_ms, one.group, one.session) == (b"9b1f", VIEW, 480, 2, "7f3a")
+    assert one.with_wait(7) == READ.replace(b"d=480", b"d=7")
+    assert read(WRITE).with_wait(1234) == WRITE.replace(b"d=480", b"d=1234")
     odd = READ.replace(b"id=9b1f", b"id=d.480").replace(b"'7f3a'", b"', d=480,d=1'")
-    assert read(odd).waiting(3) == odd.replace(b",d=480,cluster", b",d=3,cluster")
+    assert read(odd).with_wait(3) == odd.replace(b",d=480,cluster", b",d=3,cluster")
     assert read(READ.replace(b"r=1", b"after=1767225600123")).after_ms == 1767225600123
     assert one.after_ms is None
 
@@ -95,7 +95,7 @@
         one = read(text)
     except StatementError:
         return
-    assert one.waiting(one.wait_ms) == text or b"d=0" in text
+    assert one.with_wait(one.wait_ms) == text or b"d=0" in text
 
 
 # ---- Answers ----
@@ -155,7 +155,7 @@
 def test_a_spoilt_answer_is_none(spoilt: bytes) -> None:
     for size in (1, 3, len(spoilt)):
         reader = greeted()
-        with pytest.raises(SpoiltError):
+        with pytest.raises(InvalidReplyError):
             for at in range(0, len(spoilt), size):
                 assert reader.feed(spoilt[at : at + size]) is None
 
@@ -175,7 +175,7 @@
     refused = pg.make_error(sqlstate, "no").encode()
     reader = greeted()
     assert reader.feed(refused) is None
-    cut = reader.cut_short()
+    cut = reader.answer_at_close()
     answer = reader.feed(READY)
     assert cut is not None and answer is not None and cut.outcome is answer.outcome is outcome
     begun = greeted()
@@ -204,7 +204,7 @@
     ],
 )
 def test_a_report_that_cannot_be_read_is_none(text: bytes, report: Report | None) -> None:
-    assert load_report(text) == report
+    assert parse_load_report(text) == report
 
 
 def test_a_position_that_cannot_be_read_is_none() -> None:
