--- a/oatlink/gateway/clients.py
+++ b/oatlink/gateway/clients.py
@@ -83,7 +83,7 @@
         def taken(future: "asyncio.Future[None]", size: int = len(data)) -> None:
             self.unsent -= size
             swallow(future)
-            if not self.ending.may_take:
+            if not self.ending.accepts_requests:
                 self.ending.settle()
 
         written.add_done_callback(taken)
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -314,7 +314,7 @@
         written.add_done_callback(swallow)
         written.add_done_callback(lambda _: ending.settle())
         self._begin_to_end(ending)
-        ending.drain(is_deaf=True)
+        ending.drain(ignores_input=True)
         self._keep(discard(stream, ending))
 
     def _ended(self, client: Client) -> None:
@@ -358,9 +358,9 @@
     def _write(self, client: Client) -> None:
         if not client.write():
             self.notes.note("client", f"{client.number} cut off: it does not take its answers")
-        if client.hung_us and client.ending.may_take:
+        if client.hung_us and client.ending.accepts_requests:
             self._clients.pop(client.number, None)
             self._hung[client] = None
             self._begin_to_end(client.ending)
-            client.ending.drain(is_deaf=True)
+            client.ending.drain(ignores_input=True)
             client.wake()
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -165,7 +165,7 @@
         if self._reader.pending and not self._is_busy():
             self._half_us = self._half_us or now_us()
         self._room.set()
-        if not self.ending.may_take:
+        if not self.ending.accepts_requests:
             self.ending.settle()
 
     def _take(self, message: pg.Message) -> None:
@@ -203,7 +203,7 @@
             self._say(answers.EMPTY)  # which asks nothing: a flood may say so much
         elif words[0].upper() in PLAIN:
             self._say(pg.make_complete(words[0].upper()).encode() + answers.READY)
-        elif not self.ending.may_take:
+        elif not self.ending.accepts_requests:
             self._say(answers.refusal(0))  # nothing new is taken on a connection that ends; another takes it at once
         elif self.stream.closed() or (self._blocked and self.stream.peer_has_ended()):
             self.close()  # what it sent before it went must not be sent on
@@ -319,7 +319,7 @@
             return
         if data:
             self._say(data)
-        self.ending.drain(is_deaf=True)
+        self.ending.drain(ignores_input=True)
         self._room.set()
 
     def drain(self) -> None:
@@ -340,7 +340,7 @@
 
     def idle_since_us(self) -> int | None:
         """Since when nothing is open here and nothing under way; None while something is, or the connection ends."""
-        if self.waits or not self.ending.may_take or self._reader.pending or self._is_busy():
+        if self.waits or not self.ending.accepts_requests or self._reader.pending or self._is_busy():
             return None
         if not self.stream.is_idle():
             return None
@@ -363,5 +363,5 @@
             self.end(answers.TOO_SLOW)
         elif self._drained_us and at_us - max(self._drained_us, self.free_us) > DRAIN_US:
             self.end(b"")
-        elif not self.ending.may_take:
+        elif not self.ending.accepts_requests:
             self.ending.settle()
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -63,7 +63,7 @@
 
     def __init__(self, keeper: Keeper, stream: Stream) -> None:
         self._keeper, self.stream = keeper, stream
-        self._closing = Closing(linger_us=0, most_bytes=0)
+        self._closing = Closing(linger_us=0, max_discarded_bytes=0)
         self._reader = ReplyReader()
         self.job: Job | None = None
         self._whole_at = 0  # bytes handed to the socket by which the job's statement is written whole
@@ -161,7 +161,7 @@
 
     def close_quietly(self) -> None:
         """Close, with nothing told of the job yet."""
-        self._do(self._closing.ended())
+        self._do(self._closing.close())
 
     def close(self) -> None:
         """Close; a job on it could not connect, or was reset."""
--- a/oatlink/transport/closing.py
+++ b/oatlink/transport/closing.py
@@ -35,57 +35,61 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The end of one connection. `linger_us` and `most_bytes` bound what its peer may still take and send.
+    """The end of one connection. `linger_us` and `max_discarded_bytes` bound what its peer may still take and send.
 
     With `linger_us` 0 nothing is waited for: for a peer to whom nothing can be owed.
     """
 
     linger_us: int
-    most_bytes: int
+    max_discarded_bytes: int
     state: State = State.OPEN
-    is_deaf: bool = False  # nothing that still comes can be understood, or is meant to be
-    until_us: int | None = None  # what is left to do is given up then
-    discarded: int = 0
+    ignores_input: bool = False  # nothing that still comes can be understood, or is meant to be
+    deadline_us: int | None = None  # what is left to do is given up then
+    discarded_bytes: int = 0
 
     @property
-    def may_take(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a new request may be taken."""
         return self.state is State.OPEN
 
     @property
     def discards(self) -> bool:
         """Whether what comes is to be thrown away unread."""
-        return self.is_deaf or self.state in (State.HALF_CLOSED, State.CLOSED)
+        return self.ignores_input or self.state in (State.HALF_CLOSED, State.CLOSED)
 
-    def drain(self, is_deaf: bool = False) -> None:
-        """Take no new request from now on; `is_deaf`: nor anything else."""
+    def drain(self, ignores_input: bool = False) -> None:
+        """Take no new request from now on; `ignores_input`: nor anything else."""
         if self.state is State.OPEN:
             self.state = State.DRAINING
-        self.is_deaf = self.is_deaf or is_deaf
+        self.ignores_input = self.ignores_input or ignores_input
 
-    def settle(self, is_owed: bool, is_unsent: bool, now_us: int) -> Step:
-        """Look again. `is_owed`: an answer is to come; `is_unsent`: bytes of one are not handed over yet."""
-        if self.state is not State.DRAINING or is_owed:
+    def settle(self, has_pending_answers: bool, has_unsent_bytes: bool, now_us: int) -> Step:
+        """Move on once nothing is left to do in the present state.
+
+        `has_pending_answers`: an answer is still to come. `has_unsent_bytes`: bytes of an answer were not taken by the
+        socket yet.
+        """
+        if self.state is not State.DRAINING or has_pending_answers:
             return Step.NONE
-        if is_unsent:
+        if has_unsent_bytes:
             # Threat: a peer that reads nothing would keep its connection for good.
-            self.until_us = now_us + self.linger_us if self.until_us is None else self.until_us
+            self.deadline_us = now_us + self.linger_us if self.deadline_us is None else self.deadline_us
             return Step.NONE
         if not self.linger_us:
             return self._close()
-        self.state, self.until_us = State.HALF_CLOSED, now_us + self.linger_us
+        self.state, self.deadline_us = State.HALF_CLOSED, now_us + self.linger_us
         return Step.SHUT_DOWN
 
-    def came(self, size: int) -> Step:
+    def discard(self, size: int) -> Step:
         """So many bytes have come, and are discarded. Threat: a peer that sends without end."""
-        self.discarded += size
-        return self._close() if self.discarded > self.most_bytes else Step.NONE
+        self.discarded_bytes += size
+        return self._close() if self.discarded_bytes > self.max_discarded_bytes else Step.NONE
 
-    def passed(self, now_us: int) -> Step:
+    def expire(self, now_us: int) -> Step:
         """Time has passed."""
-        return self._close() if self.until_us is not None and now_us >= self.until_us else Step.NONE
+        return self._close() if self.deadline_us is not None and now_us >= self.deadline_us else Step.NONE
 
-    def ended(self) -> Step:
+    def close(self) -> Step:
         """The peer has ended or reset the connection, or it is given up here and now."""
         return self._close()
 
--- a/oatlink/transport/ending.py
+++ b/oatlink/transport/ending.py
@@ -11,7 +11,7 @@
 from oatlink.transport.closing import Closing, State, Step
 
 LINGER_S = 1.0  # for a peer to take its last answer, and then to end its side
-MOST_DISCARDED = 262_144  # bytes that it may still send meanwhile
+MAX_DISCARDED_BYTES = 262_144  # bytes that it may still send meanwhile
 
 
 class Ending:
@@ -19,7 +19,7 @@
 
     def __init__(self, stream: Stream, owed: Callable[[], bool], closed: Callable[[], None]) -> None:
         self._stream, self._owed, self._closed = stream, owed, closed
-        self._closing = Closing(round(LINGER_S * 1e6), MOST_DISCARDED)
+        self._closing = Closing(round(LINGER_S * 1e6), MAX_DISCARDED_BYTES)
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -28,9 +28,9 @@
         return self._closing.state
 
     @property
-    def may_take(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a new request may be taken."""
-        return self._closing.may_take
+        return self._closing.accepts_requests
 
     @property
     def discards(self) -> bool:
@@ -39,11 +39,11 @@
 
     def discard(self, size: int) -> None:
         """So many bytes have come and are thrown away."""
-        self._do(self._closing.came(size))
+        self._do(self._closing.discard(size))
 
-    def drain(self, is_deaf: bool = False) -> None:
-        """Take no new request (`is_deaf`: nor read anything any more); end once nothing is owed and all is sent."""
-        self._closing.drain(is_deaf)
+    def drain(self, ignores_input: bool = False) -> None:
+        """Accept no new request and end once all answers are sent; with `ignores_input`, parse no further input."""
+        self._closing.drain(ignores_input)
         self.settle()
 
     def settle(self) -> None:
@@ -52,20 +52,20 @@
             self.close()
             return
         self._do(self._closing.settle(self._owed(), self._stream.writing(), now_us()))
-        if self._timer is None and self._closing.until_us is not None and self.state is not State.CLOSED:
+        if self._timer is None and self._closing.deadline_us is not None and self.state is not State.CLOSED:
             self._wait()
 
     def close(self) -> None:
         """Close at once: the peer has ended, or is given up. Idempotent."""
-        self._do(self._closing.ended())
+        self._do(self._closing.close())
 
     def _wait(self) -> None:
-        left_us = (self._closing.until_us or 0) - now_us()
+        left_us = (self._closing.deadline_us or 0) - now_us()
         self._timer = asyncio.get_running_loop().call_later(max(0.0, left_us / 1e6), self._passed)
 
     def _passed(self) -> None:
         self._timer = None
-        self._do(self._closing.passed(now_us()))
+        self._do(self._closing.expire(now_us()))
         if self.state is not State.CLOSED:
             self._wait()  # the shutdown has come since, and counts anew
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -55,7 +55,7 @@
     assert client.ending.state is State.HALF_CLOSED
     peer.send(query(b"a"), query(b"b"))
     assert await peer.answers() == []
-    await one.until(lambda: client.ending._closing.discarded > 0)
+    await one.until(lambda: client.ending._closing.discarded_bytes > 0)
     await one.left(peer, client)
     assert not one.asker.texts
 
