--- a/oatlink/gateway/clock.py
+++ b/oatlink/gateway/clock.py
@@ -1,8 +1,8 @@
-"""How late this process is with what has already come: measured here, so that nobody else is blamed for it.
+"""Measures how long input waited inside this process, so that the delay is not attributed to its peers.
 
-A loop that has much to do handles events long after they came. Each turn of the loop is marked at its beginning,
-just before it polls; what that poll found had come by then, so it has waited since the mark at least. A loop that
-was at rest has no mark: there, what comes is handled at once.
+A busy event loop handles input long after it arrived. Each iteration ("turn") of the loop is timed at its beginning,
+just before it polls. What a poll finds had arrived by then, so it has waited at least since that time. A loop that
+was idle has no such time: there, input is handled at once.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from tornado.iostream import IOStream
 
 CLIENTS_PER_TURN = 64  # about 10 ms of work
-LATE_S = 0.01  # a timer later than this was held up by this process
+LATE_TIMER_S = 0.01  # a timer that fires later than this was delayed by a stall of this process
 
 
 def now_us() -> int:
@@ -26,92 +26,95 @@
 
 
 def machine_sleep_us() -> int:
-    """How long the machine has slept since it started: time that `now_us` does not count."""
+    """How long the machine has been suspended since it booted: time that `now_us` does not count."""
     return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()) // 1000
 
 
 class TurnClock:
-    """When the present turn of the loop began, and who waits for the next one.
+    """When the current turn of the loop began, and the clients that wait for a later turn.
 
-    Threat: thousands of clients that ask in the same turn. The answers of boxes that came meanwhile would wait until
-    all of them have been seen to, and each answer takes two turns: so a turn lets in so many clients, in order.
+    Each turn admits a limited number of clients, in order of arrival. Otherwise, when thousands of clients send
+    requests in the same turn, answers of boxes that arrive meanwhile would wait until all those requests are handled,
+    and each answer takes two turns.
     """
 
     def __init__(self) -> None:
         self._admitted_count = 0
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._began_us = 0
-        self.previous_began_us = 0  # when the turn before it began: what a poll finds came after that
-        self._marked = False
-        self._used = False
+        self.previous_began_us = 0  # when the previous turn began: what this turn's poll finds arrived after that
+        self._is_timing = False  # whether the beginning of the next turn will be recorded
+        self._was_used = False  # whether the current turn was asked for its time, or admitted a client
 
     def turn_began_us(self) -> int:
-        """When this turn began; now, where the loop was at rest before."""
-        self._used = True
-        if not self._marked:
-            self._marked = True
+        """When this turn began; the present time if the loop was idle before."""
+        self._was_used = True
+        if not self._is_timing:
+            self._is_timing = True
             self._began_us = self.previous_began_us = now_us()
-            asyncio.get_running_loop().call_soon(self._mark)
+            asyncio.get_running_loop().call_soon(self._begin_turn)
         return self._began_us
 
-    def _mark(self) -> None:
-        """The next turn has begun; marking goes on while there is something to mark."""
-        if self._used:
-            self._used = False
+    def _begin_turn(self) -> None:
+        """Record that a turn has begun, and go on with each turn until one is not used."""
+        if self._was_used:
+            self._was_used = False
             self.previous_began_us, self._began_us = self._began_us, now_us()
             self._admitted_count = 0
             while self._waiting and self._admitted_count < CLIENTS_PER_TURN:
-                one = self._waiting.popleft()
-                if not one.done():
-                    one.set_result(None)
+                admission = self._waiting.popleft()
+                if not admission.done():
+                    admission.set_result(None)
                     self._admitted_count += 1
-                    self._used = True
-            asyncio.get_running_loop().call_soon(self._mark)
+                    self._was_used = True
+            asyncio.get_running_loop().call_soon(self._begin_turn)
         else:
-            self._marked = False
+            self._is_timing = False
             self._admitted_count = 0
 
     @property
     def waiting_count(self) -> int:
-        """Clients that wait to be let in."""
+        """The number of clients that wait to be admitted."""
         return len(self._waiting)
 
     async def admit_client(self, again: bool = False) -> None:
-        """Wait for one's place in this turn or a later one; `again`: one has had a place in this one."""
+        """Wait until this turn or a later one admits the client; `again`: this turn has admitted it already."""
         self.turn_began_us()
         if not again and self._admitted_count < CLIENTS_PER_TURN and not self._waiting:
             self._admitted_count += 1
             return
-        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(future)
-        await future
+        admission: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(admission)
+        await admission
 
 
 class Stream(IOStream):
-    """A stream that knows since when, at least, the bytes read last had been there."""
+    """A stream that records when the bytes read last arrived, as bounds on both sides."""
 
-    def __init__(self, sock: socket.socket, turn_clock: TurnClock, **more: Any) -> None:
+    def __init__(self, sock: socket.socket, turn_clock: TurnClock, **options: Any) -> None:
         self._turn_clock = turn_clock
-        self._polled = False
-        self.arrived_by_us = 0  # the bytes read last were there then
-        self.arrived_after_us = 0  # and had not come before
-        self.sent_bytes = 0  # bytes that the socket has taken
-        super().__init__(sock, **more)
+        self._is_handling_poll = False
+        self.arrived_by_us = 0  # the bytes read last had arrived by then
+        self.arrived_after_us = 0  # and had not arrived before this time
+        self.sent_bytes = 0  # accepted by the socket
+        super().__init__(sock, **options)
 
     def _handle_events(self, fd: Any, events: int) -> None:
-        # Tornado's one entry from the poll; a read outside of it is tried on the chance, of bytes that just came.
-        self._polled = True
+        # Tornado calls this for each event of the poll. A read outside of it is speculative, and finds bytes that have
+        # just arrived.
+        self._is_handling_poll = True
         self._turn_clock.turn_began_us()
         try:
             super()._handle_events(fd, events)
         finally:
-            self._polled = False
+            self._is_handling_poll = False
 
     def is_idle(self) -> bool:
-        """Whether a read waits and nothing has come for it, neither bytes nor the end; what has come may be unseen yet.
+        """Whether a read is waiting and nothing has arrived for it: neither bytes nor the end of the stream.
 
-        Threat: a peer that is just asking, or has just closed. Bytes may lie in the socket, or be read from it and not
-        be handed on before the next turn of the loop.
+        This also looks at the socket, which prevents a peer that is just sending a request, or has just closed, from
+        being taken for idle. Bytes may lie in the socket, or have been read from it without being delivered before the
+        next turn of the loop.
         """
         if self.closed() or not self.reading():
             return False
@@ -124,7 +127,7 @@
         return False
 
     def peer_has_ended(self) -> bool:
-        """Whether the peer has shut its side or reset the connection, also behind bytes that nobody has read yet."""
+        """Whether the peer has shut down its side or reset the connection, even if bytes before that are unread."""
         if self.closed():
             return True
         poll = select.poll()
@@ -133,42 +136,44 @@
 
     def write_to_fd(self, data: memoryview) -> int:
         """See `BaseIOStream.write_to_fd`."""
-        taken = super().write_to_fd(data)
-        self.sent_bytes += taken
-        return taken
+        sent = super().write_to_fd(data)
+        self.sent_bytes += sent
+        return sent
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         """See `BaseIOStream.read_from_fd`."""
-        got = super().read_from_fd(buf)
-        if got:
-            self.arrived_by_us = self.arrived_after_us = self._turn_clock.turn_began_us() if self._polled else now_us()
-            if self._polled:
+        received = super().read_from_fd(buf)
+        if received:
+            self.arrived_by_us = self.arrived_after_us = (
+                self._turn_clock.turn_began_us() if self._is_handling_poll else now_us()
+            )
+            if self._is_handling_poll:
                 self.arrived_after_us = self._turn_clock.previous_began_us
-        return got
+        return received
 
 
 @contextlib.asynccontextmanager
 async def timeout_excluding_stalls(seconds: float) -> AsyncIterator[None]:
-    """Like `asyncio.timeout`, but time for which this process stood still is given back, once.
+    """Like `asyncio.timeout`, but extended once by the time for which this process was stalled.
 
-    Threat: a process stopped for a second finds all its time-outs passed and reads none of the answers that came.
-    Raises `TimeoutError`.
+    Prevents a process that was stopped for a second from finding all its timeouts expired and reading none of the
+    answers that arrived meanwhile. Raises `TimeoutError`.
     """
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as limit:
-        due = loop.time() + seconds
-        handle: asyncio.TimerHandle
-
-        def passed(again: bool) -> None:
-            nonlocal handle
-            late = loop.time() - due
-            if again and late > LATE_S:
-                handle = loop.call_later(min(late, seconds), passed, False)
+    async with asyncio.timeout(None) as timeout:
+        deadline = loop.time() + seconds
+        timer: asyncio.TimerHandle
+
+        def on_deadline(may_extend: bool) -> None:
+            nonlocal timer
+            late_s = loop.time() - deadline
+            if may_extend and late_s > LATE_TIMER_S:
+                timer = loop.call_later(min(late_s, seconds), on_deadline, False)
             else:
-                limit.reschedule(loop.time())
+                timeout.reschedule(loop.time())
 
-        handle = loop.call_at(due, passed, True)
+        timer = loop.call_at(deadline, on_deadline, True)
         try:
             yield
         finally:
-            handle.cancel()
+            timer.cancel()
--- a/oatlink/transport/__init__.py
+++ b/oatlink/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What every shell's connections have in common."""
+"""How connections end, shared by the gateways' client and server connections."""
--- a/oatlink/transport/closing.py
+++ b/oatlink/transport/closing.py
@@ -1,15 +1,17 @@
-"""How a connection ends: one state machine for clients' and servers' connections, without I/O.
+"""How a connection ends: one state machine for client and server connections, without I/O.
 
-    OPEN          requests are taken
-    DRAINING      no new request is taken; what is owed is still answered, and its last byte handed over
-    HALF_CLOSED   our side is shut down; what still comes is read and discarded, never sent on
-    CLOSED        nothing of it is left
+    OPEN          requests are accepted
+    DRAINING      no new request is accepted; pending answers are still sent, up to their last byte
+    HALF_CLOSED   our sending side is shut down; input is read and discarded, never forwarded
+    CLOSED        the connection no longer exists
 
-Threat: what the two peers do in the same instant. A close over unread bytes is a reset, and a reset takes the last
-answer with it; a request read after our shutdown and sent on has an effect that its client never hears of. So nothing
-closes before all is said, our side is shut down and the peer has ended, or has had its time or its bytes.
+This prevents two faults when both peers act at the same moment. Closing a socket with unread input resets the
+connection, and the reset destroys the last answer. A request that is read after our shutdown and forwarded takes
+effect without its client ever learning of it. A connection is therefore closed only after all answers are sent, our
+side is shut down, and the peer has closed its side or has used up its time or its allowance of bytes.
 
-Only this file changes the state. Events go in, what to do comes out; times are integer microseconds of one clock.
+Only this module changes the state. It takes events and returns the step to carry out. Times are integer microseconds
+of one clock.
 """
 
 from dataclasses import dataclass
@@ -17,7 +19,7 @@
 
 
 class State(Enum):
-    """Where a connection stands, see the head of this file. It only ever goes down this list."""
+    """The states described in the module docstring. A connection only moves down this list."""
 
     OPEN = "open"
     DRAINING = "draining"
@@ -26,45 +28,47 @@
 
 
 class Step(Enum):
-    """What the owner of the connection does now."""
+    """What the owner of the connection has to do now."""
 
     NONE = "none"
-    SHUT_DOWN = "shut down"  # our sending side; reading goes on
+    SHUT_DOWN = "shut down"  # shut down our sending side; reading continues
     CLOSE = "close"
 
 
 @dataclass(slots=True)
 class Closing:
-    """The end of one connection. `linger_us` and `max_discarded_bytes` bound what its peer may still take and send.
+    """The end of one connection.
 
-    With `linger_us` 0 nothing is waited for: for a peer to whom nothing can be owed.
+    `linger_us` limits how long the peer may take to receive the last answer, and then to close its side;
+    `max_discarded_bytes` limits what it may still send. With `linger_us` 0 the connection closes without waiting, for
+    peers that never receive answers from us.
     """
 
     linger_us: int
     max_discarded_bytes: int
     state: State = State.OPEN
-    ignores_input: bool = False  # nothing that still comes can be understood, or is meant to be
-    deadline_us: int | None = None  # what is left to do is given up then
+    ignores_input: bool = False  # further input cannot be parsed, or is not meant to be
+    deadline_us: int | None = None  # the connection is closed then, whatever is left to do
     discarded_bytes: int = 0
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a new request may be taken."""
+        """Whether a new request may be accepted."""
         return self.state is State.OPEN
 
     @property
     def discards(self) -> bool:
-        """Whether what comes is to be thrown away unread."""
+        """Whether input is discarded without being parsed."""
         return self.ignores_input or self.state in (State.HALF_CLOSED, State.CLOSED)
 
     def drain(self, ignores_input: bool = False) -> None:
-        """Take no new request from now on; `ignores_input`: nor anything else."""
+        """Accept no new request from now on; with `ignores_input`, parse no further input."""
         if self.state is State.OPEN:
             self.state = State.DRAINING
         self.ignores_input = self.ignores_input or ignores_input
 
     def settle(self, has_pending_answers: bool, has_unsent_bytes: bool, now_us: int) -> Step:
-        """Move on once nothing is left to do in the present state.
+        """Leave DRAINING once all answers are sent.
 
         `has_pending_answers`: an answer is still to come. `has_unsent_bytes`: bytes of an answer were not taken by the
         socket yet.
@@ -72,7 +76,7 @@
         if self.state is not State.DRAINING or has_pending_answers:
             return Step.NONE
         if has_unsent_bytes:
-            # Threat: a peer that reads nothing would keep its connection for good.
+            # Prevents a peer that reads nothing from keeping its connection forever.
             self.deadline_us = now_us + self.linger_us if self.deadline_us is None else self.deadline_us
             return Step.NONE
         if not self.linger_us:
@@ -81,16 +85,16 @@
         return Step.SHUT_DOWN
 
     def discard(self, size: int) -> Step:
-        """So many bytes have come, and are discarded. Threat: a peer that sends without end."""
+        """Count input that was discarded. Prevents a peer that never stops sending from keeping its connection."""
         self.discarded_bytes += size
         return self._close() if self.discarded_bytes > self.max_discarded_bytes else Step.NONE
 
     def expire(self, now_us: int) -> Step:
-        """Time has passed."""
+        """Close the connection if its deadline has passed."""
         return self._close() if self.deadline_us is not None and now_us >= self.deadline_us else Step.NONE
 
     def close(self) -> Step:
-        """The peer has ended or reset the connection, or it is given up here and now."""
+        """Close at once: the peer has closed or reset the connection, or we give it up."""
         return self._close()
 
     def _close(self) -> Step:
