--- a/oatlink/platform/clients/__init__.py
+++ b/oatlink/platform/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Client connections: startup, then queries, taken side by side, each answered once and in order."""
+"""Client connections: startup, then queries, executed concurrently, each answered once and in order."""
 
 from oatlink.platform.clients.connection import Client, Query, QueryHandler
 from oatlink.platform.clients.listener import Clients
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: startup, then queries, taken side by side, each answered once and in order.
+"""One client connection: startup, then queries, executed concurrently, each answered once and in order.
 
 Carries out I/O only: `statement` parses a query, `pipeline` decides the order of execution and of answers, the
 `QueryHandler` supplies each answer, and `transport.ending` decides how the connection ends. A client's mistake is
@@ -12,7 +12,7 @@
 
 from oatlink.gateway.clock import Stream, now_us
 from oatlink.platform.clients import answers
-from oatlink.platform.clients.pipeline import Arrivals, Command, Pipeline, PipelineLimits
+from oatlink.platform.clients.pipeline import ArrivalTimes, Command, Pipeline, PipelineLimits
 from oatlink.platform.requests import Final
 from oatlink.platform.statement import MAX_QUERY_BYTES, Statement, StatementError
 from oatlink.protocols import pgwire as pg
@@ -20,46 +20,46 @@
 from oatlink.transport.closing import State
 from oatlink.transport.ending import Ending
 
-CHUNK = 16_384  # bytes read at once
-SILENT_US = 2_500_000  # a connection that has asked nothing so long after it came is closed
-HALF_US = 2_000_000  # so long may a message be under way, either way
-DRAIN_US = 300_000  # so long what is there in part when the connection drains may take to come whole
-MOST_MISTAKES = 4  # statements that cannot be read, of one connection; then it is closed
-PAUSE_S = 0.05  # after a mistake, times their count: the same again at once takes no turn of others
+READ_CHUNK_BYTES = 16_384
+SILENT_TIMEOUT_US = 2_500_000  # a connection without a request so long after its accept is closed
+TRANSFER_TIMEOUT_US = 2_000_000  # for one message to be received whole, or one answer to be taken by the client
+DRAIN_TIMEOUT_US = 300_000  # for a message that was partly received when the drain began to be received whole
+MAX_MISTAKES = 4  # statements that cannot be parsed, per connection; then it is closed
+MISTAKE_PAUSE_S = 0.05  # times the count of mistakes: a client that repeats one at once takes no time from others
 LIMITS = Limits(message_bytes=MAX_QUERY_BYTES)
-PLAIN = frozenset((b"SET", b"RESET", b"DISCARD"))  # answered here: nothing of a connection is kept
+LOCAL_COMMANDS = frozenset((b"SET", b"RESET", b"DISCARD"))  # answered here, since connections have no session state
 
 
 class QueryHandler(Protocol):
-    """Where queries go."""
+    """Parses and executes queries."""
 
     def parse_query(self, text: bytes) -> Statement:
-        """What a query asks for. Raises `StatementError`."""
+        """Parse a query's text. Raises `StatementError`."""
         ...
 
     def submit_query(self, query: "Query") -> None:
-        """Take a query; it is answered once, at once or later. Raises `StatementError` where it cannot be taken."""
+        """Execute a query; it is answered once, at once or later. Raises `StatementError` if it cannot be executed."""
         ...
 
     def expedite_query(self, query: "Query") -> None:
-        """Others wait behind it now: it is answered so much earlier."""
+        """Answer a query earlier, by its `early_us`, since other queries of its connection now wait behind it."""
         ...
 
     def abandon_query(self, query: "Query") -> None:
-        """Its client has gone, or has been sent away, and it is still open."""
+        """Take note that the client of an unanswered query has gone, or was sent away."""
         ...
 
     @property
     def pipeline_limits(self) -> PipelineLimits:
-        """What connections may have open."""
+        """How many queries connections may have open."""
         ...
 
 
-class Home(Protocol):
-    """Where connections are kept."""
+class ClientOwner(Protocol):
+    """Keeps the list of connections."""
 
-    def gone(self, client: "Client") -> None:
-        """A connection has closed."""
+    def client_closed(self, client: "Client") -> None:
+        """Remove a connection that has closed."""
         ...
 
 
@@ -69,8 +69,8 @@
     __slots__ = ("client", "statement")
 
     def __init__(self, client: "Client", statement: Statement, arrived_us: int) -> None:
-        names = (b"name " + statement.session.encode(), b"key " + statement.key if statement.key else b"")
-        super().__init__(arrived_us, tuple(filter(None, names)), statement.is_write)
+        resources = (b"name " + statement.session.encode(), b"key " + statement.key if statement.key else b"")
+        super().__init__(arrived_us, tuple(filter(None, resources)), statement.is_write)
         self.client, self.statement = client, statement
 
     def answered(self, final: Final) -> None:
@@ -81,56 +81,57 @@
 class Client:
     """One client connection, from its accept to its end."""
 
-    def __init__(self, stream: Stream, handler: QueryHandler, home: Home) -> None:
-        self.stream, self._handler, self._home = stream, handler, home
-        self.ending = Ending(stream, self._is_owed, self._closed)
+    def __init__(self, stream: Stream, handler: QueryHandler, owner: ClientOwner) -> None:
+        self.stream, self._handler, self._owner = stream, handler, owner
+        self.ending = Ending(stream, self._has_pending_answers, self._on_closed)
         self._reader = pg.frontend_reader(LIMITS)
-        self._started = False
-        self._arrivals = Arrivals()
+        self._is_started = False
+        self._arrival_times = ArrivalTimes()
         self._pipeline = Pipeline(handler.pipeline_limits)
-        self.asked = False  # a request has come
-        self.born_us = self.free_us = now_us()
-        self._half_us = 0  # since when a message is under way
-        self._unsent_us = 0  # since when an answer lies here that is not taken
-        self._drained_us = 0  # since when no new request is taken
-        self._mistakes = 0
-        self._paused = False
-        self._skips = False  # after a mistake in the extended protocol, until Sync
-        self._blocked = False  # as much as may be has been read behind what is open
-        self._is_due = False  # a step comes in the next turn of the loop
-        self._room = asyncio.Event()
+        self.has_submitted = False  # whether any query was submitted
+        self.accepted_us = self.last_answer_us = now_us()
+        # Times since when a condition holds; 0 while it does not.
+        self._incomplete_since_us = 0  # a message is partly received
+        self._unsent_since_us = 0  # an answer is not fully taken by the client
+        self._draining_since_us = 0  # no new request is accepted
+        self._mistake_count = 0
+        self._is_paused = False
+        self._skips_until_sync = False  # after a mistake in the extended protocol
+        self._is_read_blocked = False  # the read buffer behind unanswered queries is full
+        self._is_step_scheduled = False  # for the next turn of the loop
+        self._may_read = asyncio.Event()
 
     @property
     def closed(self) -> bool:
-        """Whether nothing of it is left."""
+        """Whether the connection is closed on both sides."""
         return self.ending.state is State.CLOSED
 
     @property
     def is_ending(self) -> bool:
-        """Whether our side has been shut down, or all that is left to send is its last answer."""
+        """Whether our side has been shut down, or only the last answer is left to send."""
         return self.ending.discards
 
     @property
-    def waits(self) -> bool:
-        """Whether a query is open, or an answer is not written yet."""
+    def has_pending(self) -> bool:
+        """Whether a query is unanswered, or an answer is not written yet."""
         return len(self._pipeline) > 0
 
     async def run(self) -> None:
-        """Read until the connection ends, also what is thrown away after our side has been shut down."""
+        """Read until the connection ends, including input that is discarded after our side has been shut down."""
         try:
             while True:
-                # While no more is taken the next bytes are read, to notice a close: one message of them at most.
+                # While no message may be parsed, reading goes on to notice a close, but only up to about one message.
                 while self._reader.pending > MAX_QUERY_BYTES and self._is_busy():
-                    self._blocked = True
-                    self._room.clear()
-                    await self._room.wait()
-                self._blocked = False
-                data = await self.stream.read_bytes(CHUNK, partial=True)
+                    self._is_read_blocked = True
+                    self._may_read.clear()
+                    await self._may_read.wait()
+                self._is_read_blocked = False
+                data = await self.stream.read_bytes(READ_CHUNK_BYTES, partial=True)
                 if self.ending.discards:
                     self.ending.discard(len(data))
                 else:
                     self._reader.feed(data)
-                    self._arrivals.came(len(data), self.stream.arrived_by_us)
+                    self._arrival_times.add(len(data), self.stream.arrived_by_us)
                     self.step()
         except StreamClosedError:
             pass
@@ -139,49 +140,51 @@
 
     def _is_busy(self) -> bool:
         """Whether the next message has to wait."""
-        return not self.ending.discards and (not self._pipeline.has_room or self._paused or self.stream.writing())
+        return not self.ending.discards and (
+            not self._pipeline.has_capacity or self._is_paused or self.stream.writing()
+        )
 
-    def _is_owed(self) -> bool:
-        """Whether something is still to be answered: a query, or one that is here in part or may be."""
-        if self.waits or self.ending.discards:
-            return self.waits
-        return self._paused or self._reader.pending > 0 or not self.stream.is_idle()
+    def _has_pending_answers(self) -> bool:
+        """Whether something is still to be answered: a query, or one that is partly received or may be arriving."""
+        if self.has_pending or self.ending.discards:
+            return self.has_pending
+        return self._is_paused or self._reader.pending > 0 or not self.stream.is_idle()
 
     def step(self) -> None:
-        """Take the messages that are here, as far as there is room, up to a query; the next turn goes on behind it.
+        """Handle received messages as far as limits allow, up to a query; the next turn of the loop continues after it.
 
-        Threat: a client that takes none of its answers. Its next query waits until the last one is handed over. And one
-        that sends hundreds at once: it takes turns with all others that ask.
+        The next query waits until the last answer is handed to the socket, so a client that reads none of its answers
+        holds only one of them in memory. A client that sends hundreds of queries at once takes turns with all others.
         """
         try:
-            while not (self._is_due or self._is_busy() or self.ending.discards):
+            while not (self._is_step_scheduled or self._is_busy() or self.ending.discards):
                 message = self._reader.take()
                 if message is None:
                     break
-                self._half_us = 0
-                self._take(message)
-        except ProtocolError as problem:
-            self.end(pg.refusal(problem).encode())
+                self._incomplete_since_us = 0
+                self._handle_message(message)
+        except ProtocolError as error:
+            self.end(pg.refusal(error).encode())
         if self._reader.pending and not self._is_busy():
-            self._half_us = self._half_us or now_us()
-        self._room.set()
+            self._incomplete_since_us = self._incomplete_since_us or now_us()
+        self._may_read.set()
         if not self.ending.accepts_requests:
             self.ending.settle()
 
-    def _take(self, message: pg.Message) -> None:
-        if not self._started:
+    def _handle_message(self, message: pg.Message) -> None:
+        if not self._is_started:
             self._start(message)
         elif message.kind == b"X":
             self.end(b"")
         elif message.kind == b"Q":
-            if not self._skips:
-                self._query(pg.query_text(message))
+            if not self._skips_until_sync:
+                self._handle_query(pg.query_text(message))
         elif message.kind == b"S":
-            self._skips = False
-            self._say(answers.READY)
-        elif not self._skips:
-            self._skips = message.kind != b"F"
-            self._mistaken(
+            self._skips_until_sync = False
+            self._queue_answer(answers.READY)
+        elif not self._skips_until_sync:
+            self._skips_until_sync = message.kind != b"F"
+            self._answer_mistake(
                 pg.make_error("0A000", "expected simple queries only").encode()
                 + (answers.READY if message.kind == b"F" else b"")
             )
@@ -189,92 +192,97 @@
     def _start(self, message: pg.Message) -> None:
         match pg.startup(message):
             case pg.Startup():
-                self._started = True
+                self._is_started = True
                 self._reader.started()
                 self.write(answers.GREETING)
             case pg.Cancel():
                 self.end(b"")
             case _:
-                self.write(answers.NO_SSL)
+                self.write(answers.SSL_DECLINED)
 
-    def _query(self, text: bytes) -> None:
+    def _handle_query(self, text: bytes) -> None:
         words = text.split(None, 1)
         if not words or not text.strip(b"; \t\r\n"):
-            self._say(answers.EMPTY)  # which asks nothing: a flood may say so much
-        elif words[0].upper() in PLAIN:
-            self._say(pg.make_complete(words[0].upper()).encode() + answers.READY)
+            self._queue_answer(answers.EMPTY_QUERY)  # no request: a client that sends only these counts as silent
+        elif words[0].upper() in LOCAL_COMMANDS:
+            self._queue_answer(pg.make_complete(words[0].upper()).encode() + answers.READY)
         elif not self.ending.accepts_requests:
-            self._say(answers.refusal(0))  # nothing new is taken on a connection that ends; another takes it at once
-        elif self.stream.closed() or (self._blocked and self.stream.peer_has_ended()):
-            self.close()  # what it sent before it went must not be sent on
+            self._queue_answer(answers.refusal(0))  # the client may retry at once on another connection
+        elif self.stream.closed() or (self._is_read_blocked and self.stream.peer_has_ended()):
+            self.close()  # what the client sent before it left must not be submitted
         else:
             try:
-                query = Query(self, self._handler.parse_query(text), self._arrivals.last_us(self._reader.pending))
-            except StatementError as problem:
-                self._mistaken(answers.error(problem.sqlstate, str(problem)))
+                statement = self._handler.parse_query(text)
+                query = Query(self, statement, self._arrival_times.last_byte_us(self._reader.pending))
+            except StatementError as error:
+                self._answer_mistake(answers.error(error.sqlstate, str(error)))
                 return
-            hurried = self._pipeline.add(query)
-            if isinstance(hurried, Query):
-                self._handler.expedite_query(hurried)
-            self._go_on_later()
-            self._ask(query)
-
-    def _ask(self, query: Query) -> None:
-        """Ask, where nothing of its own connection has to be answered before it."""
-        if query.ahead or self.closed:
+            expedited = self._pipeline.add(query)
+            if isinstance(expedited, Query):
+                self._handler.expedite_query(expedited)
+            self._schedule_step()
+            self._submit(query)
+
+    def _submit(self, query: Query) -> None:
+        """Submit a query, unless another one of this connection has to be answered first."""
+        if query.blocker_count or self.closed:
             return
         try:
             self._handler.submit_query(query)
-            self.asked = True
-        except StatementError as problem:
-            self._answer(query, answers.error(problem.sqlstate, str(problem)))  # in its own place
+            self.has_submitted = True
+        except StatementError as error:
+            self._answer(query, answers.error(error.sqlstate, str(error)))  # in its own place
             self._pause()
 
-    def _mistaken(self, answer: bytes) -> None:
-        """A mistake's answer, behind those that are owed."""
-        self._say(answer)
+    def _answer_mistake(self, answer: bytes) -> None:
+        """Answer a mistake, after the answers of earlier queries."""
+        self._queue_answer(answer)
         self._pause()
 
     def _pause(self) -> None:
-        """Threat: the same again as soon as it is answered, at full speed. It waits, longer each time, then ends."""
-        self._mistakes += 1
-        if self._mistakes >= MOST_MISTAKES:
+        """Wait before the next message, longer after each mistake, and end the connection after `MAX_MISTAKES`.
+
+        Prevents a client from repeating a mistake at full speed as soon as it is answered.
+        """
+        self._mistake_count += 1
+        if self._mistake_count >= MAX_MISTAKES:
             self.end(b"")
             return
-        self._paused = True
-        asyncio.get_running_loop().call_later(PAUSE_S * self._mistakes, self._go_on)
+        self._is_paused = True
+        asyncio.get_running_loop().call_later(MISTAKE_PAUSE_S * self._mistake_count, self._resume)
 
-    def _go_on(self) -> None:
-        self._paused = False
+    def _resume(self) -> None:
+        self._is_paused = False
         self.step()
 
-    def _go_on_later(self) -> None:
-        """What waits is seen to in a turn of its own: an answer may set off the next, and so on."""
-        if not self._is_due:
-            self._is_due = True
-            asyncio.get_running_loop().call_soon(self._due)
+    def _schedule_step(self) -> None:
+        """Handle the next message in a turn of its own: an answer may trigger the next query, and so on."""
+        if not self._is_step_scheduled:
+            self._is_step_scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_scheduled_step)
 
-    def _due(self) -> None:
-        self._is_due = False
+    def _run_scheduled_step(self) -> None:
+        self._is_step_scheduled = False
         if not self.closed:
             self.step()
 
-    def _say(self, data: bytes) -> None:
-        """An answer of our own, behind those that are owed."""
-        self._pipeline.say(data)
+    def _queue_answer(self, data: bytes) -> None:
+        """Send an answer of our own, after the answers of earlier queries."""
+        self._pipeline.add_answer(data)
         self._flush()
 
     def _flush(self) -> None:
         """Write the answers whose turn it is.
 
-        Threat: more of them at once than the stream holds for a client. What is left goes when those are handed over.
+        Stops while the stream still writes, since several answers at once may exceed the stream's buffer. The rest
+        follows when those bytes are handed to the socket.
         """
-        while not self.stream.writing() and (data := self._pipeline.ready()):
-            self.free_us = now_us()
+        while not self.stream.writing() and (data := self._pipeline.take_ready()):
+            self.last_answer_us = now_us()
             self.write(data)
 
     def answered(self, query: Query, final: Final) -> None:
-        """A query's final answer."""
+        """Send a query's final answer."""
         data = answers.FAILED
         if final.payload:
             data = final.payload + answers.READY
@@ -285,14 +293,14 @@
     def _answer(self, query: Query, data: bytes) -> None:
         released = self._pipeline.answer(query, data)
         self._flush()
-        for one in released:
-            if isinstance(one, Query):
-                self._ask(one)
+        for command in released:
+            if isinstance(command, Query):
+                self._submit(command)
         if not self.closed:
-            self._go_on_later()
+            self._schedule_step()
 
     def write(self, data: bytes) -> None:
-        """Write; a client that takes nothing is let go."""
+        """Write; the connection is closed if the client left or took too little of what was written before."""
         if self.closed:
             return
         try:
@@ -301,67 +309,67 @@
             self.close()
             return
         if self.stream.writing():
-            self._unsent_us = self._unsent_us or now_us()
-            written.add_done_callback(self._written)
+            self._unsent_since_us = self._unsent_since_us or now_us()
+            written.add_done_callback(self._on_written)
 
-    def _written(self, written: "asyncio.Future[None]") -> None:
-        """The bytes are handed over, or the stream has closed: its reader may be waiting, and would not see it."""
+    def _on_written(self, written: "asyncio.Future[None]") -> None:
+        """Continue after a write; close if it failed, since a reader that is blocked would not notice the failure."""
         if written.cancelled() or written.exception() is not None:
             self.close()
         elif not self.stream.writing():
-            self._unsent_us = 0
+            self._unsent_since_us = 0
             self._flush()
             self.step()
 
     def end(self, data: bytes) -> None:
-        """A last answer, then the end; what the client still sends is thrown away."""
+        """Send a last answer and end the connection; further input is discarded."""
         if self.ending.discards:
             return
         if data:
-            self._say(data)
+            self._queue_answer(data)
         self.ending.drain(ignores_input=True)
-        self._room.set()
+        self._may_read.set()
 
     def drain(self) -> None:
-        """Take no new request, and end once what is here has been answered."""
-        self._drained_us = self._drained_us or now_us()
+        """Accept no new request, and end once everything received has been answered."""
+        self._draining_since_us = self._draining_since_us or now_us()
         self.ending.drain()
 
     def close(self) -> None:
-        """Close at once. Idempotent; an open query is told as left."""
+        """Close at once, and abandon unanswered queries. Idempotent."""
         self.ending.close()
 
-    def _closed(self) -> None:
-        self._room.set()
-        for one in self._pipeline.clear():
-            if isinstance(one, Query):
-                self._handler.abandon_query(one)
-        self._home.gone(self)
+    def _on_closed(self) -> None:
+        self._may_read.set()
+        for command in self._pipeline.clear():
+            if isinstance(command, Query):
+                self._handler.abandon_query(command)
+        self._owner.client_closed(self)
 
     def idle_since_us(self) -> int | None:
-        """Since when nothing is open here and nothing under way; None while something is, or the connection ends."""
-        if self.waits or not self.ending.accepts_requests or self._reader.pending or self._is_busy():
+        """Since when no query is open and nothing is being transferred; None if busy or ending."""
+        if self.has_pending or not self.ending.accepts_requests or self._reader.pending or self._is_busy():
             return None
         if not self.stream.is_idle():
             return None
-        return self.free_us
+        return self.last_answer_us
 
     def sweep(self, at_us: int) -> None:
-        """End it where it has had its time: nothing asked since it came, or half a message that does not go on.
+        """End the connection if it has exceeded one of its time limits.
 
-        Threat: a client that has gone is not noticed while more than is read lies before its end; one that takes
-        nothing holds its answer in memory; one that asks without a pause would never let a gateway end.
+        Notices a client that has gone although its close lies behind more input than is read, frees the memory of an
+        answer that its client does not take, and ends a drain although the client keeps sending requests.
         """
-        if self._pipeline.open or self._paused:
-            if self._blocked and self.stream.peer_has_ended():
+        if self._pipeline.unanswered or self._is_paused:
+            if self._is_read_blocked and self.stream.peer_has_ended():
                 self.close()
-        elif self._unsent_us and at_us - self._unsent_us > HALF_US:
+        elif self._unsent_since_us and at_us - self._unsent_since_us > TRANSFER_TIMEOUT_US:
             self.close()
-        elif (not self.asked and at_us - self.born_us > SILENT_US) or (
-            self._half_us > 0 and at_us - self._half_us > HALF_US
+        elif (not self.has_submitted and at_us - self.accepted_us > SILENT_TIMEOUT_US) or (
+            self._incomplete_since_us > 0 and at_us - self._incomplete_since_us > TRANSFER_TIMEOUT_US
         ):
-            self.end(answers.TOO_SLOW)
-        elif self._drained_us and at_us - max(self._drained_us, self.free_us) > DRAIN_US:
+            self.end(answers.QUERY_TIMEOUT)
+        elif self._draining_since_us and at_us - max(self._draining_since_us, self.last_answer_us) > DRAIN_TIMEOUT_US:
             self.end(b"")
         elif not self.ending.accepts_requests:
             self.ending.settle()
--- a/oatlink/platform/clients/listener.py
+++ b/oatlink/platform/clients/listener.py
@@ -1,6 +1,7 @@
-"""The listener of client connections, and how many of them it holds.
+"""The listener of client connections, which limits how many of them there are.
 
-Connections that end and wait for their client's end are counted apart: they take nothing from those that ask.
+Connections that are ending, and wait for their client to close, have a limit of their own, so that they take no
+capacity from clients that send requests.
 """
 
 import asyncio
@@ -9,152 +10,171 @@
 
 from oatlink.gateway.clock import Stream, TurnClock, now_us
 from oatlink.platform.clients import answers
-from oatlink.platform.clients.connection import CHUNK, Client, QueryHandler
+from oatlink.platform.clients.connection import READ_CHUNK_BYTES, Client, QueryHandler
 
-MOST_WRITTEN = 262_144  # bytes that a client has not taken
-FULL_US = 20_000  # between two looks for a connection to close, where none may be
-IDLE_US = 2_000_000  # a connection idle for less is left alone
-PRESSURE = 0.25  # of all client connections: from there on idle ones are closed
-ENDING_PART = 8  # one in so many descriptors is for connections that end
-ACCEPTED_A_TURN = 16  # the rest wait in the kernel for the next
+MAX_UNSENT_BYTES = 262_144  # of answers that a client has not taken
+SEARCH_PAUSE_US = 20_000  # after no connection could be closed to admit another, until the next search for one
+MIN_IDLE_US = 2_000_000  # a connection that is idle for less is not closed
+PRESSURE_SHARE = 0.25  # of all client connections: beyond it, idle ones are closed
+DESCRIPTORS_PER_ENDING = 8  # one in so many descriptors is reserved for connections that are ending
+ACCEPTS_PER_TURN = 16  # the rest wait in the kernel for the next turn of the loop
 
 
 class Clients:
-    """All client connections. Each descriptor of the `most` given is either a client's or one's that ends."""
+    """All client connections.
+
+    Each of the `max_descriptors` is for an active connection or for one that is ending.
+    """
 
     def __init__(
         self,
         sock: socket.socket,
-        most: int,
+        max_descriptors: int,
         handler: QueryHandler,
         turn_clock: TurnClock,
-        keep: Callable[["asyncio.Future[None]"], None],
+        track_task: Callable[["asyncio.Future[None]"], None],
         note: Callable[[str], None],
     ) -> None:
-        self._sock, self._handler, self._turn_clock, self._keep, self._note = sock, handler, turn_clock, keep, note
-        self._most_ending = max(2, most // ENDING_PART)
-        self._most = most - self._most_ending
-        self.active: dict[Client, None] = {}
+        self._sock, self._handler, self._turn_clock, self._note = sock, handler, turn_clock, note
+        self._track_task = track_task
+        self._max_ending = max(2, max_descriptors // DESCRIPTORS_PER_ENDING)
+        self._max_active = max_descriptors - self._max_ending
+        self.active: dict[Client, None] = {}  # in the order of their accepts
         self._ending: dict[Client, None] = {}  # in the order in which they began to end
         self.stopping = False
-        self._turned_away = 0  # since the last sweep
-        self._full_until_us = 0
+        self._turned_away_count = 0  # since the last sweep
+        self._search_paused_until_us = 0
         self.address: tuple[str, int] = sock.getsockname()[:2]
 
     def listen(self) -> None:
-        """Take connections from now on."""
+        """Accept connections from now on."""
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._accept)
 
-    def _accept(self, most: int = ACCEPTED_A_TURN) -> bool:
-        """Take what waits in the kernel. Whether more may wait."""
-        for _ in range(most):
+    def _accept(self, max_count: int = ACCEPTS_PER_TURN) -> bool:
+        """Accept connections that wait in the kernel; return whether more may be waiting."""
+        for _ in range(max_count):
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return False
-            except OSError as problem:
-                self._note(f"accept: {problem.strerror}")
+            except OSError as error:
+                self._note(f"accept: {error.strerror}")
                 self._make_room(now_us())
                 return False
-            client = self._take(sock)
-            if len(self.active) > self._most and not self._make_room(now_us()):
-                # Threat: a close with no answer, over what it has sent already, leaves its client without a word.
-                self._turned_away += 1
-                client.end(answers.TURNED_AWAY)
-                self._began_to_end(client)
+            client = self._add_client(sock)
+            if len(self.active) > self._max_active and not self._make_room(now_us()):
+                # A close without an answer, over input that is already there, would reset the connection and leave
+                # the client without a reason.
+                self._turned_away_count += 1
+                client.end(answers.TOO_MANY_CONNECTIONS)
+                self._mark_ending(client)
         return True
 
-    def _take(self, sock: socket.socket) -> Client:
+    def _add_client(self, sock: socket.socket) -> Client:
         stream = Stream(
-            sock, self._turn_clock, max_buffer_size=2 * CHUNK, max_write_buffer_size=MOST_WRITTEN, read_chunk_size=CHUNK
+            sock,
+            self._turn_clock,
+            max_buffer_size=2 * READ_CHUNK_BYTES,
+            max_write_buffer_size=MAX_UNSENT_BYTES,
+            read_chunk_size=READ_CHUNK_BYTES,
         )
         stream.set_nodelay(True)
         client = Client(stream, self._handler, self)
         self.active[client] = None
-        self._keep(asyncio.ensure_future(client.run()))
+        self._track_task(asyncio.ensure_future(client.run()))
         return client
 
-    def gone(self, client: Client) -> None:
-        """See `Home`."""
+    def client_closed(self, client: Client) -> None:
+        """See `ClientOwner`."""
         self.active.pop(client, None)
         self._ending.pop(client, None)
 
-    def _began_to_end(self, client: Client) -> None:
-        """Its descriptor counts with those that end. Threat: peers that never end their side hold them all."""
+    def _mark_ending(self, client: Client) -> None:
+        """Count a connection with those that are ending, and close the oldest of these beyond their limit.
+
+        Prevents peers that never close their side from holding all descriptors.
+        """
         if client in self.active:
             del self.active[client]
             self._ending[client] = None
-        while len(self._ending) > self._most_ending and not self.stopping:
+        while len(self._ending) > self._max_ending and not self.stopping:
             next(iter(self._ending)).close()
 
     def _make_room(self, at_us: int) -> bool:
-        """Threat: a flood of connections that say nothing keeps usual clients out.
+        """Close one connection to admit another; return whether there was one to close.
 
-        The oldest that has asked nothing goes first, then the one that idles longest, if long enough. Where none may
-        go, nobody is looked for again for a while: a flood must not cost the process its time.
+        Prevents a flood of connections that send nothing from keeping other clients out. The oldest connection without
+        any request goes first, then the one that has been idle longest, if it has been idle for `MIN_IDLE_US`. Where
+        none may be closed, there is no other search for a while, so that a flood does not use up this process's time.
         """
-        if at_us < self._full_until_us:
+        if at_us < self._search_paused_until_us:
             return False
-        for client in self.active:  # in the order they came
-            if not client.asked and client.idle_since_us() is not None:
+        for client in self.active:
+            if not client.has_submitted and client.idle_since_us() is not None:
                 self._end(client)
                 return True
-        for client in self._idle_long(at_us):
+        for client in self._long_idle_clients(at_us):
             self._end(client)
             return True
-        self._full_until_us = at_us + FULL_US
+        self._search_paused_until_us = at_us + SEARCH_PAUSE_US
         return False
 
     def _end(self, client: Client) -> None:
         client.drain()
-        # Threat: a request that came since it was looked at. It is answered first; sweeps look after it until then.
+        # A request may have arrived after the client was found idle. Such a client stays active until that request is
+        # answered; sweeps end it afterwards.
         if client.is_ending:
-            self._began_to_end(client)
-
-    def _idle_long(self, at_us: int) -> list[Client]:
-        """Clients that may be closed, the one that idles longest first."""
-        idle = [one for one in self.active if at_us - one.free_us >= IDLE_US and one.idle_since_us() is not None]
-        return sorted(idle, key=lambda one: one.free_us)
-
-    def _relieve(self, at_us: int) -> None:
-        """Threat: clients that ask once and keep their connection for good hold what those who ask now need.
-
-        Past a share of the connections, the ones that idle longest are closed, if long enough.
+            self._mark_ending(client)
+
+    def _long_idle_clients(self, at_us: int) -> list[Client]:
+        """Return the idle clients that may be closed, the longest idle first."""
+        idle = [
+            client
+            for client in self.active
+            if at_us - client.last_answer_us >= MIN_IDLE_US and client.idle_since_us() is not None
+        ]
+        return sorted(idle, key=lambda client: client.last_answer_us)
+
+    def _relieve_pressure(self, at_us: int) -> None:
+        """Close the longest idle connections beyond a share of all.
+
+        Prevents clients that send one request and then keep their connection from holding capacity that active clients
+        need.
         """
-        spare = len(self.active) - round(PRESSURE * (self._most + self._most_ending))
-        spare = min(spare, self._most_ending - len(self._ending))
-        if spare > 0:
-            for client in self._idle_long(at_us)[:spare]:
+        excess = len(self.active) - round(PRESSURE_SHARE * (self._max_active + self._max_ending))
+        excess = min(excess, self._max_ending - len(self._ending))
+        if excess > 0:
+            for client in self._long_idle_clients(at_us)[:excess]:
                 self._end(client)
 
     @property
     def open_count(self) -> int:
-        """Connections held, those that end among them."""
+        """The number of connections, including those that are ending."""
         return len(self.active) + len(self._ending)
 
     @property
     def idle_count(self) -> int:
-        """Connections with nothing open."""
-        return sum(one.idle_since_us() is not None for one in self.active)
+        """The number of connections without an open query."""
+        return sum(client.idle_since_us() is not None for client in self.active)
 
     def sweep(self) -> None:
-        """End what has had its time; at an orderly end all that owes nothing."""
+        """End connections that exceeded their time limits; during a stop, all that have nothing to be answered."""
         at_us = now_us()
-        if self._turned_away:
-            self._note(f"clients turned away: {self._turned_away}, {len(self.active)} connections")
-            self._turned_away = 0
-        self._relieve(at_us)
+        if self._turned_away_count:
+            self._note(f"clients turned away: {self._turned_away_count}, {len(self.active)} connections")
+            self._turned_away_count = 0
+        self._relieve_pressure(at_us)
         for client in list(self.active):
             if self.stopping:
                 client.drain()
             client.sweep(at_us)
             if client.is_ending:
-                self._began_to_end(client)
+                self._mark_ending(client)
 
     def stop(self) -> None:
-        """Take no more connections; end each once what it owes is answered."""
+        """Accept no more connections, and end each one once everything received on it is answered."""
         if not self.stopping:
-            while self._accept():  # Threat: what waits in the kernel is reset when the listener closes
+            while self._accept():  # connections that wait in the kernel would be reset when the listener closes
                 pass
             self.stopping = True
             asyncio.get_running_loop().remove_reader(self._sock.fileno())
--- a/oatlink/platform/clients/pipeline.py
+++ b/oatlink/platform/clients/pipeline.py
@@ -1,28 +1,34 @@
-"""The commands of one client connection: taken side by side, answered in their order. No I/O.
+"""The commands of one client connection: executed concurrently, answered in the order of their arrival. No I/O.
 
-Threat: one request that hangs. Taken one after the other, all that a client sent behind it waits, gets no answer in
-its own time, and is lost when the client has waited long enough for the first. So each is asked when it comes and
-counts its time from its own last byte; its answer waits here for those ahead of it, and one with others behind it gives
-up SLACK_US early, while its client still waits for the others.
+Prevents one request that hangs from delaying all requests that its client sent after it. Executed one after the other,
+those would get no answer in their own time, and would be lost once the client has waited long enough for the first one.
+Each command is therefore submitted when it arrives, and its time counts from its own last byte. Its answer waits here
+for the answers of the commands before it. A command with others after it gives up SLACK_US early, while its client
+still waits for the others.
 
-Side by side does not mean in any order: what reads or writes what another one writes, or bears its idempotency key, is
-asked after that one's answer. Here: order, room, and when a command came. Who serves it is decided elsewhere.
+Concurrent does not mean in any order: a command that reads or writes what another one writes, or carries the same
+idempotency key, is submitted after the answer of that one. This module decides order, capacity and times of arrival;
+which server executes a command is decided elsewhere.
 """
 
 from dataclasses import dataclass, field
 
-SLACK_US = 50_000  # between a client's clock and ours: the protocol extends every time limit by as much
-HELD_BYTES = 262_144  # of answers that wait for those ahead: nothing more is taken until they go
-WRITTEN_BYTES = 65_536  # of answers written at once, where one alone is not longer
-MOST_MARKS = 64  # times of arrival kept; beyond, later bytes count as come with the last ones
+SLACK_US = 50_000  # between the client's clock and ours: the protocol extends every time limit by as much
+MAX_WAITING_BYTES = (
+    262_144  # of answers that wait for those before them: beyond, no command is added until they are sent
+)
+MAX_WRITE_BYTES = 65_536  # of answers written at once, unless a single answer is longer
+MAX_ARRIVALS = 64  # times of arrival kept; beyond, newer bytes count as arrived with the last ones
 
 
 @dataclass(slots=True)
 class PipelineLimits:
-    """What the connections of a gateway may have open: `each` of them, and all of them beside one each.
+    """How many commands the connections of a gateway may have open.
 
-    Threat: a hundred clients that each ask for as many of the longest answers as they may behind one that hangs. Each
-    such answer needs memory until its turn comes, so its place is taken when it is asked for.
+    `per_connection` limits each connection; `shared` limits, over all connections, the commands beyond the first one
+    of each. The second limit prevents the gateway from running out of memory when a hundred clients each pipeline as
+    many of the longest answers as they may behind a command that hangs. Each such answer needs memory until its turn
+    comes, so its place is reserved when the command is added.
     """
 
     per_connection: int
@@ -31,161 +37,169 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no connection may have another one open behind others."""
+        """Whether no connection may add a command behind another one."""
         return self.shared_used >= self.shared
 
 
-class Arrivals:
-    """When the bytes of a stream came, so that each command is timed by its own last byte."""
+class ArrivalTimes:
+    """When the bytes of a stream arrived, so that each command is timed by its own last byte."""
 
-    __slots__ = ("_fed", "_marks")
+    __slots__ = ("_arrivals", "_received_bytes")
 
     def __init__(self) -> None:
-        self._fed = 0
-        self._marks: list[tuple[int, int]] = []  # up to this many bytes had come then; short, and small when empty
+        self._received_bytes = 0
+        # Total of bytes received up to a time, and that time. A list, since it is short, and small when empty.
+        self._arrivals: list[tuple[int, int]] = []
 
-    def came(self, size: int, at_us: int) -> None:
-        """So many bytes more."""
-        self._fed += size
-        if len(self._marks) >= MOST_MARKS:  # Threat: a byte at a time. Reckoned too early, never too late
-            at_us = self._marks.pop()[1]
-        self._marks.append((self._fed, at_us))
+    def add(self, size: int, at_us: int) -> None:
+        """Record that `size` more bytes arrived."""
+        self._received_bytes += size
+        # Bounds the list when a client sends one byte at a time. A time may then be too early, but never too late.
+        if len(self._arrivals) >= MAX_ARRIVALS:
+            at_us = self._arrivals.pop()[1]
+        self._arrivals.append((self._received_bytes, at_us))
 
-    def last_us(self, pending: int) -> int:
-        """When the last byte came of what has been taken, with so many bytes still pending."""
-        while len(self._marks) > 1 and self._marks[0][0] < self._fed - pending:
-            del self._marks[0]
-        return self._marks[0][1]
+    def last_byte_us(self, pending: int) -> int:
+        """When the last byte of the command just parsed arrived, with `pending` bytes not parsed yet."""
+        while len(self._arrivals) > 1 and self._arrivals[0][0] < self._received_bytes - pending:
+            del self._arrivals[0]
+        return self._arrivals[0][1]
 
 
 @dataclass(eq=False, slots=True)
 class Command:
-    """One request of a connection. `names` are what it must not share with an open one that writes, or if it writes."""
+    """One request of a connection.
+
+    `resources` are names that order commands: two that share one are executed one after the other if either writes.
+    """
 
     arrived_us: int
-    names: tuple[bytes, ...] = ()
+    resources: tuple[bytes, ...] = ()
     is_write: bool = False
     answer: bytes | None = None
-    is_expedited: bool = False  # another one is behind it
-    ahead: int = 0  # commands that it is asked after
-    behind: list["Command"] = field(default_factory=list)  # commands that are asked after it
+    is_expedited: bool = False  # another command waits behind it
+    blocker_count: int = 0  # commands that must be answered before it is submitted
+    blocked: list["Command"] = field(default_factory=list)  # commands that are submitted after its answer
 
     @property
     def early_us(self) -> int:
-        """How much sooner than its client's time is up it has to be answered."""
+        """How long before its client's deadline it has to be answered."""
         return SLACK_US if self.is_expedited else 0
 
 
 @dataclass(slots=True)
-class _Name:
-    """Open commands of one name: the last that writes, and those that read after it."""
+class _ResourceUsers:
+    """Unanswered commands that use one resource: the last one that writes, and those that read after it."""
 
     writer: Command | None = None
     readers: list[Command] = field(default_factory=list)
 
-    def join(self, one: Command) -> list[Command]:
-        """Those that it comes after."""
-        if not one.is_write:
-            self.readers.append(one)
+    def join(self, command: Command) -> list[Command]:
+        """Add a command and return those that have to be answered before it is submitted."""
+        if not command.is_write:
+            self.readers.append(command)
             return [self.writer] if self.writer is not None else []
-        before = self.readers or ([self.writer] if self.writer is not None else [])
-        self.writer, self.readers = one, []
-        return before
+        blockers = self.readers or ([self.writer] if self.writer is not None else [])
+        self.writer, self.readers = command, []
+        return blockers
 
-    def leave(self, one: Command) -> bool:
-        """It has its answer. Whether nobody of this name is left."""
-        if self.writer is one:
+    def leave(self, command: Command) -> bool:
+        """Remove an answered command; return whether no command uses the resource any more."""
+        if self.writer is command:
             self.writer = None
-        elif one in self.readers:
-            self.readers.remove(one)
+        elif command in self.readers:
+            self.readers.remove(command)
         return self.writer is None and not self.readers
 
 
 class Pipeline:
-    """What one connection has asked and not been answered, in order."""
+    """The commands of one connection whose answers have not been handed out yet, in order."""
 
-    __slots__ = ("_behind", "_held", "_line", "_names", "_limits", "open")
+    __slots__ = ("_limits", "_queue", "_resources", "_shared_used", "_waiting_bytes", "unanswered")
 
     def __init__(self, limits: PipelineLimits) -> None:
         self._limits = limits
-        self.open: dict[Command, None] = {}  # without an answer
-        self._line: list[Command] = []
-        self._names: dict[bytes, _Name] = {}
-        self._held = 0
-        self._behind = 0  # places taken in the room
+        self.unanswered: dict[Command, None] = {}
+        self._queue: list[Command] = []
+        self._resources: dict[bytes, _ResourceUsers] = {}
+        self._waiting_bytes = 0  # of answers in the queue
+        self._shared_used = 0  # this connection's part of the shared limit
 
     def __len__(self) -> int:
-        return len(self._line)
+        return len(self._queue)
 
     @property
-    def has_room(self) -> bool:
-        """Whether another command may be taken."""
+    def has_capacity(self) -> bool:
+        """Whether another command may be added."""
         limits = self._limits
-        return not self._line or (
-            len(self._line) < limits.per_connection and self._held < HELD_BYTES and not limits.is_full
+        return not self._queue or (
+            len(self._queue) < limits.per_connection and self._waiting_bytes < MAX_WAITING_BYTES and not limits.is_full
         )
 
-    def add(self, one: Command) -> Command | None:
-        """Take a command; it may be asked where none is `ahead`. The one before it, if that has to hurry now."""
-        last = self._line[-1] if self._line else None
-        self._line.append(one)
-        self.open[one] = None
-        self._settle()
-        for name in one.names:
-            for other in self._names.setdefault(name, _Name()).join(one):
-                other.behind.append(one)
-                one.ahead += 1
-        if last is None or last.answer is not None or last.is_expedited:
+    def add(self, command: Command) -> Command | None:
+        """Add a command; it may be submitted at once if its `blocker_count` is 0.
+
+        Returns the command before it if that one has to be answered earlier from now on.
+        """
+        previous = self._queue[-1] if self._queue else None
+        self._queue.append(command)
+        self.unanswered[command] = None
+        self._update_shared_use()
+        for resource in command.resources:
+            for blocker in self._resources.setdefault(resource, _ResourceUsers()).join(command):
+                blocker.blocked.append(command)
+                command.blocker_count += 1
+        if previous is None or previous.answer is not None or previous.is_expedited:
             return None
-        last.is_expedited = True
-        return last
+        previous.is_expedited = True
+        return previous
 
-    def say(self, data: bytes) -> None:
-        """What needs no asking is answered in its place."""
-        if self._line and (last := self._line[-1]).answer is not None:
-            last.answer += data  # Threat: thousands of these behind one open request
+    def add_answer(self, data: bytes) -> None:
+        """Queue an answer of our own, to something that is not submitted to a server."""
+        if self._queue and (last := self._queue[-1]).answer is not None:
+            last.answer += data  # thousands of these behind one unanswered request take a single place
         else:
-            self._line.append(Command(0, answer=data))
-        self._held += len(data)
+            self._queue.append(Command(0, answer=data))
+        self._waiting_bytes += len(data)
 
-    def answer(self, one: Command, data: bytes) -> list[Command]:
-        """An answer. The commands that may be asked now."""
-        if one not in self.open:
+    def answer(self, command: Command, data: bytes) -> list[Command]:
+        """Record a command's answer and return the commands that may be submitted now."""
+        if command not in self.unanswered:
             return []
-        one.answer = data
-        self._held += len(data)
-        del self.open[one]
-        for name in one.names:
-            if name in self._names and self._names[name].leave(one):
-                del self._names[name]
-        for other in one.behind:
-            other.ahead -= 1
-        return [other for other in one.behind if not other.ahead]
-
-    def ready(self) -> bytes:
-        """Answers that may be written now, so many bytes of them; they are let go."""
+        command.answer = data
+        self._waiting_bytes += len(data)
+        del self.unanswered[command]
+        for resource in command.resources:
+            if resource in self._resources and self._resources[resource].leave(command):
+                del self._resources[resource]
+        for other in command.blocked:
+            other.blocker_count -= 1
+        return [other for other in command.blocked if not other.blocker_count]
+
+    def take_ready(self) -> bytes:
+        """Remove and return the answers whose turn it is, up to `MAX_WRITE_BYTES` at once."""
         data = b""
-        while self._line and (answer := self._line[0].answer) is not None:
-            if data and len(data) + len(answer) > WRITTEN_BYTES:
+        while self._queue and (answer := self._queue[0].answer) is not None:
+            if data and len(data) + len(answer) > MAX_WRITE_BYTES:
                 break
-            del self._line[0]
+            del self._queue[0]
             data += answer
-        self._held -= len(data)
-        self._settle()
+        self._waiting_bytes -= len(data)
+        self._update_shared_use()
         return data
 
     def clear(self) -> list[Command]:
-        """The client has gone: what is still open."""
-        left = list(self.open)
-        self.open.clear()
-        self._line.clear()
-        self._names.clear()
-        self._held = 0
-        self._settle()
-        return left
-
-    def _settle(self) -> None:
-        """All but the first take a place in the room that connections share."""
-        behind = max(0, len(self._line) - 1)
-        self._limits.shared_used += behind - self._behind
-        self._behind = behind
+        """Forget everything, since the client has gone; return the commands without an answer."""
+        unanswered = list(self.unanswered)
+        self.unanswered.clear()
+        self._queue.clear()
+        self._resources.clear()
+        self._waiting_bytes = 0
+        self._update_shared_use()
+        return unanswered
+
+    def _update_shared_use(self) -> None:
+        """Count all queued commands but the first one against the shared limit."""
+        used = max(0, len(self._queue) - 1)
+        self._limits.shared_used += used - self._shared_used
+        self._shared_used = used
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -1,6 +1,6 @@
-"""What a client and the gateway do in the same instant, each order forced: answers, shutdowns, requests, leavings.
+"""Races between a client and the gateway: answers, shutdowns, requests and disconnects, in each order.
 
-Nothing here waits for a time: a crossing is made by what is in the sockets before the gateway has its turn.
+The order does not depend on time: the tests fill the sockets before the event loop runs the gateway.
 """
 
 import asyncio
@@ -12,109 +12,111 @@
 from oatlink.platform.statement import MAX_QUERY_BYTES
 from oatlink.transport import ending
 from oatlink.transport.closing import State
-from tests.client_world import STARTUP, Home, Peer, home, query
+from tests.client_world import STARTUP, ListenerWorld, Peer, listener_world, query
 from tests.scenes import scene
 
-BIG = 60_000  # an answer that small sockets do not take at once
+BIG_ANSWER_BYTES = 60_000  # more than small sockets accept at once
 REFUSED = "53300"
 
 
 @pytest.mark.parametrize("how", ["end", "drain"])
-@scene(home, watched=True)
-async def test_an_answer_and_a_close_in_one_turn_over_unread_bytes_arrive_both(one: Home, how: str) -> None:
-    peer, client = await one.client()
-    one.asker.size = BIG
+@scene(listener_world, sweeping=True)
+async def test_answer_and_close_in_one_turn_with_unread_input_both_arrive(world: ListenerWorld, how: str) -> None:
+    peer, client = await world.start_client()
+    world.handler.answer_bytes = BIG_ANSWER_BYTES
     peer.send(query(b"a"))
-    await one.asked(1)
-    peer.send(query(b"b"), query(b"c"))  # in the gateway's socket, unread
-    one.asker.answer(client)
+    await world.until_submitted(1)
+    peer.send(query(b"b"), query(b"c"))  # unread in the gateway's socket
+    world.handler.answer(client)
     client.end(b"") if how == "end" else client.drain()
-    peer.send(query(b"d"))  # what comes after the shutdown, if it was shut down
-    found = await peer.answers()
-    assert found[0] == "value of a", "whole, then the end, no reset"
-    assert found[1:] == ([] if how == "end" else [REFUSED] * (len(found) - 1)) and len(found) <= 4
-    assert one.asker.texts == [b"a"], "what came by the end is never asked"
-    await one.left(peer, client)
+    peer.send(query(b"d"))  # arrives after the shutdown, if there was one
+    answers = await peer.answers()
+    assert answers[0] == "value of a", "whole, then an orderly end without a reset"
+    assert answers[1:] == ([] if how == "end" else [REFUSED] * (len(answers) - 1)) and len(answers) <= 4
+    assert world.handler.submitted == [b"a"], "queries that arrive during the end are never submitted"
+    await world.disconnect(peer, client)
 
 
-@scene(home)
-async def test_a_request_just_before_the_drain_is_refused_and_the_connection_ends(one: Home) -> None:
-    peer, client = await one.client()
+@scene(listener_world)
+async def test_a_request_just_before_the_drain_is_refused_and_the_connection_ends(world: ListenerWorld) -> None:
+    peer, client = await world.start_client()
     peer.send(query(b"a"))
-    one.clients.stop()
-    assert client.ending.state is State.DRAINING, "a request lies there: nothing is shut down over it"
-    await one.until(lambda: client.is_ending, sweeps=True)
+    world.clients.stop()
+    assert client.ending.state is State.DRAINING, "a request is unread, so our side is not shut down yet"
+    await world.until(lambda: client.is_ending, sweeps=True)
     assert await peer.answers() == [REFUSED]
-    assert not one.asker.texts
+    assert not world.handler.submitted
 
 
-@scene(home)
-async def test_a_request_just_after_the_shutdown_is_never_asked_and_its_client_sees_the_end(one: Home) -> None:
-    peer, client = await one.client()
-    one.clients.stop()
+@scene(listener_world)
+async def test_a_request_just_after_the_shutdown_is_never_submitted_and_its_client_sees_the_end(
+    world: ListenerWorld,
+) -> None:
+    peer, client = await world.start_client()
+    world.clients.stop()
     assert client.ending.state is State.HALF_CLOSED
     peer.send(query(b"a"), query(b"b"))
     assert await peer.answers() == []
-    await one.until(lambda: client.ending._closing.discarded_bytes > 0)
-    await one.left(peer, client)
-    assert not one.asker.texts
+    await world.until(lambda: client.ending._closing.discarded_bytes > 0)
+    await world.disconnect(peer, client)
+    assert not world.handler.submitted
 
 
-@pytest.mark.parametrize("how", ["make room", "relieve"])
-@scene(home, most=16)
-async def test_a_request_between_the_look_and_the_drain_is_answered_and_its_connection_does_not_stay(
-    one: Home, how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("how", ["make room", "relieve pressure"])
+@scene(listener_world, max_descriptors=16)
+async def test_a_request_between_idle_check_and_drain_is_answered_and_its_connection_ends(
+    world: ListenerWorld, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found by reading: it was kept with those that end, where nobody looked again, refusing each request for good."""
-    monkeypatch.setattr(listener, "IDLE_US", 0)
-    for number in range(13):  # with one more, the bound; all but the last have a query open
-        (await one.client())[0].send(query(b"q%d" % number))
-    await one.asked(13)
-    peer, client = await one.client()
-    look = client.idle_since_us
-
-    def crossed() -> int | None:
-        found = look()
-        peer.send(query(b"crossing"))
+    """Such a connection was counted as ending, where no sweep looked at it, and refused every further request."""
+    monkeypatch.setattr(listener, "MIN_IDLE_US", 0)
+    for number in range(13):  # one below the limit; each of these has an open query
+        (await world.start_client())[0].send(query(b"q%d" % number))
+    await world.until_submitted(13)
+    peer, client = await world.start_client()
+    check_idle = client.idle_since_us
+
+    def send_after_check() -> int | None:
+        idle_since_us = check_idle()
+        peer.send(query(b"racing"))
         monkeypatch.undo()
-        return found
+        return idle_since_us
 
-    monkeypatch.setattr(client, "idle_since_us", crossed)
+    monkeypatch.setattr(client, "idle_since_us", send_after_check)
     if how == "make room":
-        one.knock(STARTUP)
-        await one.until(lambda: len(one.clients.active) + len(one.clients._ending) > 14)
+        world.connect(STARTUP)
+        await world.until(lambda: len(world.clients.active) + len(world.clients._ending) > 14)
     else:
-        one.clients.sweep()
+        world.clients.sweep()
     assert client.ending.state is State.DRAINING
     assert await peer.answer() == REFUSED
-    await one.until(lambda: client.is_ending, sweeps=True)
+    await world.until(lambda: client.is_ending, sweeps=True)
     assert await peer.answers() == []
-    assert b"crossing" not in one.asker.texts
+    assert b"racing" not in world.handler.submitted
 
 
-@scene(home, most=16)
-async def test_one_past_the_bound_is_refused_in_words_whatever_it_has_sent_already(one: Home) -> None:
+@scene(listener_world, max_descriptors=16)
+async def test_a_connection_beyond_the_limit_gets_an_error_whatever_it_has_sent(world: ListenerWorld) -> None:
     for number in range(14):
-        (await one.client())[0].send(query(b"q%d" % number))
-    await one.asked(14)
-    peer = one.knock(STARTUP + query(b"one too many"), query(b"and more"))
+        (await world.start_client())[0].send(query(b"q%d" % number))
+    await world.until_submitted(14)
+    peer = world.connect(STARTUP + query(b"one too many"), query(b"and more"))
     assert await peer.answers() == [REFUSED]
-    silent = [one.knock(STARTUP) for _ in range(60)]  # they never end their side
-    for each in silent[:-2]:  # the oldest go hard, for they hold descriptors
+    silent = [world.connect(STARTUP) for _ in range(60)]  # they never close their side
+    for silent_peer in silent[:-2]:  # the oldest may be reset, since they hold descriptors
         with contextlib.suppress(ConnectionError):
-            assert await each.answers() in ([REFUSED], [])
-        assert one.clients.open_count <= 16
-    for each in silent[-2:]:
-        assert await each.answers() == [REFUSED]
-    assert len(one.asker.texts) == 14 and len(one.clients.active) == 14
-    one.asker.answer(next(iter(one.clients.active)))
-    assert await one.peers[0].answer() == "value of q0", "those inside are served"
-
-
-@scene(home, watched=True)
-async def test_a_client_that_asks_without_a_pause_gets_one_answer_for_each_and_an_end(one: Home) -> None:
-    one.asker.at_once = True
-    peer, client = await one.client()
+            assert await silent_peer.answers() in ([REFUSED], [])
+        assert world.clients.open_count <= 16
+    for silent_peer in silent[-2:]:
+        assert await silent_peer.answers() == [REFUSED]
+    assert len(world.handler.submitted) == 14 and len(world.clients.active) == 14
+    world.handler.answer(next(iter(world.clients.active)))
+    assert await world.peers[0].answer() == "value of q0", "accepted clients are served"
+
+
+@scene(listener_world, sweeping=True)
+async def test_a_client_that_sends_without_a_pause_gets_one_answer_for_each_and_an_end(world: ListenerWorld) -> None:
+    world.handler.answers_at_once = True
+    peer, client = await world.start_client()
     loop = asyncio.get_running_loop()
 
     async def flood() -> None:
@@ -125,164 +127,174 @@
             await asyncio.sleep(0)
 
     flooding = asyncio.ensure_future(flood())
-    found = [await peer.answer() for _ in range(20)]
-    one.clients.stop()
-    found += await peer.answers()
+    answers = [await peer.answer() for _ in range(20)]
+    world.clients.stop()
+    answers += await peer.answers()
     flooding.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await flooding
-    asked = len(one.asker.texts)
-    assert found[:asked] == [f"value of k{number}" for number in range(asked)]
-    assert len(found) > asked and set(found[asked:]) == {REFUSED}, "one answer each, in order"
-    await one.left(peer, client)
+    count = len(world.handler.submitted)
+    assert answers[:count] == [f"value of k{number}" for number in range(count)]
+    assert len(answers) > count and set(answers[count:]) == {REFUSED}, "one answer each, in order"
+    await world.disconnect(peer, client)
 
 
-@pytest.mark.parametrize("goes_on", [True, False])
-@scene(home, watched=True)
-async def test_half_a_message_at_the_drain_is_answered_if_it_comes_whole_else_ended(one: Home, goes_on: bool) -> None:
-    peer, client = await one.client()
+@pytest.mark.parametrize("is_completed", [True, False])
+@scene(listener_world, sweeping=True)
+async def test_a_partial_message_at_the_drain_is_answered_if_completed_or_else_the_connection_ends(
+    world: ListenerWorld, is_completed: bool
+) -> None:
+    peer, client = await world.start_client()
     text = query(b"a query")
     peer.send(text[:7])
-    await one.until(lambda: client._reader.pending == 7)
-    one.clients.stop()
+    await world.until(lambda: client._reader.pending == 7)
+    world.clients.stop()
     assert client.ending.state is State.DRAINING
-    if goes_on:
+    if is_completed:
         peer.send(text[7:])
-    assert await peer.answers() == ([REFUSED] if goes_on else [])
-    assert not one.asker.texts
-    await one.left(peer, client)
+    assert await peer.answers() == ([REFUSED] if is_completed else [])
+    assert not world.handler.submitted
+    await world.disconnect(peer, client)
 
 
-@scene(home, watched=True)
-async def test_what_waits_in_the_listeners_queue_at_the_end_is_not_reset(one: Home) -> None:
+@scene(listener_world, sweeping=True)
+async def test_connections_in_the_listen_queue_at_the_stop_are_not_reset(world: ListenerWorld) -> None:
     sent = [STARTUP + query(b"a")] * 20 + [STARTUP] * 20 + [b""] * 5
-    peers = [one.knock(text) for text in sent]
-    one.clients.stop()
-    assert [await each.answers() for each in peers] == [["", REFUSED]] * 20 + [[""]] * 20 + [[]] * 5
-    assert not one.asker.texts
+    peers = [world.connect(text) for text in sent]
+    world.clients.stop()
+    assert [await peer.answers() for peer in peers] == [["", REFUSED]] * 20 + [[""]] * 20 + [[]] * 5
+    assert not world.handler.submitted
 
 
 @pytest.mark.parametrize("is_answered", [False, True])
-@scene(home)
-async def test_a_client_that_leaves_behind_more_than_is_read_is_noticed(one: Home, is_answered: bool) -> None:
-    peer, client = await one.client()
+@scene(listener_world)
+async def test_a_client_that_leaves_behind_more_input_than_is_read_is_noticed(
+    world: ListenerWorld, is_answered: bool
+) -> None:
+    peer, client = await world.start_client()
     peer.send(query(b"first"))
-    await one.asked(1)
-    pile = query(b"behind".ljust(10_000))
-    for _ in range(MAX_QUERY_BYTES // len(pile) + 6):
-        peer.send(pile)
+    await world.until_submitted(1)
+    big_query = query(b"behind".ljust(10_000))
+    for _ in range(MAX_QUERY_BYTES // len(big_query) + 6):
+        peer.send(big_query)
         await asyncio.sleep(0)
-    await one.until(lambda: client._reader.pending > MAX_QUERY_BYTES)
+    await world.until(lambda: client._reader.pending > MAX_QUERY_BYTES)
     peer.sock.close()
-    if is_answered:  # before anybody has looked
-        one.asker.answer(client)
-    await one.until(lambda: client.closed, sweeps=not is_answered)
-    assert one.asker.texts == [b"first"]
-    assert one.asker.gone == ([] if is_answered else [b"first"])
-    assert client not in one.clients.active
-
-
-async def unread(one: Home, behind: bytes = b"") -> tuple[Peer, connection.Client]:
-    """A client whose big answer the kernel does not take whole, with what it has sent behind its query."""
-    one.asker.size, one.asker.at_once = BIG, True
-    peer, client = await one.client()
+    if is_answered:  # before any sweep
+        world.handler.answer(client)
+    await world.until(lambda: client.closed, sweeps=not is_answered)
+    assert world.handler.submitted == [b"first"]
+    assert world.handler.abandoned == ([] if is_answered else [b"first"])
+    assert client not in world.clients.active
+
+
+async def unread(world: ListenerWorld, behind: bytes = b"") -> tuple[Peer, connection.Client]:
+    """Start a client whose answer does not fit into the kernel's buffers; `behind` is sent behind its query."""
+    world.handler.answer_bytes, world.handler.answers_at_once = BIG_ANSWER_BYTES, True
+    peer, client = await world.start_client()
     peer.send(query(b"a") + behind)
-    await one.until(lambda: client.stream.writing())
+    await world.until(lambda: client.stream.writing())
     return peer, client
 
 
-@scene(home, small=True)
-async def test_a_client_that_never_reads_holds_one_answer(one: Home, monkeypatch: pytest.MonkeyPatch) -> None:
-    peer, client = await unread(one, query(b"b") * 50)
-    held = client.stream._write_buffer
+@scene(listener_world, small=True)
+async def test_a_client_that_never_reads_holds_one_answer(
+    world: ListenerWorld, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    peer, client = await unread(world, query(b"b") * 50)
+    write_buffer = client.stream._write_buffer
     for _ in range(20):
-        one.clients.sweep()
+        world.clients.sweep()
         await asyncio.sleep(0)
-        assert one.asker.texts == [b"a"] and len(held) <= BIG + 200, "the next waits for the last one's taking"
-    monkeypatch.setattr(connection, "HALF_US", 0)
-    await one.until(lambda: client.closed, sweeps=True)
-    assert one.asker.texts == [b"a"] and not one.clients.open_count
-    with pytest.raises((ConnectionError, EOFError)):  # cut short, and to be recognised as such
+        assert world.handler.submitted == [b"a"] and len(write_buffer) <= BIG_ANSWER_BYTES + 200, (
+            "the next query waits until the last answer is taken"
+        )
+    monkeypatch.setattr(connection, "TRANSFER_TIMEOUT_US", 0)
+    await world.until(lambda: client.closed, sweeps=True)
+    assert world.handler.submitted == [b"a"] and not world.clients.open_count
+    with pytest.raises((ConnectionError, EOFError)):  # truncated, and recognisable as such
         await peer.answer()
 
 
-@scene(home, small=True)
-async def test_a_client_that_reads_late_gets_all_in_order(one: Home) -> None:
-    peer, _ = await unread(one, query(b"b") + query(b"c"))
-    assert one.asker.texts == [b"a"]
+@scene(listener_world, small=True)
+async def test_a_client_that_reads_late_gets_all_in_order(world: ListenerWorld) -> None:
+    peer, _ = await unread(world, query(b"b") + query(b"c"))
+    assert world.handler.submitted == [b"a"]
     assert [await peer.answer() for _ in range(3)] == ["value of a", "value of b", "value of c"]
 
 
-@scene(home, small=True)
-async def test_one_whose_answer_is_still_being_written_does_not_idle(one: Home) -> None:
-    peer, client = await unread(one)
+@scene(listener_world, small=True)
+async def test_a_client_whose_answer_is_still_being_written_is_not_idle(world: ListenerWorld) -> None:
+    peer, client = await unread(world)
     assert client.stream.is_idle() and client.idle_since_us() is None
     assert await peer.answer() == "value of a"
-    await one.until(lambda: client.idle_since_us() is not None)
+    await world.until(lambda: client.idle_since_us() is not None)
 
 
-@scene(home, small=True, watched=True)
-async def test_an_answer_that_is_still_being_written_at_the_end_is_taken_whole(one: Home) -> None:
-    peer, client = await unread(one)
-    one.clients.stop()
+@scene(listener_world, small=True, sweeping=True)
+async def test_an_answer_that_is_still_being_written_at_the_stop_is_received_whole(world: ListenerWorld) -> None:
+    peer, client = await unread(world)
+    world.clients.stop()
     assert client.ending.state is State.DRAINING
     assert await peer.answers() == ["value of a"]
     peer.sock.close()
-    await one.until(lambda: not one.clients.open_count)
+    await world.until(lambda: not world.clients.open_count)
 
 
-@scene(home, small=True, watched=True)
-async def test_a_peer_that_takes_its_last_answer_late_and_never_ends_its_side_is_closed(
-    one: Home, monkeypatch: pytest.MonkeyPatch
+@scene(listener_world, small=True, sweeping=True)
+async def test_a_peer_that_takes_its_last_answer_late_and_never_closes_its_side_is_closed(
+    world: ListenerWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ending, "LINGER_S", 0.5)
-    peer, client = await unread(one)
-    one.clients.stop()  # its time to take the answer runs
+    peer, client = await unread(world)
+    world.clients.stop()  # starts the time limit to take the answer
     assert await peer.answers() == ["value of a"]
-    await one.until(lambda: client.closed)  # its time to end came after, and was looked for again
-    assert not one.clients.open_count
+    await world.until(lambda: client.closed)  # the time limit to close its side begins afterwards, with a new timer
+    assert not world.clients.open_count
 
 
 @pytest.mark.parametrize("how", ["reset", "close"])
-@pytest.mark.parametrize("behind", [b"", query(b"b".ljust(10_000)) * (MAX_QUERY_BYTES // 10_000 + 6)], ids=["", "pile"])
-@scene(home, small=True)
-async def test_a_client_that_goes_while_its_answer_is_written(one: Home, how: str, behind: bytes) -> None:
-    """With more behind its query than is read, its reader waits: the write alone sees that it has gone."""
-    one.asker.size = BIG
-    peer, client = await one.client()
+@pytest.mark.parametrize(
+    "behind", [b"", query(b"b".ljust(10_000)) * (MAX_QUERY_BYTES // 10_000 + 6)], ids=["", "much behind"]
+)
+@scene(listener_world, small=True)
+async def test_a_client_that_goes_while_its_answer_is_written(world: ListenerWorld, how: str, behind: bytes) -> None:
+    """With more input behind its query than is read, reading stops, and only the write notices that it has gone."""
+    world.handler.answer_bytes = BIG_ANSWER_BYTES
+    peer, client = await world.start_client()
     peer.send(query(b"a"))
-    await one.asked(1)
+    await world.until_submitted(1)
     loop = asyncio.get_running_loop()
     await asyncio.wait_for(loop.sock_sendall(peer.sock, behind), 10)
-    await one.until(lambda: (client._reader.pending > MAX_QUERY_BYTES) == bool(behind))
-    one.asker.answer(client)
+    await world.until(lambda: (client._reader.pending > MAX_QUERY_BYTES) == bool(behind))
+    world.handler.answer(client)
     assert client.stream.writing()
     peer.reset() if how == "reset" else peer.sock.close()
-    await one.until(lambda: client not in one.clients.active)
-    assert client.closed and not one.asker.gone, "it was answered"
-    assert one.asker.texts == [b"a"]
+    await world.until(lambda: client not in world.clients.active)
+    assert client.closed and not world.handler.abandoned, "it was answered"
+    assert world.handler.submitted == [b"a"]
 
 
-@scene(home, most=64, watched=True)
-async def test_silent_and_slow_connections_without_number_are_bounded_and_others_are_served(
-    one: Home, monkeypatch: pytest.MonkeyPatch
+@scene(listener_world, max_descriptors=64, sweeping=True)
+async def test_many_silent_and_slow_connections_are_bounded_and_others_are_served(
+    world: ListenerWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection, "SILENT_US", 200_000)
-    one.asker.at_once = True
-    usual, _ = await one.client()
-    usual.send(query(b"before"))
-    assert await usual.answer() == "value of before"
-    slow = [one.knock(STARTUP[: number % 4]) for number in range(300)]  # none, or a few bytes, and no more
-    await one.until(lambda: len(one.clients.active) > 50)
+    monkeypatch.setattr(connection, "SILENT_TIMEOUT_US", 200_000)
+    world.handler.answers_at_once = True
+    active, _ = await world.start_client()
+    active.send(query(b"before"))
+    assert await active.answer() == "value of before"
+    slow = [world.connect(STARTUP[: number % 4]) for number in range(300)]  # no byte, or a few, and then silence
+    await world.until(lambda: len(world.clients.active) > 50)
     for number in range(50):
-        usual.send(query(b"k%d" % number))
-        assert await usual.answer() == f"value of k{number}"
-        for each in slow[number::50]:
-            with contextlib.suppress(OSError):  # it has been sent away
-                each.send(STARTUP[4:5])
-        assert one.clients.open_count <= 64
-    while await (fresh := one.knock(STARTUP)).answer() != "":
-        pass  # one that is sent away comes again
+        active.send(query(b"k%d" % number))
+        assert await active.answer() == f"value of k{number}"
+        for slow_peer in slow[number::50]:
+            with contextlib.suppress(OSError):  # it was closed
+                slow_peer.send(STARTUP[4:5])
+        assert world.clients.open_count <= 64
+    while await (fresh := world.connect(STARTUP)).answer() != "":
+        pass  # a client that is refused connects again
     fresh.send(query(b"fresh"))
     assert await fresh.answer() == "value of fresh"
-    await one.until(lambda: len(one.clients.active) <= 2)
+    await world.until(lambda: len(world.clients.active) <= 2)
