--- a/oatlink/platform/reply.py
+++ b/oatlink/platform/reply.py
@@ -1,7 +1,8 @@
-"""What a database server answers to one statement, read without I/O: exactly a row, its completion, ready; else spoilt.
+"""Parses a database server's answer to one statement: one row, its completion, and ready. All else is invalid. No I/O.
 
-Any split of the bytes gives the same. A length is tested before memory is taken for it, and nothing of an answer is
-passed on before all of it is here: a client must never be served what only began like its value.
+The result does not depend on how the bytes are split. A length is checked before memory is allocated for it. No part of
+an answer is forwarded before the whole of it has arrived, so that a client never receives data that only begins like
+its value.
 """
 
 import math
@@ -12,21 +13,21 @@
 from oatlink.protocols import pgwire as pg
 from oatlink.protocols.buffer import Limits, ProtocolError
 
-LIMITS = Limits(message_bytes=MAX_VALUE_BYTES + 1_024)  # a row of one value, or names
-MOST_MESSAGES = 64  # of one answer; parameters and notices without end are no answer
-MOST_POSITION_MS = 1 << 46  # some two thousand years
-# SQLSTATEs of the platform's table; all others are errors after which it may have run.
-MISSES = ("25006", "72000")
-TURNED_AWAY = "53300"
+LIMITS = Limits(message_bytes=MAX_VALUE_BYTES + 1_024)  # a row of one value, or column names
+MAX_MESSAGES = 64  # per answer; prevents endless parameters and notices
+MAX_POSITION_MS = 1 << 46  # about two thousand years
+# SQLSTATEs of the platform's table; after any other error the statement may have run.
+MISS_SQLSTATES = ("25006", "72000")
+FULL_SQLSTATE = "53300"
 
 
 class InvalidReplyError(Exception):
-    """An answer that is none: what came is not understood, and the connection is of no further use."""
+    """A reply that cannot be parsed; its connection cannot be used any more."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """A whole answer. `payload` is the client's: row description, row and completion, as they came."""
+    """A complete answer. `payload` is for the client: row description, row and completion as received."""
 
     outcome: Outcome
     payload: bytes = b""
@@ -35,33 +36,33 @@
     parameters: dict[str, str] = field(default_factory=dict)
 
     def position_ms(self) -> int | None:
-        """The position that came with the answer, a Unix time; None where there is none that can be read."""
+        """The position reported with the answer, a Unix time; None if there is none, or it is invalid."""
         text = self.parameters.get("lsn_ms", "")
         if not (text.isascii() and text.isdigit() and len(text) < 16):
             return None
-        return int(text) if 0 < int(text) < MOST_POSITION_MS else None
+        return int(text) if 0 < int(text) < MAX_POSITION_MS else None
 
     def role(self) -> Role:
-        """What the server says it is."""
+        """The role that the server reported."""
         return {"off": Role.PRIMARY, "on": Role.REPLICA}.get(self.parameters.get("recovery", ""), Role.UNKNOWN)
 
 
 def parse_load_report(text: bytes) -> Report | None:
-    """A load report, `x0=1767225600.1,x1=1`: position in Unix seconds, here in microseconds, and role.
+    """Parse a load report such as `x0=1767225600.1,x1=1`: the position in Unix seconds, and whether it is a primary.
 
-    None for one that cannot be read.
+    Returns the position in microseconds. None for a report that cannot be parsed.
     """
-    found: dict[str, float] = {}
+    numbers: dict[str, float] = {}
     for pair in text.decode("latin1").split(","):
         name, _, number = pair.strip().partition("=")
         try:
-            found[name] = float(number)
+            numbers[name] = float(number)
         except ValueError:
             return None
-        if not math.isfinite(found[name]):
+        if not math.isfinite(numbers[name]):
             return None
-    seconds, primary = found.get("x0"), found.get("x1")
-    if seconds is not None and not 0 <= seconds * 1e3 < MOST_POSITION_MS:
+    seconds, primary = numbers.get("x0"), numbers.get("x1")
+    if seconds is not None and not 0 <= seconds * 1e3 < MAX_POSITION_MS:
         return None
     role = Role.UNKNOWN
     if primary is not None:
@@ -70,14 +71,14 @@
 
 
 class ReplyReader:
-    """Reads a connection's answers, one after the other; the first is the greeting (`greeted` is False until then)."""
+    """Parses the answers on one connection, one after the other; the first is the greeting."""
 
     def __init__(self) -> None:
         self._reader = pg.backend_reader(LIMITS)
-        self._due = b"R"
-        self._begin()
+        self._expected_kind = b"R"
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._answer: Answer | None = None
         self._parts: list[bytes] = []
         self._value = b""
@@ -86,31 +87,31 @@
 
     @property
     def pending(self) -> int:
-        """Bytes behind what was understood: they belong to no answer."""
+        """The number of bytes received after the last parsed message."""
         return self._reader.pending
 
     def feed(self, data: bytes) -> Answer | None:
-        """Add bytes; the answer, once it is whole. Raises `InvalidReplyError`."""
+        """Add received bytes and return the answer once it is complete. Raises `InvalidReplyError`."""
         self._reader.feed(data)
         try:
             while (message := self._reader.take()) is not None:
                 self._messages += 1
-                if self._messages > MOST_MESSAGES:
-                    raise InvalidReplyError("messages without end")
-                if self._take(message):
-                    answer, self._due = self._answer, b"T"
-                    self._begin()
+                if self._messages > MAX_MESSAGES:
+                    raise InvalidReplyError("too many messages in one answer")
+                if self._handle_message(message):
+                    answer, self._expected_kind = self._answer, b"T"
+                    self._reset()
                     return answer
-        except ProtocolError as problem:
-            raise InvalidReplyError(str(problem)) from None
+        except ProtocolError as error:
+            raise InvalidReplyError(str(error)) from None
         return None
 
     def answer_at_close(self) -> Answer | None:
-        """The connection ended: an error that had come whole stands, after a fatal one nothing more is owed."""
+        """Return the error that arrived whole before the connection ended: nothing follows after a fatal error."""
         return self._answer if self._answer is not None and self._answer.outcome is not Outcome.SERVED else None
 
-    def _take(self, message: pg.Message) -> bool:
-        """One message; True when it ends the answer. Raises `InvalidReplyError` or `ProtocolError`."""
+    def _handle_message(self, message: pg.Message) -> bool:
+        """Handle one message; return True if it ends the answer. Raises `InvalidReplyError` or `ProtocolError`."""
         kind = message.kind
         if kind == b"S":
             name, value = pg.status(message)
@@ -119,19 +120,22 @@
         if kind == b"N":
             pg.fields(message)
             return False
-        if kind == b"K" and self._due in b"RZ" and self._answer is None:
+        if kind == b"K" and self._expected_kind in b"RZ" and self._answer is None:
             return False
         if kind == b"E" and self._answer is None:
-            # What the table names; a value of theirs is never shown to a client, only to the log.
-            state = pg.fields(message).get("C", "")
-            outcome = Outcome.MISS if state in MISSES else Outcome.FULL if state == TURNED_AWAY else Outcome.ERROR
-            if self._parts:  # it had begun to answer: whatever it says now, it has run
-                outcome = Outcome.ERROR
-            self._answer = Answer(outcome, sqlstate=state[:5], parameters=self._parameters)
-            self._due = b"Z"
+            # Outcomes follow the platform's table. The server's SQLSTATE itself is never sent to a client, only logged.
+            sqlstate = pg.fields(message).get("C", "")
+            outcome = Outcome.ERROR
+            if not self._parts:  # once it has begun to answer, the statement has run, whatever the error says
+                if sqlstate in MISS_SQLSTATES:
+                    outcome = Outcome.MISS
+                elif sqlstate == FULL_SQLSTATE:
+                    outcome = Outcome.FULL
+            self._answer = Answer(outcome, sqlstate=sqlstate[:5], parameters=self._parameters)
+            self._expected_kind = b"Z"
             return False
-        if kind != self._due:
-            raise InvalidReplyError(f"expected {pg.BACKEND[self._due]}, got {pg.BACKEND[kind]}")
+        if kind != self._expected_kind:
+            raise InvalidReplyError(f"expected {pg.BACKEND[self._expected_kind]}, got {pg.BACKEND[kind]}")
         if kind == b"Z":
             pg.ready(message)
             if self._answer is None:
@@ -141,18 +145,18 @@
         if kind == b"R":
             if pg.authentication(message)[0] != 0:
                 raise InvalidReplyError("asks for a password")
-            self._due = b"Z"
+            self._expected_kind = b"Z"
         elif kind == b"T":
             if pg.columns(message) != 1:
                 raise InvalidReplyError("expected one column")
-            self._due = b"D"
+            self._expected_kind = b"D"
         elif kind == b"D":
             values = pg.row(message)
             if len(values) != 1 or values[0] is None:
                 raise InvalidReplyError("expected a row of one value")
             self._value = values[0]
-            self._due = b"C"
+            self._expected_kind = b"C"
         else:
             pg.complete(message)
-            self._due = b"Z"
+            self._expected_kind = b"Z"
         return False
--- a/oatlink/platform/statement.py
+++ b/oatlink/platform/statement.py
@@ -1,8 +1,9 @@
-"""What a client's statement asks for: its comment read into a request, without I/O.
+"""Parses a client's statement, whose comment describes the request. No I/O.
 
-A statement goes on byte for byte but for `d`, the milliseconds that the sender will wait. What is not exactly in the
-platform's form is the client's mistake and never reaches a server: an INSERT under a class that may be repeated
-freely would run twice, a second statement behind the first one unseen.
+A statement is forwarded byte for byte except for the value of `d`, the milliseconds that its sender will wait. A
+statement that is not exactly in the platform's form is a mistake of the client and never reaches a server. Otherwise an
+INSERT in a class that may be repeated freely could run twice, and a second statement behind the first one would run
+unnoticed.
 """
 
 import re
@@ -11,23 +12,24 @@
 
 from oatlink.interface import Effect, Freshness, RequestClass
 
-MAX_VALUE_BYTES = 64 * 1024  # the platform's bound of a value
-MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 2_048  # a value is written in hex; the rest is names and the comment
-MOST_WAIT_MS = 3_600_000  # a longer wait is no wait but a mistake
-_PAIR = rb"[a-z][a-z_]{0,31}=[^,*\x00-\x20\x7f]{1,256}"  # no comma, no end of the comment; names are the settings'
-_WORD = rb"[A-Za-z_][A-Za-z0-9_]{0,62}"
-_FORM = re.compile(
+MAX_VALUE_BYTES = 64 * 1024  # the platform's limit for a value
+MAX_QUERY_BYTES = 2 * MAX_VALUE_BYTES + 2_048  # a value is written in hex; the rest is for names and the comment
+MAX_WAIT_MS = 3_600_000  # a longer wait is treated as a mistake
+# A value has no comma and cannot end the comment; apart from that it allows any class name of the settings.
+_PAIR = rb"[a-z][a-z_]{0,31}=[^,*\x00-\x20\x7f]{1,256}"
+_IDENTIFIER = rb"[A-Za-z_][A-Za-z0-9_]{0,62}"
+_STATEMENT = re.compile(
     rb"/\* (" + _PAIR + rb"(?:," + _PAIR + rb"){0,15}) \*/ (?:"
-    rb"SELECT " + _WORD + rb" FROM " + _WORD + rb" WHERE " + _WORD + rb" = '([^'\\\x00-\x1f]{1,256})'"
-    rb"|INSERT INTO " + _WORD + rb" \(" + _WORD + rb", " + _WORD + rb"\)"
-    rb" VALUES \('([^'\\\x00-\x1f]{1,256})', '\\x((?:[0-9A-Fa-f]{2})*)'\) RETURNING " + _WORD + rb")"
+    rb"SELECT " + _IDENTIFIER + rb" FROM " + _IDENTIFIER + rb" WHERE " + _IDENTIFIER + rb" = '([^'\\\x00-\x1f]{1,256})'"
+    rb"|INSERT INTO " + _IDENTIFIER + rb" \(" + _IDENTIFIER + rb", " + _IDENTIFIER + rb"\)"
+    rb" VALUES \('([^'\\\x00-\x1f]{1,256})', '\\x((?:[0-9A-Fa-f]{2})*)'\) RETURNING " + _IDENTIFIER + rb")"
 )
 _WAIT = re.compile(rb"([ ,]d=)([0-9]{1,9})(?=[ ,])")
 _DIGITS = re.compile(rb"[0-9]{1,15}")
 
 
 class StatementError(Exception):
-    """A statement that is not in the platform's form: its SQLSTATE and what was expected."""
+    """A statement that is not in the platform's form, with the SQLSTATE and a text that says what was expected."""
 
     def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One request as its client wrote it."""
+    """One request as written by its client."""
 
     id: bytes
     request_class: RequestClass
@@ -44,37 +46,37 @@
     group: int
     session: str
     after_ms: int | None
-    key: bytes  # of idempotency; empty where none is said
-    _before: bytes
-    _behind: bytes
+    key: bytes  # of idempotency; empty if the statement has none
+    _prefix: bytes  # the text up to the value of `d`
+    _suffix: bytes  # and after it
 
     @property
     def is_write(self) -> bool:
-        """Whether it writes what it names."""
+        """Whether the request writes."""
         return self.request_class.freshness is Freshness.WRITE
 
     def with_wait(self, wait_ms: int) -> bytes:
-        """The statement for a server: it is told how long this gateway will wait."""
-        return b"%s%d%s" % (self._before, wait_ms, self._behind)
+        """Return the statement for a server, with the time that this gateway will wait for it."""
+        return b"%s%d%s" % (self._prefix, wait_ms, self._suffix)
 
 
 def parse(text: bytes, classes: Mapping[str, RequestClass], groups: Container[int]) -> Statement:
-    """The request that a statement makes. Raises `StatementError`."""
-    form = _FORM.fullmatch(text)
-    if form is None:
+    """Parse a statement into a request. Raises `StatementError`."""
+    matched = _STATEMENT.fullmatch(text)
+    if matched is None:
         raise StatementError("42601", "expected /* id=,c=,d=,cluster= */ and one SELECT or INSERT of this store")
-    comment, read, written, value = form.groups()
+    comment, read, written, value = matched.groups()
     try:
         comment.decode()
     except UnicodeDecodeError:
         raise StatementError("42601", "expected /* id=,c=,d=,cluster= */ in UTF-8") from None
-    said: dict[bytes, bytes] = {}
+    fields: dict[bytes, bytes] = {}
     for pair in comment.split(b","):
-        name, _, word = pair.partition(b"=")
-        if name in said:
+        name, _, text_value = pair.partition(b"=")
+        if name in fields:
             raise StatementError("42601", f"{name.decode()}: expected once")
-        said[name] = word
-    request_class = classes.get(_said(said, b"c").decode())
+        fields[name] = text_value
+    request_class = classes.get(_field(fields, b"c").decode())
     if request_class is None:
         raise StatementError("22023", "c: expected a class of the settings")
     if (request_class.freshness is Freshness.WRITE) != (written is not None):
@@ -83,38 +85,38 @@
         )
     if value is not None and len(value) > 2 * MAX_VALUE_BYTES:
         raise StatementError("22001", f"expected a value of at most {MAX_VALUE_BYTES} bytes")
-    if request_class.effect is Effect.KEYED and b"k" not in said:
+    if request_class.effect is Effect.KEYED and b"k" not in fields:
         raise StatementError("22023", f"k: expected in class {request_class.name}")
-    wait_ms = _number(said, b"d")
-    if not 0 < wait_ms <= MOST_WAIT_MS:
-        raise StatementError("22023", f"d: expected 1 to {MOST_WAIT_MS} milliseconds")
-    group = _number(said, b"cluster")
+    wait_ms = _number(fields, b"d")
+    if not 0 < wait_ms <= MAX_WAIT_MS:
+        raise StatementError("22023", f"d: expected 1 to {MAX_WAIT_MS} milliseconds")
+    group = _number(fields, b"cluster")
     if group not in groups:
         raise StatementError("22023", "cluster: expected a group that discovery has listed")
-    place = _WAIT.search(text, 0, form.end(1) + 1)
-    if place is None:
+    wait = _WAIT.search(text, 0, matched.end(1) + 1)
+    if wait is None:
         raise StatementError("22023", "d: expected a number")
     return Statement(
-        id=_said(said, b"id"),
+        id=_field(fields, b"id"),
         request_class=request_class,
         wait_ms=wait_ms,
         group=group,
         session=(written or read).decode("utf-8", "replace"),
-        after_ms=_number(said, b"after") if b"after" in said else None,
-        key=said.get(b"k", b""),
-        _before=text[: place.start(2)],
-        _behind=text[place.end(2) :],
+        after_ms=_number(fields, b"after") if b"after" in fields else None,
+        key=fields.get(b"k", b""),
+        _prefix=text[: wait.start(2)],
+        _suffix=text[wait.end(2) :],
     )
 
 
-def _said(said: dict[bytes, bytes], name: bytes) -> bytes:
-    if name not in said:
+def _field(fields: dict[bytes, bytes], name: bytes) -> bytes:
+    if name not in fields:
         raise StatementError("22023", f"{name.decode()}: expected in the comment")
-    return said[name]
+    return fields[name]
 
 
-def _number(said: dict[bytes, bytes], name: bytes) -> int:
-    word = _said(said, name)
-    if _DIGITS.fullmatch(word) is None:
+def _number(fields: dict[bytes, bytes], name: bytes) -> int:
+    digits = _field(fields, name)
+    if _DIGITS.fullmatch(digits) is None:
         raise StatementError("22023", f"{name.decode()}: expected a number")
-    return int(word)
+    return int(digits)
