--- a/oatlink/platform/answers_seen.py
+++ b/oatlink/platform/answers_seen.py
@@ -1,4 +1,4 @@
-"""What attempts ended in since the last line of state, for people."""
+"""Counts the outcomes of attempts between two state lines of the log."""
 
 from collections import Counter
 
@@ -6,20 +6,20 @@
 
 
 class AttemptCounts:
-    """Counts by outcome, and how long served ones took. Times are microseconds."""
+    """Counts of attempts by outcome, and the total duration of the served ones."""
 
     def __init__(self) -> None:
-        self._ended: Counter[str] = Counter()
-        self._took_us = 0
+        self._counts: Counter[str] = Counter()
+        self._served_us = 0
 
-    def record(self, outcome: Outcome, took_us: int) -> None:
-        """An attempt has ended so long after it began."""
-        self._ended[outcome.value] += 1
-        self._took_us += took_us if outcome is Outcome.SERVED else 0
+    def record(self, outcome: Outcome, duration_us: int) -> None:
+        """Count an attempt that has ended."""
+        self._counts[outcome.value] += 1
+        self._served_us += duration_us if outcome is Outcome.SERVED else 0
 
     def take_summary(self) -> str:
-        """What has been counted, as the log says it; counting begins anew."""
-        ended, self._ended = self._ended, Counter()
-        took_ms, self._took_us = self._took_us / max(1, ended[Outcome.SERVED.value]) / 1000, 0
-        counts = ", ".join(f"{ended[name]} {name}" for name in sorted(ended)) or "none"
-        return f"attempts {counts}, served ones {took_ms:.0f} ms"
+        """Return the counts as text for the log, and reset them."""
+        counts, self._counts = self._counts, Counter()
+        mean_ms, self._served_us = self._served_us / max(1, counts[Outcome.SERVED.value]) / 1000, 0
+        text = ", ".join(f"{counts[name]} {name}" for name in sorted(counts)) or "none"
+        return f"attempts {text}, served ones {mean_ms:.0f} ms"
--- a/oatlink/platform/jobs.py
+++ b/oatlink/platform/jobs.py
@@ -1,4 +1,4 @@
-"""What is put on connections to servers: an attempt of a request, or a check."""
+"""The jobs that connections to servers carry out: an attempt of a request, or a check."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,24 +12,24 @@
 
 
 class JobOwner(Protocol):
-    """Who is told how they end."""
+    """Creates jobs and is notified when they end."""
 
     def may_write(self, attempt: req.Attempt) -> bool:
-        """Whether an attempt may be written at this moment."""
+        """Whether an attempt may be written now."""
         ...
 
-    def attempt_ended(self, sent: "AttemptJob", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
-        """An attempt's end."""
+    def attempt_ended(self, job: "AttemptJob", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
+        """Handle the end of an attempt."""
         ...
 
     def check_ended(self, check: "CheckJob", outcome: Outcome, at_us: int, answer: Answer | None) -> None:
-        """A check's end."""
+        """Handle the end of a check."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class AttemptJob:
-    """An attempt on its way."""
+    """A job that sends one attempt of a request."""
 
     owner: JobOwner
     attempt: req.Attempt
@@ -40,7 +40,7 @@
         return self.owner.may_write(self.attempt)
 
     def payload(self) -> bytes:
-        """The statement as a query."""
+        """Return the statement as a query message, and mark the attempt as written."""
         self.attempt.written = True
         return pg.make_query(self.attempt.payload(now_us())).encode()
 
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class CheckJob:
-    """A check on its way."""
+    """A job that asks a server for its load report."""
 
     owner: JobOwner
     member: int
@@ -64,7 +64,7 @@
         return not self.done
 
     def payload(self) -> bytes:
-        """The platform's question for a load report."""
+        """Return the platform's query for a load report."""
         return CHECK
 
     def ended(self, outcome: Outcome, at_us: int, answer: Answer | None) -> None:
--- a/oatlink/platform/lines.py
+++ b/oatlink/platform/lines.py
@@ -1,4 +1,4 @@
-"""The log's lines, bounded."""
+"""Limits the number of log lines per second."""
 
 import logging
 
@@ -6,14 +6,17 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Threat: a fault that says the same thousands of times a second. What is left out is counted."""
+    """A filter that drops lines beyond `LINES_PER_S` and counts them.
+
+    Prevents a fault that logs the same line thousands of times a second from flooding the log.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self._second = self._written = self._left_out = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether this second's share holds one more line."""
+        """Whether the line is within the limit of its second."""
         second = int(record.created)
         if second != self._second:
             if self._left_out:
--- a/oatlink/platform/signals.py
+++ b/oatlink/platform/signals.py
@@ -1,4 +1,4 @@
-"""The signals that a gateway takes, and when they may come."""
+"""The signals that a gateway handles, and when they are delivered."""
 
 import signal
 
@@ -6,10 +6,10 @@
 
 
 def block() -> None:
-    """Let them wait. Threat: one that comes while there is nobody to take it kills the process."""
+    """Keep signals pending. Prevents one that arrives while no handler is installed from killing the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
 def unblock() -> None:
-    """There are handlers: what has waited comes now."""
+    """Deliver signals from now on, pending ones first; called once handlers are installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
