--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -21,8 +21,8 @@
 from tests.client_world import ListenerWorld, listener_world, query
 from tests.platform_world import World, in_a_place
 from tests.scenes import scene
-from tests.test_platform_crossings import SLOW
-from tests.test_platform_sockets import post, settled, value, view
+from tests.test_platform_crossings import SLOW_DIAL_OPTIONS
+from tests.test_platform_sockets import read_statement, ready_client, served_value, write_statement
 from tests.test_platform_values import READ, WRITE
 from tests.test_platform_values import World as Requests
 
@@ -204,15 +204,17 @@
     assert await peer.answers() == ["value of a", *["0A000"] * 4]
 
 
-@scene(in_a_place, settings=SLOW)
+@scene(in_a_place, settings=SLOW_DIAL_OPTIONS)
 async def test_a_server_that_hangs_on_one_request_does_not_delay_those_behind_it(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     for server in one.servers:
         server.statements.clear()
     one.servers[0].mode = ["held"]
     names = [f"n{number}" for number in range(6)]
-    client.writer.write(b"".join(pg.make_query(text).encode() for text in [post(), *map(view, names)]))
+    client.writer.write(
+        b"".join(pg.make_query(text).encode() for text in [write_statement(), *map(read_statement, names)])
+    )
     await one.until(lambda: sum(len(server.statements) for server in one.servers) == 7)
     one.servers[0].release.set()
     expected = [b"value of 7f3a", *(f"value of {name}".encode() for name in names)]
-    assert [value(await client.until_ready()) for _ in range(7)] == expected
+    assert [served_value(await client.until_ready()) for _ in range(7)] == expected
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -13,7 +13,7 @@
 from tests.client_world import STARTUP, Peer, query
 from tests.platform_world import PATIENCE_S, Client, World, in_a_place, play, world
 from tests.scenes import scene
-from tests.test_platform_sockets import settled, sqlstate, value, view
+from tests.test_platform_sockets import read_statement, ready_client, served_value, sqlstate
 
 # Loaded in the place of a library: it waits at a gate in the midst of the imports, then loads the library itself.
 GATE = """import sys
@@ -81,7 +81,7 @@
     async def then(one: World) -> None:
         await one.serves()
         await one.logged("reload: discovery at")
-        await settled(one)
+        await ready_client(one)
         one.signal(signal.SIGTERM)
 
     play(scene())
@@ -89,9 +89,9 @@
 
 @scene(in_a_place, replicas=0)
 async def test_sigterm_again_and_again_up_to_the_last_moment_changes_nothing(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     one.servers[0].mode = "held"
-    client.writer.write(pg.make_query(view()).encode())
+    client.writer.write(pg.make_query(read_statement()).encode())
     seen = len(one.servers[0].statements)
     await one.until(lambda: len(one.servers[0].statements) > seen)
     one.signal(signal.SIGTERM)
@@ -107,7 +107,7 @@
 
     storm = asyncio.ensure_future(again())
     one.servers[0].release.set()
-    assert value(await client.until_ready()) == b"value of 7f3a"
+    assert served_value(await client.until_ready()) == b"value of 7f3a"
     await ended(one, client)
     await storm
     assert sum("stopping" in line for line in one.lines) == 1
@@ -115,26 +115,26 @@
 
 @scene(in_a_place, replicas=0)
 async def test_sigterm_while_a_half_written_file_is_looked_at_again(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     one.path.write_text('{"name": "n0", "list')
     one.signal(signal.SIGHUP)
     await one.logged("reload: ")
     one.signal(signal.SIGTERM)
-    assert value(await client.ask(view())) == b"value of 7f3a"
+    assert served_value(await client.ask(read_statement())) == b"value of 7f3a"
     await ended(one, client)
 
 
 @scene(in_a_place, replicas=0)
 async def test_a_client_that_reads_only_after_the_process_has_ended_finds_all_its_answers(one: World) -> None:
-    await settled(one)
+    await ready_client(one)
     peer, server = Peer(one.address, small=True), one.servers[0]
     server.mode = "held"
     seen = len(server.statements)
-    peer.send(STARTUP + query(view("k0")))
+    peer.send(STARTUP + query(read_statement("k0")))
     await one.until(lambda: len(server.statements) > seen)
     one.signal(signal.SIGTERM)
     await one.logged("stopping")
-    peer.send(query(view("k1")), query(view("k2")))
+    peer.send(query(read_statement("k1")), query(read_statement("k2")))
     server.release.set()
     await ended(one)
     found = await peer.answers()
@@ -146,17 +146,17 @@
 @scene(in_a_place, replicas=0)
 async def test_an_id_that_is_asked_again_elsewhere_is_answered_by_its_own_servers_answer(one: World) -> None:
     """The first client has left; both of the server's answers come together."""
-    await settled(one)
+    await ready_client(one)
     server = one.servers[0]
     server.statements.clear()
     server.mode = "held"
     first = await one.client()
-    first.writer.write(pg.make_query(view("first", ident="feed")).encode())
+    first.writer.write(pg.make_query(read_statement("first", ident="feed")).encode())
     await one.until(lambda: len(server.statements) == 1)
     first.writer.close()
     while True:
         second = await one.client()
-        second.writer.write(pg.make_query(view("second", ident="feed")).encode())
+        second.writer.write(pg.make_query(read_statement("second", ident="feed")).encode())
         answer = asyncio.ensure_future(second.until_ready())
         await one.until(lambda answer=answer: answer.done() or len(server.statements) > 1)  # type: ignore[misc]
         if not answer.done():
@@ -164,6 +164,6 @@
         assert sqlstate(answer.result()) == "42710", "the close has not been seen yet"
         second.writer.close()
     server.release.set()
-    assert value(await answer) == b"value of second"
-    assert value(await second.ask(view("third", ident="feed"))) == b"value of third", "and once"
+    assert served_value(await answer) == b"value of second"
+    assert served_value(await second.ask(read_statement("third", ident="feed"))) == b"value of third", "and once"
     assert [text.split(b"'")[1] for text in server.statements] == [b"first", b"second", b"third"]
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -22,19 +22,19 @@
 COUNT = iter(range(1, 1 << 30))
 
 
-def view(key: str = "7f3a", wait_ms: int = 1_900, name: str = "view", ident: str = "") -> bytes:
+def read_statement(key: str = "7f3a", wait_ms: int = 1_900, name: str = "view", ident: str = "") -> bytes:
     ident = ident or f"{next(COUNT):016x}"
     return f"/* id={ident},c={name},d={wait_ms},cluster=1 */ SELECT content FROM kv WHERE name = '{key}'".encode()
 
 
-def post(wait_ms: int = 2_900) -> bytes:
+def write_statement(wait_ms: int = 2_900) -> bytes:
     return (
         f"/* id={next(COUNT):016x},c=post,d={wait_ms},k=5c0f,cluster=1 */ INSERT INTO kv (name, content) "
         "VALUES ('7f3a', '\\x9f03') RETURNING content"
     ).encode()
 
 
-def value(answer: list[pg.Message]) -> bytes | None:
+def served_value(answer: list[pg.Message]) -> bytes | None:
     """What was served, if it was."""
     if [one.kind for one in answer] != [b"T", b"D", b"C"]:
         return None
@@ -46,18 +46,18 @@
     return pg.fields(one)["C"]
 
 
-async def settled(one: World) -> Client:
+async def ready_client(one: World) -> Client:
     """A client, once the gateway knows its servers' roles."""
     client = await one.client()
-    assert value(await client.ask(post())) == b"value of 7f3a"
-    assert value(await client.ask(view())) == b"value of 7f3a"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
+    assert served_value(await client.ask(read_statement())) == b"value of 7f3a"
     return client
 
 
 @scene(in_a_place)
 async def test_requests_are_served_and_only_their_wait_is_rewritten(one: World) -> None:
     client = await one.connect()
-    ask = view("abc", wait_ms=1_800)
+    ask = read_statement("abc", wait_ms=1_800)
     # SSL is declined; then the startup, an empty query and the first one come in one piece.
     client.writer.write(pg.make_request(pg.SSL).encode())
     assert await client.reader.readexactly(1) == b"N"
@@ -68,14 +68,14 @@
     )
     await client.until_ready()
     assert [got.kind for got in await client.until_ready()] == [b"I"]
-    assert value(await client.until_ready()) == b"value of abc"
+    assert served_value(await client.until_ready()) == b"value of abc"
     got = [text for server in one.servers for text in server.statements]
     assert len(got) == 1
     before, _, behind = got[0].partition(b",d=")
     wait, _, behind = behind.partition(b",")
     assert before + b",d=1800," + behind == ask and 0 < int(wait) <= 1_800
-    written = post()
-    assert value(await client.ask(written)) == b"value of 7f3a"
+    written = write_statement()
+    assert served_value(await client.ask(written)) == b"value of 7f3a"
     assert one.servers[0].statements[-1].startswith(written[:20])
     assert sum(server.connections for server in one.servers) <= 8
 
@@ -85,16 +85,16 @@
         where = f"host={address[0]} port={address[1]} user=backend dbname=store sslmode=prefer gssencmode=disable"
         with psycopg.connect(where, autocommit=True, connect_timeout=10) as connection:
             for number in range(20):
-                cursor = connection.execute(view(f"k{number}").decode())
+                cursor = connection.execute(read_statement(f"k{number}").decode())
                 (found,) = cursor.fetchall()
                 assert bytes(found[0]) == f"value of k{number}".encode() or found[0] == f"value of k{number}"
             with pytest.raises(psycopg.errors.SyntaxError):
                 connection.execute("SELECT 1, 2")
-            assert connection.execute(view().decode()).fetchone() is not None
+            assert connection.execute(read_statement().decode()).fetchone() is not None
 
     async def scene() -> None:
         async with world(tmp_path) as one:
-            await settled(one)
+            await ready_client(one)
             await asyncio.to_thread(use, one.address)
 
     play(scene())
@@ -103,84 +103,86 @@
 @pytest.mark.parametrize("mode", ["noise", "huge", "two rows", "no columns", "negative", "break", "error"])
 @scene(in_a_place, replicas=1)
 async def test_a_spoilt_answer_is_a_failed_attempt_and_nothing_of_it_is_passed_on(one: World, mode: str) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     # The attempt may have run; a read goes again, a write within its window at its group's primary.
     one.servers[1].mode = spoilt = [mode]
     while spoilt:
-        assert value(await client.ask(view("abc"))) == b"value of abc"
+        assert served_value(await client.ask(read_statement("abc"))) == b"value of abc"
     one.servers[0].statements.clear()
     one.servers[0].mode = [mode]
-    assert value(await client.ask(post())) == b"value of 7f3a"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
     assert len(one.servers[0].statements) == 2
 
 
 @pytest.mark.parametrize("mode", ["behind", "twice"])
 @scene(in_a_place, replicas=1)
 async def test_a_good_answer_with_more_behind_it_is_good_and_its_connection_is_dropped(one: World, mode: str) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     for server in one.servers:
         server.mode = mode
     for number in range(10):
-        assert value(await client.ask(view(f"k{number}"))) == f"value of k{number}".encode()
+        assert served_value(await client.ask(read_statement(f"k{number}"))) == f"value of k{number}".encode()
     await one.until(lambda: sum(server.connections for server in one.servers) >= 10)
 
 
 @scene(in_a_place, replicas=1)
 async def test_misses_and_refusals_of_servers_are_the_routers_and_never_relayed(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     one.servers[0].primary, one.servers[1].primary = False, True
     one.servers[0].mode = ["miss"]
-    assert value(await client.ask(post())) == b"value of 7f3a", "held until the new primary is known"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a", "held until the new primary is known"
     for server in one.servers:
         server.mode = "error"
-    assert sqlstate(await client.ask(post())) == "58000", "it may have run"
-    assert sqlstate(await client.ask(view())) == "53300", "a read is harmless to try again"
+    assert sqlstate(await client.ask(write_statement())) == "58000", "it may have run"
+    assert sqlstate(await client.ask(read_statement())) == "53300", "a read is harmless to try again"
     for server in one.servers:
         server.mode = "full"
-    refused = await client.ask(view(wait_ms=300))
+    refused = await client.ask(read_statement(wait_ms=300))
     fields = pg.fields(refused[0])
     assert fields["C"] == "53300" and fields["M"] == "refused, try again" and int(fields["D"]) > 0
 
 
 @scene(in_a_place, replicas=0)
 async def test_a_hung_server_costs_the_request_its_time_and_its_connection_is_closed(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     one.servers[0].mode = ["hang"]
-    assert sqlstate(await client.ask(post(wait_ms=400))) == "58000", "it may have run: failed, not refused"
+    assert sqlstate(await client.ask(write_statement(wait_ms=400))) == "58000", "it may have run: failed, not refused"
     await one.until(lambda: one.servers[0].open <= 1)
-    assert value(await client.ask(post())) == b"value of 7f3a"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
 
 
 @scene(in_a_place, replicas=0)
 async def test_a_server_that_accepts_and_never_greets_could_not_connect(one: World) -> None:
     one.servers[0].greets = False
     client = await one.client()
-    assert sqlstate(await client.ask(post(wait_ms=700))) == "53300", "nothing was sent: trying again is harmless"
+    assert sqlstate(await client.ask(write_statement(wait_ms=700))) == "53300", (
+        "nothing was sent: trying again is harmless"
+    )
     assert not one.servers[0].statements
     one.servers[0].greets = True
-    assert value(await client.ask(post())) == b"value of 7f3a"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
 
 
 @scene(in_a_place)
 async def test_queries_of_a_connection_are_answered_in_order_and_a_close_ends_them(one: World) -> None:
-    client = await settled(one)
-    client.writer.write(b"".join(pg.make_query(view(f"k{number}")).encode() for number in range(300)))
+    client = await ready_client(one)
+    client.writer.write(b"".join(pg.make_query(read_statement(f"k{number}")).encode() for number in range(300)))
     for number in range(300):
-        assert value(await client.until_ready()) == f"value of k{number}".encode()
+        assert served_value(await client.until_ready()) == f"value of k{number}".encode()
     for server in one.servers:
         server.mode = "hang"
-    client.writer.write(pg.make_query(view(ident="feed")).encode())
+    client.writer.write(pg.make_query(read_statement(ident="feed")).encode())
     other = await one.client()
     await one.until(lambda: any(b"id=feed" in text for server in one.servers for text in server.statements))
-    assert sqlstate(await other.ask(view(ident="feed"))) == "42710"
+    assert sqlstate(await other.ask(read_statement(ident="feed"))) == "42710"
     client.writer.close()
     for server in one.servers:
         server.mode = "good"
-    again = await other.ask(view(ident="feed"))
-    while value(again) is None:  # the close is seen in a turn of its own
+    again = await other.ask(read_statement(ident="feed"))
+    while served_value(again) is None:  # the close is seen in a turn of its own
         assert sqlstate(again) == "42710"
         other = await one.client()
-        again = await other.ask(view(ident="feed"))
+        again = await other.ask(read_statement(ident="feed"))
 
 
 BAD = {
@@ -196,7 +198,7 @@
     "60 MB": b"Q" + struct.pack("!i", 60_000_000) + b"x" * 1_000_000,
     "short length": b"Q\0\0\0\x01",
     "no end": pg.Message(b"Q", b"SELECT").encode(),
-    "half and silence": pg.make_query(view()).encode()[:-9],
+    "half and silence": pg.make_query(read_statement()).encode()[:-9],
     "half a head": b"Q\0",
     "too many mistakes": pg.make_query(b"SELECT 1").encode() * 300,
     "extended": pg.make_parse(pg.Parse(b"", b"SELECT 1", ())).encode(),
@@ -219,30 +221,32 @@
 
     async def scene() -> None:
         async with world(tmp_path) as one:
-            client = await settled(one)
+            client = await ready_client(one)
             before = sum(len(server.statements) for server in one.servers)
             tasks = [bad(one, data, False) for data in [*BAD.values(), b""]]
             tasks += [bad(one, data, True) for data in STARTED.values()]
             waiting = asyncio.gather(*tasks)
             for number in range(50):
-                assert value(await client.ask(view(f"k{number}"))) == f"value of k{number}".encode()
+                assert served_value(await client.ask(read_statement(f"k{number}"))) == f"value of k{number}".encode()
             await waiting
             assert sum(len(server.statements) for server in one.servers) == before + 50, "nothing bad reached a server"
-            for text in (b"SELECT 1", view(name="none"), view(wait_ms=0)):
+            for text in (b"SELECT 1", read_statement(name="none"), read_statement(wait_ms=0)):
                 assert sqlstate(await client.ask(text)) in ("42601", "22023")
-            assert value(await client.ask(view())) == b"value of 7f3a", "a mistake does not end a connection"
+            assert served_value(await client.ask(read_statement())) == b"value of 7f3a", (
+                "a mistake does not end a connection"
+            )
 
     play(scene())
 
 
 @scene(in_a_place, sockets=64)
 async def test_silent_clients_do_not_keep_others_out(one: World) -> None:
-    await settled(one)
+    await ready_client(one)
     silent = [await one.connect() for _ in range(100)]
     for each in silent[::2]:  # an empty query asks nothing, either
         each.writer.write(pg.make_startup({"user": "u"}).encode() + pg.make_query(b"").encode())
     client = await one.client()
-    assert value(await client.ask(view())) == b"value of 7f3a"
+    assert served_value(await client.ask(read_statement())) == b"value of 7f3a"
     for each in silent:
         assert await each.closed()
 
@@ -253,7 +257,7 @@
 
 @scene(in_a_place)
 async def test_the_list_is_followed_through_drains_failures_and_new_addresses(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     entries = one.entries()
     entries[1]["state"] = "terminating"
     one.discovery.tell(entries)
@@ -265,13 +269,13 @@
         failed = len(one.lines)
         await one.until(lambda failed=failed, mode=mode: mode == "good" or len(one.lines) > failed)  # type: ignore[misc]
         for _ in range(10):
-            assert value(await client.ask(view())) == b"value of 7f3a", "the list it had stands"
+            assert served_value(await client.ask(read_statement())) == b"value of 7f3a", "the list it had stands"
     assert not one.servers[1].statements, "nothing is sent to what drains"
     # The two that are left go; the one that drained comes back, as primary, under a new address.
     one.servers[1].primary = True
     one.discovery.tell([one.entries()[1] | {"id": "s-new"}])
     await one.follows()
-    assert value(await client.ask(post())) == b"value of 7f3a"
+    assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
     assert len(one.servers[1].statements) == 1
 
 
@@ -294,27 +298,27 @@
 
 @scene(in_a_place)
 async def test_sighup_follows_the_new_discovery_and_a_half_written_file_changes_nothing(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     async with type(one.discovery)() as other:
         other.entries, other.version = one.entries(), 9
         one.path.write_text('{"name": "n0", "list')
         one.signal(signal.SIGHUP)
         await one.logged("reload: ")
-        assert value(await client.ask(view())) == b"value of 7f3a"
+        assert served_value(await client.ask(read_statement())) == b"value of 7f3a"
         one.write(other.address)
         await one.until(lambda: bool(other.calls))
         seen = len(one.discovery.calls)
-        assert value(await client.ask(post())) == b"value of 7f3a"
+        assert served_value(await client.ask(write_statement())) == b"value of 7f3a"
         await one.until(lambda: len(other.calls) >= 3)
         assert len(one.discovery.calls) == seen, "the old one is let go"
 
 
 @scene(in_a_place)
 async def test_sigterm_answers_what_was_taken_and_ends(one: World) -> None:
-    client, idle = await settled(one), await one.client()
+    client, idle = await ready_client(one), await one.client()
     for server in one.servers:
         server.mode = "hang"
-    client.writer.write(pg.make_query(view()).encode())
+    client.writer.write(pg.make_query(read_statement()).encode())
     await one.until(lambda: sum(server.open for server in one.servers) > 0)
     one.signal(signal.SIGTERM)
     await one.logged("stopping")
@@ -322,7 +326,7 @@
     for server in one.servers:
         server.mode = "good"
         server.release.set()
-    assert value(await late.ask(view())) == b"value of 7f3a"
+    assert served_value(await late.ask(read_statement())) == b"value of 7f3a"
     assert len(await client.until_ready()) in (1, 3), "answered, though its server hung"
     assert await idle.closed() and await client.closed() and await late.closed()
     async with asyncio.timeout(PATIENCE_S):
@@ -331,13 +335,13 @@
 
 @scene(in_a_place)
 async def test_after_a_kill_it_starts_from_nothing_but_the_file(one: World) -> None:
-    await settled(one)
+    await ready_client(one)
     one.write(one.discovery.address)
     await one.stop()
     one.lines.clear()
     one.discovery.mode = "hang"
     await one.start()
-    await settled(one)
+    await ready_client(one)
 
 
 def test_a_stream_is_at_rest_only_while_nothing_has_come_unseen() -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,7 +19,7 @@
 from tests.client_world import STARTUP, Peer, query
 from tests.platform_world import PATIENCE_S, Discovery, World, in_a_place, play, world
 from tests.scenes import scene
-from tests.test_platform_sockets import post, settled, value, view
+from tests.test_platform_sockets import read_statement, ready_client, served_value, write_statement
 from tests.test_terms_discovery import read
 
 GOOD = b"value of 7f3a"
@@ -37,11 +37,11 @@
 @pytest.mark.parametrize("stands", [True, False], ids=["at a standstill", "at work"])
 async def test_no_further_attempt_for_a_client_that_has_closed(one: World, behind: int, stands: bool) -> None:
     """At a standstill the end of the first attempt, which sets the further one off, is there before the close."""
-    await settled(one)
+    await ready_client(one)
     server, peer = one.servers[0], Peer(one.address)
     server.statements.clear()
     server.mode = ["hang up"]
-    peer.send(STARTUP + query(post()))
+    peer.send(STARTUP + query(write_statement()))
     await one.until(lambda: len(server.statements) == 1)
     await asyncio.get_running_loop().sock_sendall(peer.sock, behind * query(b" " * 60_000))
     if stands:
@@ -51,34 +51,34 @@
     peer.sock.shutdown(socket.SHUT_RDWR)
     server.release.set()
     one.signal(signal.SIGCONT)
-    assert value(await (await one.client()).ask(post())) == GOOD
+    assert served_value(await (await one.client()).ask(write_statement())) == GOOD
     assert len(server.statements) == 2, "the first attempt, and the other client's"
 
 
 @scene(in_a_place, replicas=0)
 async def test_no_attempt_for_a_held_request_whose_client_closed_at_a_standstill(one: World) -> None:
     """The pause behind a refusal ends at the standstill: its timer comes before what the sockets have."""
-    await settled(one)
+    await ready_client(one)
     server, peer = one.servers[0], Peer(one.address)
     server.statements.clear()
     server.mode = ["full"] * 100
-    peer.send(STARTUP + query(post()))
+    peer.send(STARTUP + query(write_statement()))
     await one.until(lambda: bool(server.statements))
     await stopped(one)
     await asyncio.sleep(0.2)  # the standstill itself, longer than the pause
     sent, server.mode = len(server.statements), "good"
     peer.sock.shutdown(socket.SHUT_RDWR)
     one.signal(signal.SIGCONT)
-    assert value(await (await one.client()).ask(post())) == GOOD
+    assert served_value(await (await one.client()).ask(write_statement())) == GOOD
     assert len(server.statements) == sent + 1, "the other client's"
 
 
 @scene(in_a_place, replicas=0)
 async def test_a_further_attempt_is_told_what_is_left_at_its_write(one: World) -> None:
-    client, server = await settled(one), one.servers[0]
+    client, server = await ready_client(one), one.servers[0]
     server.statements.clear()
     server.mode = ["hang up"]
-    client.writer.write(query(post(wait_ms=2_900)))
+    client.writer.write(query(write_statement(wait_ms=2_900)))
     await one.until(lambda: len(server.statements) == 1)
     began_s = time.monotonic()
     await one.until(lambda: time.monotonic() > began_s + 0.4)
@@ -86,7 +86,7 @@
     await one.until(lambda: len(server.statements) == 2)
     first, further = (int(text.split(b",d=")[1].split(b",")[0]) for text in server.statements)
     assert further <= first - 399 and first <= 2_900  # on a slow machine less, never more
-    assert value(await client.until_ready()) == GOOD
+    assert served_value(await client.until_ready()) == GOOD
 
 
 @scene(in_a_place, sockets=64, running=False)
@@ -96,11 +96,11 @@
     await one.start()
     try:
         resource.prlimit(one.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-        client = await settled(one)
+        client = await ready_client(one)
         idle = []
         for _ in range(40):
             idle.append(await one.connect())
-            idle[-1].writer.write(STARTUP + query(view()))
+            idle[-1].writer.write(STARTUP + query(read_statement()))
             await idle[-1].message()  # those that have asked are not closed for others
         await one.logged("clients turned away")
         entries = one.entries()
@@ -116,7 +116,7 @@
         for _ in range(4):
             if client.reader.at_eof():
                 client = await one.client()
-            assert value(await client.ask(view())) == GOOD
+            assert served_value(await client.ask(read_statement())) == GOOD
         assert not one.servers[1].statements, "it drains"
         assert not any("Too many open files" in line for line in one.lines)
     finally:
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("mode", ["hang", "503", "noise"])
 async def test_a_reload_that_moves_discovery_and_a_drain_right_behind_it(one: World, mode: str) -> None:
     """The old one fails, the new one answers its second call only."""
-    client = await settled(one)
+    client = await ready_client(one)
     one.discovery.mode = "503"
     one.discovery.tell(one.entries())
     await one.logged("status 503")
@@ -142,7 +142,7 @@
         await one.until(lambda: any("since=8&" in call for call in later.calls))
         one.servers[1].statements.clear()
         for _ in range(10):
-            assert value(await client.ask(view())) == GOOD
+            assert served_value(await client.ask(read_statement())) == GOOD
         assert not one.servers[1].statements, "it drains"
 
 
@@ -165,24 +165,24 @@
 @scene(in_a_place, replicas=1)
 async def test_a_kill_right_after_an_accept_and_a_start_on_the_same_port(one: World) -> None:
     """SIGKILL with connections that are taken and not yet read; what began before is no hindrance to the next."""
-    await settled(one)
+    await ready_client(one)
     one.write(one.discovery.address)
     peers = [Peer(one.address) for _ in range(5)]
     for peer in peers:
-        peer.send(STARTUP + query(view()))
+        peer.send(STARTUP + query(read_statement()))
     await one.stop()
     one.lines.clear()
     await one.start()
-    assert value(await (await one.client()).ask(view())) == GOOD
+    assert served_value(await (await one.client()).ask(read_statement())) == GOOD
 
 
 @scene(in_a_place, replicas=1)
 async def test_sigterm_right_after_an_accept_loses_nothing(one: World) -> None:
-    await settled(one)
+    await ready_client(one)
     await stopped(one)  # all that comes now is accepted in the turn in which the signal is seen
     peers = [Peer(one.address) for _ in range(20)]
     for peer in peers:
-        peer.send(STARTUP + query(view()))
+        peer.send(STARTUP + query(read_statement()))
     one.signal(signal.SIGTERM)
     one.signal(signal.SIGCONT)
     for peer in peers:
@@ -195,8 +195,8 @@
 @scene(in_a_place, replicas=1)
 async def test_requests_in_pieces_are_the_same_requests(one: World) -> None:
     """Byte by byte, or cut at any places: four messages, some of them in the same piece."""
-    await settled(one)
-    whole = [STARTUP + query(b"") + query(view("k0")) + query(view("k1")) for _ in range(40)]
+    await ready_client(one)
+    whole = [STARTUP + query(b"") + query(read_statement("k0")) + query(read_statement("k1")) for _ in range(40)]
     for number, text in enumerate(whole):
         peer, draw = Peer(one.address), random.Random(number)
         cuts = range(1, len(text)) if number == 0 else sorted(draw.sample(range(1, len(text)), draw.choice([1, 2, 9])))
@@ -209,15 +209,15 @@
 
 @scene(in_a_place)
 async def test_after_a_standstill_with_discovery_away_it_sends_on_at_once(one: World) -> None:
-    client = await settled(one)
+    client = await ready_client(one)
     one.discovery.mode = "503"
     one.discovery.tell(one.entries())
     await one.logged("status 503")
     await stopped(one)
     await asyncio.sleep(0.5)  # the standstill itself
-    client.writer.write(query(view()))
+    client.writer.write(query(read_statement()))
     one.signal(signal.SIGCONT)
-    assert value(await client.until_ready()) == GOOD
+    assert served_value(await client.until_ready()) == GOOD
 
 
 class Full:
@@ -270,7 +270,7 @@
             try:
                 await asyncio.gather(*(home.start() for home in homes))
                 print(f"ready: {time.monotonic() - began_s:.1f} s")
-                assert all([value(await (await home.client()).ask(view())) == GOOD for home in homes])
+                assert all([served_value(await (await home.client()).ask(read_statement())) == GOOD for home in homes])
             finally:
                 for home in homes:
                     await home.stop()
