--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -36,7 +36,7 @@
     pipeline, added, submitted, written = Pipeline(PipelineLimits(5, 100)), [Command(0)][:0], [Command(0)][:0], b""
 
     def answer() -> bytes:
-        command = draw.choice([one for one in submitted if one in pipeline.unanswered])
+        command = draw.choice([command for command in submitted if command in pipeline.unanswered])
         submitted.extend(pipeline.answer(command, b"%d " % added.index(command)))
         return pipeline.take_ready()
 
@@ -55,7 +55,7 @@
         for _ in range(min(answer_count, len(pipeline.unanswered))):
             written += answer()
     while pipeline.unanswered:
-        assert all(one.is_expedited for one in list(pipeline.unanswered)[:-1]), "others wait behind it"
+        assert all(command.is_expedited for command in list(pipeline.unanswered)[:-1]), "others wait behind it"
         written += answer()
     assert written == b"".join(b"%d " % number for number in range(len(added))) and len(pipeline) == 0
     assert len(submitted) == len(added), "each was submitted once"
@@ -107,12 +107,12 @@
     for number in (1, 2, 3):  # the members are known, so the request is sent
         world.do(world.book.handle(Checked(number, Outcome.SERVED, 1_000, None), world.now))
     world.ask(text, 7)
-    one, end_us = world.open[0], world.open[0].expires_us
-    world.book.hurry(one, SLACK_US)
+    request, end_us = world.open[0], world.open[0].expires_us
+    world.book.hurry(request, SLACK_US)
     assert world.book.next_end_us() == end_us - SLACK_US
     world.now = end_us - SLACK_US
     world.do(world.book.expire(world.now))
-    assert one.over and len(world.owners[0].finals) == 1 and not world.book._open
+    assert request.over and len(world.owners[0].finals) == 1 and not world.book._open
     world.now = end_us
     assert world.book.expire(world.now) == []
 
@@ -205,16 +205,16 @@
 
 
 @scene(in_a_place, settings=SLOW_DIAL_OPTIONS)
-async def test_a_server_that_hangs_on_one_request_does_not_delay_those_behind_it(one: World) -> None:
-    client = await ready_client(one)
-    for server in one.servers:
+async def test_a_server_that_hangs_on_one_request_does_not_delay_those_behind_it(gateway: World) -> None:
+    client = await ready_client(gateway)
+    for server in gateway.servers:
         server.statements.clear()
-    one.servers[0].mode = ["held"]
+    gateway.servers[0].mode = ["held"]
     names = [f"n{number}" for number in range(6)]
     client.writer.write(
         b"".join(pg.make_query(text).encode() for text in [write_statement(), *map(read_statement, names)])
     )
-    await one.until(lambda: sum(len(server.statements) for server in one.servers) == 7)
-    one.servers[0].release.set()
+    await gateway.until(lambda: sum(len(server.statements) for server in gateway.servers) == 7)
+    gateway.servers[0].release.set()
     expected = [b"value of 7f3a", *(f"value of {name}".encode() for name in names)]
     assert [served_value(await client.until_ready()) for _ in range(7)] == expected
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -1,4 +1,4 @@
-"""The platform gateway's process at its start and end: signals, the last answers, and clients that cross."""
+"""The platform gateway's process at its start and end: signals, last answers, and races with clients."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 from tests.scenes import scene
 from tests.test_platform_sockets import read_statement, ready_client, served_value, sqlstate
 
-# Loaded in the place of a library: it waits at a gate in the midst of the imports, then loads the library itself.
-GATE = """import sys
+# Imported in place of uvloop: it blocks on a named pipe during the imports, then imports the real uvloop.
+BLOCKING_UVLOOP = """import sys
 with open({gate!r}) as gate:
     gate.read()
 sys.path.remove({place!r})
@@ -25,145 +25,145 @@
 """
 
 
-async def ended(one: World, client: Client | None = None) -> None:
-    """Wait for the process to end, in order, and its client's connection before it."""
+async def wait_for_end(gateway: World, client: Client | None = None) -> None:
+    """Wait for the orderly end of the process, and before it for the end of the client's connection."""
     if client is not None:
         assert await client.closed()
         client.writer.close()
     async with asyncio.timeout(PATIENCE_S):
-        code = await one.process.wait()
-        await one._reading
-    assert code == 0, one.lines
-    assert not [line for line in one.lines if "Traceback" in line or "fault" in line], one.lines
+        code = await gateway.process.wait()
+        await gateway._reading
+    assert code == 0, gateway.lines
+    assert not [line for line in gateway.lines if "Traceback" in line or "fault" in line], gateway.lines
 
 
 @contextlib.asynccontextmanager
-async def starting(place: Path, where: str) -> AsyncIterator[World]:
-    """A gateway that stands still in its start, at its imports or at its configuration; behind the body it goes on."""
-    async with world(place, replicas=0, running=False) as one:
-        gate, stub = place / "gate" if where == "imports" else one.path, place / "stub"
+async def blocked_start(place: Path, where: str) -> AsyncIterator[World]:
+    """Start a gateway that blocks in its imports or at reading its configuration until the body has run."""
+    async with world(place, replicas=0, running=False) as gateway:
+        gate, stub = place / "gate" if where == "imports" else gateway.path, place / "stub"
         gate.unlink(missing_ok=True)
         os.mkfifo(gate)
         stub.mkdir()
         if where == "imports":
-            (stub / "uvloop.py").write_text(GATE.format(gate=str(gate), place=str(stub)))
-        await one.launch(PYTHONPATH=str(stub))
+            (stub / "uvloop.py").write_text(BLOCKING_UVLOOP.format(gate=str(gate), place=str(stub)))
+        await gateway.launch(PYTHONPATH=str(stub))
         writing = await asyncio.to_thread(os.open, gate, os.O_WRONLY)
         try:
-            yield one
-            one.write(one.discovery.address)
+            yield gateway
+            gateway.write(gateway.discovery.address)
             if where == "configuration":
-                os.write(writing, one.path.read_bytes())
+                os.write(writing, gateway.path.read_bytes())
             os.close(writing)
-            await ended(one)
+            await wait_for_end(gateway)
         finally:
-            await one.stop()
+            await gateway.stop()
 
 
 @pytest.mark.parametrize("where", ["imports", "configuration"])
-def test_sigterm_during_the_start_ends_it_in_order(tmp_path: Path, where: str) -> None:
+def test_sigterm_during_the_start_ends_the_process_in_order(tmp_path: Path, where: str) -> None:
     async def scene() -> None:
-        async with starting(tmp_path, where) as one:
-            one.signal(signal.SIGTERM)
-        assert any("stopping" in line for line in one.lines)
+        async with blocked_start(tmp_path, where) as gateway:
+            gateway.signal(signal.SIGTERM)
+        assert any("stopping" in line for line in gateway.lines)
 
     play(scene())
 
 
 @pytest.mark.parametrize("where", ["imports", "configuration"])
-def test_sighup_during_the_start_is_taken_once_it_serves(tmp_path: Path, where: str) -> None:
+def test_sighup_during_the_start_is_handled_once_the_gateway_serves(tmp_path: Path, where: str) -> None:
     async def scene() -> None:
-        async with starting(tmp_path, where) as one:
-            one.signal(signal.SIGHUP)
-            follow = asyncio.ensure_future(then(one))
-        await follow
+        async with blocked_start(tmp_path, where) as gateway:
+            gateway.signal(signal.SIGHUP)
+            following = asyncio.ensure_future(check_reload_and_stop(gateway))
+        await following
 
-    async def then(one: World) -> None:
-        await one.serves()
-        await one.logged("reload: discovery at")
-        await ready_client(one)
-        one.signal(signal.SIGTERM)
+    async def check_reload_and_stop(gateway: World) -> None:
+        await gateway.serves()
+        await gateway.logged("reload: discovery at")
+        await ready_client(gateway)
+        gateway.signal(signal.SIGTERM)
 
     play(scene())
 
 
 @scene(in_a_place, replicas=0)
-async def test_sigterm_again_and_again_up_to_the_last_moment_changes_nothing(one: World) -> None:
-    client = await ready_client(one)
-    one.servers[0].mode = "held"
+async def test_repeated_sigterm_up_to_the_last_moment_changes_nothing(gateway: World) -> None:
+    client = await ready_client(gateway)
+    gateway.servers[0].mode = "held"
     client.writer.write(pg.make_query(read_statement()).encode())
-    seen = len(one.servers[0].statements)
-    await one.until(lambda: len(one.servers[0].statements) > seen)
-    one.signal(signal.SIGTERM)
-    await one.logged("stopping")
-
-    async def again() -> None:
-        # Not by the process's own method, which would take its end from under its watcher.
-        while one.process.returncode is None:
+    seen = len(gateway.servers[0].statements)
+    await gateway.until(lambda: len(gateway.servers[0].statements) > seen)
+    gateway.signal(signal.SIGTERM)
+    await gateway.logged("stopping")
+
+    async def repeat_signals() -> None:
+        # Process.send_signal would reap the process before asyncio's watcher does.
+        while gateway.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                os.kill(one.process.pid, signal.SIGTERM)
-                os.kill(one.process.pid, signal.SIGINT)
+                os.kill(gateway.process.pid, signal.SIGTERM)
+                os.kill(gateway.process.pid, signal.SIGINT)
             await asyncio.sleep(0)
 
-    storm = asyncio.ensure_future(again())
-    one.servers[0].release.set()
+    repeating = asyncio.ensure_future(repeat_signals())
+    gateway.servers[0].release.set()
     assert served_value(await client.until_ready()) == b"value of 7f3a"
-    await ended(one, client)
-    await storm
-    assert sum("stopping" in line for line in one.lines) == 1
+    await wait_for_end(gateway, client)
+    await repeating
+    assert sum("stopping" in line for line in gateway.lines) == 1
 
 
 @scene(in_a_place, replicas=0)
-async def test_sigterm_while_a_half_written_file_is_looked_at_again(one: World) -> None:
-    client = await ready_client(one)
-    one.path.write_text('{"name": "n0", "list')
-    one.signal(signal.SIGHUP)
-    await one.logged("reload: ")
-    one.signal(signal.SIGTERM)
+async def test_sigterm_while_a_half_written_file_is_being_reread(gateway: World) -> None:
+    client = await ready_client(gateway)
+    gateway.path.write_text('{"name": "n0", "list')
+    gateway.signal(signal.SIGHUP)
+    await gateway.logged("reload: ")
+    gateway.signal(signal.SIGTERM)
     assert served_value(await client.ask(read_statement())) == b"value of 7f3a"
-    await ended(one, client)
+    await wait_for_end(gateway, client)
 
 
 @scene(in_a_place, replicas=0)
-async def test_a_client_that_reads_only_after_the_process_has_ended_finds_all_its_answers(one: World) -> None:
-    await ready_client(one)
-    peer, server = Peer(one.address, small=True), one.servers[0]
+async def test_a_client_that_reads_only_after_the_process_has_ended_receives_all_its_answers(gateway: World) -> None:
+    await ready_client(gateway)
+    peer, server = Peer(gateway.address, small=True), gateway.servers[0]
     server.mode = "held"
     seen = len(server.statements)
     peer.send(STARTUP + query(read_statement("k0")))
-    await one.until(lambda: len(server.statements) > seen)
-    one.signal(signal.SIGTERM)
-    await one.logged("stopping")
+    await gateway.until(lambda: len(server.statements) > seen)
+    gateway.signal(signal.SIGTERM)
+    await gateway.logged("stopping")
     peer.send(query(read_statement("k1")), query(read_statement("k2")))
     server.release.set()
-    await ended(one)
-    found = await peer.answers()
-    assert found[:2] == ["", "value of k0"], "taken before, read whole after"
-    assert found[2:] in (["value of k1", "value of k2"], ["value of k1", "53300"], ["53300", "53300"])
+    await wait_for_end(gateway)
+    answers = await peer.answers()
+    assert answers[:2] == ["", "value of k0"], "accepted before the end, read whole after it"
+    assert answers[2:] in (["value of k1", "value of k2"], ["value of k1", "53300"], ["53300", "53300"])
     peer.sock.close()
 
 
 @scene(in_a_place, replicas=0)
-async def test_an_id_that_is_asked_again_elsewhere_is_answered_by_its_own_servers_answer(one: World) -> None:
-    """The first client has left; both of the server's answers come together."""
-    await ready_client(one)
-    server = one.servers[0]
+async def test_an_id_that_is_reused_by_another_client_gets_the_answer_to_its_own_statement(gateway: World) -> None:
+    """The first client has left when the server sends both of its answers together."""
+    await ready_client(gateway)
+    server = gateway.servers[0]
     server.statements.clear()
     server.mode = "held"
-    first = await one.client()
+    first = await gateway.client()
     first.writer.write(pg.make_query(read_statement("first", ident="feed")).encode())
-    await one.until(lambda: len(server.statements) == 1)
+    await gateway.until(lambda: len(server.statements) == 1)
     first.writer.close()
     while True:
-        second = await one.client()
+        second = await gateway.client()
         second.writer.write(pg.make_query(read_statement("second", ident="feed")).encode())
         answer = asyncio.ensure_future(second.until_ready())
-        await one.until(lambda answer=answer: answer.done() or len(server.statements) > 1)  # type: ignore[misc]
+        await gateway.until(lambda answer=answer: answer.done() or len(server.statements) > 1)  # type: ignore[misc]
         if not answer.done():
             break
-        assert sqlstate(answer.result()) == "42710", "the close has not been seen yet"
+        assert sqlstate(answer.result()) == "42710", "the gateway has not noticed the close yet"
         second.writer.close()
     server.release.set()
     assert served_value(await answer) == b"value of second"
-    assert served_value(await second.ask(read_statement("third", ident="feed"))) == b"value of third", "and once"
+    assert served_value(await second.ask(read_statement("third", ident="feed"))) == b"value of third", "and only once"
     assert [text.split(b"'")[1] for text in server.statements] == [b"first", b"second", b"third"]
