--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -103,7 +103,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the connection is closed on both sides."""
+        """Whether the connection is closed."""
         return self.ending.state is State.CLOSED
 
     @property
