--- a/benchmarks/fleet/gate.py
+++ b/benchmarks/fleet/gate.py
@@ -18,7 +18,7 @@
 from oatlink.core.engine import Engine
 from oatlink.fleet.gate import AnyNews, Granted, Served
 from oatlink.lab.embedded import CLASSES, port_of, reserve
-from oatlink.native import code
+from oatlink.native import code_kind
 from oatlink.settings import load_text
 
 BLOCK = 100  # requests in one turn of an arm: short, so that both of a pair have the same neighbours
@@ -188,7 +188,7 @@
         + ("of the gateway's CPU: median run, least run",),
         rows,
     )
-    click.echo(f"{code()}; median of {blocks} pairs of {BLOCK} requests; load between the two parts {between}\n")
+    click.echo(f"{code_kind()}; median of {blocks} pairs of {BLOCK} requests; load between the two parts {between}\n")
     show(
         ("gateway process, 32 connections, depth 1", "CPU us a request, median", "runs"),
         [
--- a/oatlink/core/classify.py
+++ b/oatlink/core/classify.py
@@ -16,7 +16,7 @@
 
 from oatlink import interface as api
 from oatlink.core.commands import SLOTS, Kind, Spec, idempotency_key, slot_of
-from oatlink.settings.matching import fits
+from oatlink.settings.matching import matches
 from oatlink.settings.model import RequestClass, Settings
 
 DEFAULT_READ = RequestClass("default-read", "latest", "idempotent", 1_000, 5_000)
@@ -79,7 +79,7 @@
         for one in self.classes[:-3]:
             if (one.freshness == "write") is not writes or (one.effect == "keyed" and not keyed):
                 continue
-            if fits(one.match, name, text, user, client):
+            if matches(one.match, name, text, user, client):
                 return one
         return DEFAULT_WRITE if writes else DEFAULT_READ
 
--- a/oatlink/fleet/control/station.py
+++ b/oatlink/fleet/control/station.py
@@ -48,7 +48,7 @@
         """`incarnation` is above that of any process before under this name; `keeper`: this source's own."""
         self.name, self.keeper = fleet.node, keeper
         self.dropped: Counter[str] = Counter()
-        place = c.Place(fleet.node, fleet.own.address)
+        place = c.Place(fleet.node, fleet.own_node.address)
         sources = tuple(c.Place(one.name, one.address) for one in control.sources)
         self.sources = tuple(one.name for one in sources)
         self.source: Source | None = None
--- a/oatlink/fleet/limits/tenants.py
+++ b/oatlink/fleet/limits/tenants.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from oatlink.settings.fleet import Tenant
-from oatlink.settings.matching import fits
+from oatlink.settings.matching import matches
 
 REMEMBERED = 4_096  # decisions kept
 LONGEST_KEY = 256  # bytes. Threat: keys of megabytes, kept 4,096 times
@@ -42,6 +42,6 @@
     def _find(self, command: str, key: bytes, user: str, client: str) -> str:
         text = key.decode("utf-8", "surrogateescape")
         for one in self._tenants:
-            if fits(one.match, command, text, user, client):
+            if matches(one.match, command, text, user, client):
                 return one.name
         return ""
--- a/oatlink/fleet/shell/addresses.py
+++ b/oatlink/fleet/shell/addresses.py
@@ -27,7 +27,7 @@
     ) -> None:
         self._node, self._routes, self._most = fleet.node, fleet.routes, most
         self._greeted, self._left, self._counters = greeted, left, counters
-        self.listed = {one.name: self._routes.get(one.name, one.address) for one in fleet.listed}
+        self.listed = {one.name: self._routes.get(one.name, one.address) for one in fleet.named_nodes}
         del self.listed[fleet.node]
         self.known: dict[str, str] = {}  # the others; who was spoken to last is at the end
 
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -85,12 +85,14 @@
         try:
             self._transport.bind()
         except OSError as error:
-            self._note("fleet off", f"{self._fleet.own.address}: {error.strerror}; another process may be this node")
+            self._note(
+                "fleet off", f"{self._fleet.own_node.address}: {error.strerror}; another process may be this node"
+            )
             return
         if self._is_source:
             self._keeping.open()
             self._kept = ScopesKept(self._keeping.records)
-        keeper = self._keeping.keeper(self._seed) if self._fleet.own.keeper else None
+        keeper = self._keeping.keeper(self._seed) if self._fleet.own_node.keeper else None
         self._station = Station(self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper)
         self._restore(self._station)
         self._transport.start()
--- a/oatlink/fleet/shell/door.py
+++ b/oatlink/fleet/shell/door.py
@@ -15,7 +15,7 @@
 from oatlink.fleet.messages import VERSION
 from oatlink.fleet.shell.ear import Caller, Ear
 from oatlink.fleet.shell.inbound import Incoming
-from oatlink.settings.parts import address_fits
+from oatlink.settings.parts import is_address
 
 MOST_UNPROVED = 64
 MOST_A_PEER = 4
@@ -31,7 +31,7 @@
 def is_dialled(address: str) -> bool:
     """Whether a peer's word may be taken for a node's address."""
     fits = len(address) <= MOST_ADDRESS and address.isascii() and not address.startswith("unix:")
-    return fits and address_fits(address)
+    return fits and is_address(address)
 
 
 class Door:
--- a/oatlink/fleet/shell/node.py
+++ b/oatlink/fleet/shell/node.py
@@ -67,10 +67,12 @@
         try:
             self._transport.bind()
         except OSError as error:
-            self._note("fleet off", f"{self._fleet.own.address}: {error.strerror}; another process may be this node")
+            self._note(
+                "fleet off", f"{self._fleet.own_node.address}: {error.strerror}; another process may be this node"
+            )
             self._tell(Alone())
             return
-        if self._fleet.own.keeper:
+        if self._fleet.own_node.keeper:
             self._keeping.open()
         self._node = Node(
             self._fleet,
@@ -79,7 +81,7 @@
             self._incarnation,
             self._seed,
             now_us(),
-            self._keeping.keeper(self._seed) if self._fleet.own.keeper else None,
+            self._keeping.keeper(self._seed) if self._fleet.own_node.keeper else None,
         )
         self._transport.start()
         self._looked()
--- a/oatlink/fleet/shell/transport.py
+++ b/oatlink/fleet/shell/transport.py
@@ -55,7 +55,7 @@
         """Reads the keys. Raises `FleetError`."""
         self.counters: Counter[str] = Counter()
         self._node, self._most = fleet.node, fleet.most_bytes
-        self._address = fleet.own.address
+        self._address = fleet.own_node.address
         self._on_message, self._note = on_message, note
         self._addresses = Addresses(fleet, unlisted, self._greeted, self._retire, self.counters)
         self._on_fail, self._unlisted = on_fail, unlisted
--- a/oatlink/gateway/links/dialling.py
+++ b/oatlink/gateway/links/dialling.py
@@ -9,7 +9,7 @@
 from tornado.netutil import Resolver
 
 from oatlink.gateway.clock import Marks, Stream, patience
-from oatlink.settings.parts import address_fits
+from oatlink.settings.parts import is_address
 
 
 class DialError(Exception):
@@ -21,7 +21,7 @@
 
     `keepalive_s` above 0: the kernel asks an idle peer so often, and ends the connection after three silences.
     """
-    assert address_fits(address)
+    assert is_address(address)
     stream: Stream | None = None
     marks = marks or Marks()
     try:
--- a/oatlink/gateway/run.py
+++ b/oatlink/gateway/run.py
@@ -19,7 +19,7 @@
 from oatlink.gateway.metrics import serve
 from oatlink.gateway.notes import Notes
 from oatlink.gateway.server import Gateway
-from oatlink.native import code
+from oatlink.native import code_kind
 from oatlink.settings import Settings, SettingsError, load
 
 Prepare = Callable[[], Awaitable[Callable[[], None]]]
@@ -99,7 +99,7 @@
         await asyncio.sleep(0.005)
     if gateway.engine.without_primary:
         notes.note("ready without a primary", ", ".join(gateway.engine.without_primary))
-    notes.note("serving", f"{', '.join(settings.listen)}; {code()}")
+    notes.note("serving", f"{', '.join(settings.listen)}; {code_kind()}")
     ready()
     await stop.wait()
     if follower is not None:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -23,7 +23,7 @@
 from oatlink.gateway.notes import Notes
 from oatlink.gateway.reading import read
 from oatlink.gateway.recorder import Tape, start_engine, write_snapshot
-from oatlink.native import code
+from oatlink.native import code_kind
 from oatlink.protocols.resp import Limits, ProtocolError, error
 from oatlink.settings.model import Settings
 from oatlink.transport.ending import LINGER_S, Ending
@@ -80,7 +80,7 @@
         """Serve on bound sockets, with the roster of the settings; `admin` ones are for operators."""
         self._listeners = [(one, self._accept) for one in sockets]
         self._listeners += [(one, partial(self._accept, admin=True)) for one in admin or ()]
-        self.feed(m.Started(code()))
+        self.feed(m.Started(code_kind()))
         self.list(boxes_of(self.settings))
         for sock, accept in self._listeners:
             self._removers.append(add_accept_handler(sock, accept))
--- a/oatlink/lab/fleetsim/process.py
+++ b/oatlink/lab/fleetsim/process.py
@@ -58,7 +58,7 @@
             return
         fleet = world.fleet_of(self.name)
         keeper = None
-        if fleet.own.keeper:
+        if fleet.own_node.keeper:
             file, life = self.machine.disk.file, self.draw.getrandbits(40)
             kept = tuple(file.registers.values()) if file.standing is not None else ()
             keeper = Acceptor(self.name, fleet.keepers, kept, file.standing, life, False)
--- a/oatlink/native.py
+++ b/oatlink/native.py
@@ -8,7 +8,7 @@
 COMPILED, PLAIN = "compiled", "plain Python"
 
 
-def code() -> str:
+def code_kind() -> str:
     """`COMPILED` or `PLAIN`; both decide the same, byte for byte."""
     parts = (router, book, holds, state, engine, requests, sessions, resp)
     return PLAIN if any((one.__file__ or "").endswith(".py") for one in parts) else COMPILED
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -190,7 +190,7 @@
         match pg.startup(message):
             case pg.Startup():
                 self._started = True
-                self._reader.started()
+                self._reader.end_startup()
                 self.write(answers.GREETING)
             case pg.Cancel():
                 self.end(b"")
--- a/oatlink/protocols/pgwire.py
+++ b/oatlink/protocols/pgwire.py
@@ -104,7 +104,7 @@
         """Bytes received and not yet taken."""
         return self._buffer.pending
 
-    def started(self) -> None:
+    def end_startup(self) -> None:
         """A StartupMessage was taken: what follows has a first byte."""
         self._startup = False
 
--- a/oatlink/settings/fleet.py
+++ b/oatlink/settings/fleet.py
@@ -24,7 +24,7 @@
 import xxhash
 from msgspec import Meta
 
-from oatlink.settings.parts import Match, Name, Part, Positive, address_fits
+from oatlink.settings.parts import Match, Name, Part, Positive, is_address
 
 MOST_NODES = 4_096
 MOST_SCOPE = 64  # bytes of a scope's name (`fleet.messages.control`, which settings do not import)
@@ -105,7 +105,7 @@
     control: Control | None = None
 
     @property
-    def listed(self) -> tuple[FleetNode, ...]:
+    def named_nodes(self) -> tuple[FleetNode, ...]:
         """All nodes that the settings name: with `control` its sources, then those of `nodes` that are none."""
         if self.control is None:
             return self.nodes
@@ -115,12 +115,12 @@
     @property
     def keepers(self) -> tuple[str, ...]:
         """The nodes that keep registers, in the order of the list."""
-        return tuple(one.name for one in self.listed if one.keeper)
+        return tuple(one.name for one in self.named_nodes if one.keeper)
 
     @property
-    def own(self) -> FleetNode:
+    def own_node(self) -> FleetNode:
         """The line of the node itself."""
-        return next(one for one in self.listed if one.name == self.node)
+        return next(one for one in self.named_nodes if one.name == self.node)
 
 
 def fleet_hash(fleet: Fleet) -> str:
@@ -143,13 +143,13 @@
         if one.name in names:
             yield f"{path}.name: expected a name of its own, {one.name!r} is also fleet.nodes[{names[one.name]}]"
         names[one.name] = at
-        if one.address.startswith("unix:") or not address_fits(one.address):
+        if one.address.startswith("unix:") or not is_address(one.address):
             yield f"{path}.address: expected host:port, got {one.address!r}"
         if one.address in addresses:
             yield f"{path}.address: expected an address of its own, it is also fleet.nodes[{addresses[one.address]}]"
         addresses[one.address] = at
     for name, address in fleet.routes.items():
-        if (name not in names and fleet.control is None) or address.startswith("unix:") or not address_fits(address):
+        if (name not in names and fleet.control is None) or address.startswith("unix:") or not is_address(address):
             yield f"fleet.routes: expected host:port by a name in fleet.nodes, got {name!r}: {address!r}"
     if fleet.node not in names:
         yield f"fleet.node: expected a name in fleet.nodes, got {fleet.node!r}"
@@ -179,7 +179,7 @@
         if one.name in names:
             yield f"{path}.name: expected a name of its own, got {one.name!r} again"
         names.add(one.name)
-        if one.address.startswith("unix:") or not address_fits(one.address):
+        if one.address.startswith("unix:") or not is_address(one.address):
             yield f"{path}.address: expected host:port, got {one.address!r}"
         if addresses.setdefault(one.address, one.name) != one.name:
             yield f"{path}.address: expected an address of its own, it is also that of {addresses[one.address]!r}"
--- a/oatlink/settings/matching.py
+++ b/oatlink/settings/matching.py
@@ -6,7 +6,7 @@
 from oatlink.settings.parts import Match
 
 
-def fits(match: Match, command: str, key: str, user: str, client: str) -> bool:
+def matches(match: Match, command: str, key: str, user: str, client: str) -> bool:
     """Whether all conditions that are given hold. `command` is in small letters, `key` the first one or empty."""
     if match.commands and command not in _lowered(match.commands):
         return False
--- a/oatlink/settings/model.py
+++ b/oatlink/settings/model.py
@@ -7,7 +7,7 @@
 
 from oatlink.core.commands import SLOTS
 from oatlink.settings.fleet import Fleet, check_fleet
-from oatlink.settings.parts import Match, Name, NotNegative, Part, Positive, Share, address_fits
+from oatlink.settings.parts import Match, Name, NotNegative, Part, Positive, Share, is_address
 
 LOOPBACK = ("127.", "[::1]", "localhost:", "unix:")
 
@@ -154,12 +154,12 @@
     if not settings.listen:
         yield "listen: expected at least one address"
     for at, address in enumerate(settings.listen):
-        if not address_fits(address):
+        if not is_address(address):
             yield f"listen[{at}]: expected host:port or unix:PATH, got {address!r}"
-    if settings.metrics_listen and not address_fits(settings.metrics_listen):
+    if settings.metrics_listen and not is_address(settings.metrics_listen):
         yield f"metrics_listen: expected host:port, got {settings.metrics_listen!r}"
     if settings.admin_listen:
-        if not address_fits(settings.admin_listen):
+        if not is_address(settings.admin_listen):
             yield f"admin_listen: expected host:port or unix:PATH, got {settings.admin_listen!r}"
         elif not settings.admin_beyond_loopback and not settings.admin_listen.startswith(LOOPBACK):
             yield "admin_listen: expected an address of loopback, or admin_beyond_loopback: true"
@@ -196,7 +196,7 @@
             ways = [("address", member.address)]
             ways += [(f"paths[{way}].address", one.address) for way, one in enumerate(member.paths)]
             for part, address in ways:
-                if not address_fits(address):
+                if not is_address(address):
                     yield f"{where}.{part}: expected host:port or unix:PATH, got {address!r}"
                 if address in addresses:
                     yield f"{where}.{part}: expected an address of its own, it is also {addresses[address]}"
--- a/oatlink/settings/parts.py
+++ b/oatlink/settings/parts.py
@@ -24,7 +24,7 @@
     client_names: tuple[str, ...] = ()
 
 
-def address_fits(text: str) -> bool:
+def is_address(text: str) -> bool:
     """Whether a text is host:port, with an IPv6 host in brackets, or unix:PATH."""
     if text.startswith("unix:"):
         return len(text) > 5
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -78,10 +78,10 @@
 
 def test_with_control_a_file_names_the_sources_and_its_own_node() -> None:
     one = part()
-    assert one.own.name == "a" and one.keepers == ("s0", "s1", "s2")
-    assert [each.name for each in one.listed] == ["s0", "s1", "s2", "a"]
+    assert one.own_node.name == "a" and one.keepers == ("s0", "s1", "s2")
+    assert [each.name for each in one.named_nodes] == ["s0", "s1", "s2", "a"]
     source = part("{ node: 's1', nodes: [{ name: 's1', address: '127.0.0.1:7011', keeper: true }] }")
-    assert source.own.keeper and [each.name for each in source.listed] == ["s0", "s1", "s2"]
+    assert source.own_node.keeper and [each.name for each in source.named_nodes] == ["s0", "s1", "s2"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -26,7 +26,7 @@
 from oatlink.core.explain import told
 from oatlink.core.recording import Recording, replay
 from oatlink.core.snapshot import restore, take
-print(native.code())
+print(native.code_kind())
 for file in sys.argv[1:]:
     data = open(file, "rb").read()
     recording = Recording(data)
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -64,7 +64,7 @@
     reader = pg.frontend_reader()
     reader.feed(pg.make_startup({"user": "u"}).encode())
     assert pg.startup(reader.take() or pg.Message(b"", b"")) == pg.Startup(pg.PROTOCOL, {"user": "u"})
-    reader.started()
+    reader.end_startup()
     assert in_pieces(reader, b"".join(one.encode() for one in messages), cuts) == messages
 
 
