--- a/oatlink/protocols/buffer.py
+++ b/oatlink/protocols/buffer.py
@@ -1,17 +1,20 @@
-"""What all protocols here share: bytes received and not yet taken, what a peer may announce, its mistakes. No I/O."""
+"""Shared by all protocols: the receive buffer, the limits on what a peer may announce, and protocol errors. No I/O."""
 
 from dataclasses import dataclass
 
-BIG = 65_536  # bytes from which a stretch is copied once only
+COPY_ONCE_BYTES = 65_536  # from this size on, a range is copied through a memoryview, and so only once
 
 
 class ProtocolError(Exception):
-    """Bytes that the specification does not allow; the text is what a server answers."""
+    """Bytes that the specification does not allow; the text is what a server sends to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a peer may announce. Bytes, items and levels; inline commands and simple lines share a limit."""
+    """What a peer may announce, in bytes, items and nesting levels.
+
+    `inline_bytes` limits inline commands and simple lines alike.
+    """
 
     bulk_bytes: int = 64 * 1024 * 1024
     message_bytes: int = 128 * 1024 * 1024
@@ -24,32 +27,32 @@
 
 
 class Buffer:
-    """Bytes received and not yet taken."""
+    """Bytes received and not yet consumed."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.data = bytearray()
-        self.at = 0  # start of what is not yet taken
+        self.position = 0  # index of the first byte that is not yet consumed
 
     def feed(self, data: bytes) -> None:
-        """Add bytes; what was taken is let go first."""
-        if self.at:
-            if self.at == len(self.data):
+        """Append bytes, after releasing consumed ones where that is cheap or they are many."""
+        if self.position:
+            if self.position == len(self.data):
                 self.data.clear()
-                self.at = 0
-            elif self.at > BIG:
-                del self.data[: self.at]
-                self.at = 0
+                self.position = 0
+            elif self.position > COPY_ONCE_BYTES:
+                del self.data[: self.position]
+                self.position = 0
         self.data += data
 
     @property
     def pending(self) -> int:
-        """Bytes held."""
-        return len(self.data) - self.at
+        """The number of bytes not yet consumed."""
+        return len(self.data) - self.position
 
-    def cut(self, start: int, end: int) -> bytes:
-        """A copy of a stretch; a large one is copied once only."""
-        if end - start < BIG:
+    def copy(self, start: int, end: int) -> bytes:
+        """Return a copy of a range of `data`; a large one is copied only once."""
+        if end - start < COPY_ONCE_BYTES:
             return bytes(self.data[start:end])
         with memoryview(self.data) as view:
             return bytes(view[start:end])
--- a/oatlink/protocols/resp.py
+++ b/oatlink/protocols/resp.py
@@ -1,11 +1,11 @@
 """RESP2 and RESP3 without I/O: feed bytes, take commands or replies.
 
-Source: the Redis serialization protocol specification (redis.io, "RESP"), with the limits and the words of the
-reference server where the specification is silent. What may live here: framing, limits, encoding. What a
-command means lives in `oatlink.core.commands`.
+Source: the Redis serialization protocol specification (redis.io, "RESP"); where it is silent, the limits and error
+texts are those of the reference server. This module contains framing, limits and encoding only. The meaning of
+commands is in `oatlink.core.commands`.
 
-Both readers are incremental: any split of the bytes gives the same messages. A limit is tested on the header
-that announces a length, before memory is taken for it; a header itself is at most `MAX_HEADER` bytes.
+Both readers are incremental: however the bytes are split, the messages are the same. Limits are checked on the header
+that announces a length, before memory is allocated for it; a header is at most `MAX_HEADER_BYTES` long.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,7 +17,7 @@
 from oatlink.protocols.buffer import ProtocolError as ProtocolError
 
 CRLF = b"\r\n"
-MAX_HEADER = 64  # bytes of a length line: a 64 bit number and its sign are 20
+MAX_HEADER_BYTES = 64  # a length line; a 64-bit number with its sign needs 20
 INT64 = 2**63
 
 
@@ -33,33 +33,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Error:
-    """`-`, or `!` when `blob`: an error; its first word is the prefix."""
+    """`-`, or `!` if `blob` is set: an error; its first word is the prefix, such as `ERR`."""
 
     text: bytes
     blob: bool = False
 
     @property
     def prefix(self) -> bytes:
-        """The first word."""
+        """The first word of the text."""
         return self.text.split(b" ", 1)[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Null:
-    """`_`, or RESP2's null bulk and null array."""
+    """`_`, or one of RESP2's nulls: `kind` is `$` for a null bulk string and `*` for a null array."""
 
     kind: bytes = b"_"
 
 
 @dataclass(frozen=True, slots=True)
 class Double:
-    """`,`: the text of a floating point number, kept as sent so that nothing is lost."""
+    """`,`: a floating-point number as the text that was sent, so that no precision is lost."""
 
     text: bytes
 
     @property
     def value(self) -> float:
-        """The number."""
+        """The parsed number."""
         return float(self.text)
 
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verbatim:
-    """`=`: text with a three letter format."""
+    """`=`: text with a three-letter format."""
 
     form: bytes
     data: bytes
@@ -80,41 +80,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Array:
-    """`*`."""
+    """`*`: an array."""
 
     items: tuple["Value", ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SetOf:
-    """`~`."""
+    """`~`: a set; its items keep the order in which they were sent."""
 
     items: tuple["Value", ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """`>`: out of band data."""
+    """`>`: out-of-band data."""
 
     items: tuple["Value", ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Map:
-    """`%`: pairs in order."""
+    """`%`: a map, as pairs in the order in which they were sent."""
 
     pairs: tuple[tuple["Value", "Value"], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Attribute:
-    """`|`: pairs about the value that follows."""
+    """`|`: metadata, as pairs, and the value that it describes."""
 
     pairs: tuple[tuple["Value", "Value"], ...]
     value: "Value"
 
 
-# int is `:`, bytes is `$`, bool is `#`
+# An int is sent as `:`, bytes as `$` and a bool as `#`.
 Value = (
     int | bytes | bool | Simple | Error | Null | Double | BigNumber | Verbatim | Array | SetOf | Push | Map | Attribute
 )
@@ -126,29 +126,29 @@
 
 
 def encode_command(args: Sequence[bytes]) -> bytes:
-    """A command as an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     parts = [b"*%d\r\n" % len(args)]
-    parts += [b"$%d\r\n%b\r\n" % (len(one), one) for one in args]
+    parts += [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
     return b"".join(parts)
 
 
 def command(*words: str | bytes | int) -> bytes:
-    """A command from words of any plain kind."""
-    return encode_command([one if isinstance(one, bytes) else str(one).encode() for one in words])
+    """Encode a command whose words are bytes, text or integers."""
+    return encode_command([word if isinstance(word, bytes) else str(word).encode() for word in words])
 
 
 def error(text: str) -> bytes:
-    """A simple error. CR and LF, which would end it early, become blanks."""
+    """Encode a simple error. CR and LF would end it early and become spaces."""
     return b"-" + text.replace("\r", " ").replace("\n", " ").encode("utf-8", "replace") + CRLF
 
 
 def bulk(data: bytes) -> bytes:
-    """A bulk string."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
 
 
 def encode(value: Value, protocol: int = 3) -> bytes:
-    """A value as bytes. With `protocol` 2, RESP3 types become those that RESP2 clients are sent for them."""
+    """Encode a value. With `protocol` 2, RESP3 types are replaced by what servers send to RESP2 clients instead."""
     out: list[bytes] = []
     _encode(value, protocol, out)
     return b"".join(out)
@@ -167,7 +167,7 @@
         blob = value.blob and protocol >= 3
         out.append(b"!%d\r\n%b\r\n" % (len(value.text), value.text) if blob else b"-%b\r\n" % value.text)
     elif isinstance(value, Null):
-        # RESP3 has one null; its clients need not know the two of RESP2.
+        # RESP3 has a single null; its clients need not understand the two nulls of RESP2.
         out.append(b"_\r\n" if protocol >= 3 else b"*-1\r\n" if value.kind == b"*" else b"$-1\r\n")
     elif isinstance(value, Double):
         out.append(b",%b\r\n" % value.text if protocol >= 3 else bulk(value.text))
@@ -175,13 +175,13 @@
         text = b"%d" % value.value
         out.append(b"(%b\r\n" % text if protocol >= 3 else bulk(text))
     elif isinstance(value, Verbatim):
-        whole = b"%b:%b" % (value.form, value.data)
-        out.append(b"=%d\r\n%b\r\n" % (len(whole), whole) if protocol >= 3 else bulk(value.data))
+        text = b"%b:%b" % (value.form, value.data)
+        out.append(b"=%d\r\n%b\r\n" % (len(text), text) if protocol >= 3 else bulk(value.data))
     elif isinstance(value, Array | SetOf | Push):
-        mark = {Array: b"*", SetOf: b"~", Push: b">"}[type(value)] if protocol >= 3 else b"*"
-        out.append(b"%b%d\r\n" % (mark, len(value.items)))
-        for one in value.items:
-            _encode(one, protocol, out)
+        type_byte = {Array: b"*", SetOf: b"~", Push: b">"}[type(value)] if protocol >= 3 else b"*"
+        out.append(b"%b%d\r\n" % (type_byte, len(value.items)))
+        for item in value.items:
+            _encode(item, protocol, out)
     elif isinstance(value, Map):
         out.append(b"%%%d\r\n" % len(value.pairs) if protocol >= 3 else b"*%d\r\n" % (2 * len(value.pairs)))
         _encode_pairs(value.pairs, protocol, out)
@@ -201,133 +201,134 @@
 # ---- Reading ----
 
 
-def _number(text: bytes, what: str) -> int:
-    """A decimal length or integer as the specification writes it: a sign, digits, nothing else."""
+def _parse_integer(text: bytes, problem: str) -> int:
+    """Parse a decimal integer as the specification defines it: an optional sign and digits, nothing else."""
     digits = text[1:] if text[:1] in (b"-", b"+") else text
     if not digits.isdigit() or len(digits) > 19:
-        raise ProtocolError(f"ERR Protocol error: {what}")
+        raise ProtocolError(f"ERR Protocol error: {problem}")
     return int(text)
 
 
 class CommandReader:
-    """A server's side: commands as arrays of bulk strings, or inline.
+    """The server side: reads commands, sent as arrays of bulk strings or inline.
 
-    `take` raises `ProtocolError` once and for ever: after it the connection can only be closed.
+    After `take` has raised `ProtocolError` the reader cannot continue; the connection must be closed.
     """
 
     def __init__(self, limits: Limits = DEFAULT_LIMITS) -> None:
         self._buffer = Buffer(limits)
         self._limits = limits
-        self._left = 0  # arguments still to come of the array that was begun
-        self._bulk = -1  # length of the bulk string that was begun
+        self._arguments_left = 0  # arguments of the current array that are still to come
+        self._bulk_length = -1  # length of the current bulk string; -1: its header is still to come
         self._args: list[bytes] = []
-        self._bytes = 0
+        self._args_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Add received bytes."""
         self._buffer.feed(data)
 
     @property
     def pending(self) -> int:
-        """Bytes held for a command that is not yet whole."""
-        return self._buffer.pending + self._bytes
+        """The number of bytes buffered for a command that is not yet complete."""
+        return self._buffer.pending + self._args_bytes
 
     def take(self) -> list[bytes] | None:
-        """The next whole command, or None until more bytes have come."""
+        """Return the next complete command, or None if more bytes are needed."""
         buffer = self._buffer
-        data, at = buffer.data, buffer.at
+        data, at = buffer.data, buffer.position
         size = len(data)
         while True:
-            if self._left == 0:
+            if self._arguments_left == 0:
                 if at >= size:
-                    buffer.at = at
+                    buffer.position = at
                     return None
                 if data[at] != 0x2A:  # '*'
-                    buffer.at = at
-                    words = self._inline()
+                    buffer.position = at
+                    words = self._take_inline()
                     if words is None or words:
                         return words
-                    at = buffer.at
+                    at = buffer.position
                     continue
-                end = data.find(CRLF, at, at + MAX_HEADER)
+                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
                 if end < 0:
-                    buffer.at = at
-                    self._open_header(at, "too big mbulk count string")
+                    buffer.position = at
+                    self._check_header_length(at, "too big mbulk count string")
                     return None
-                count = _number(bytes(data[at + 1 : end]), "invalid multibulk length")
+                count = _parse_integer(bytes(data[at + 1 : end]), "invalid multibulk length")
                 if count > self._limits.items:
                     raise ProtocolError("ERR Protocol error: invalid multibulk length")
                 at = end + 2
                 if count <= 0:
                     continue
-                self._left, self._args, self._bytes = count, [], 0
-            if self._bulk < 0:
-                end = data.find(CRLF, at, at + MAX_HEADER)
+                self._arguments_left, self._args, self._args_bytes = count, [], 0
+            if self._bulk_length < 0:
+                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
                 if end < 0:
-                    buffer.at = at
+                    buffer.position = at
                     if at < size and data[at] != 0x24:
-                        raise ProtocolError(f"ERR Protocol error: expected '$', got '{_shown(data[at])}'")
-                    self._open_header(at, "too big bulk count string")
+                        raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[at])}'")
+                    self._check_header_length(at, "too big bulk count string")
                     return None
                 if data[at] != 0x24:  # '$'
-                    raise ProtocolError(f"ERR Protocol error: expected '$', got '{_shown(data[at])}'")
-                length = _number(bytes(data[at + 1 : end]), "invalid bulk length")
+                    raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[at])}'")
+                length = _parse_integer(bytes(data[at + 1 : end]), "invalid bulk length")
                 if length < 0 or length > self._limits.bulk_bytes:
                     raise ProtocolError("ERR Protocol error: invalid bulk length")
-                if self._bytes + length > self._limits.message_bytes:
+                if self._args_bytes + length > self._limits.message_bytes:
                     raise ProtocolError("ERR Protocol error: too big request")
-                self._bulk, at = length, end + 2
-            end = at + self._bulk
+                self._bulk_length, at = length, end + 2
+            end = at + self._bulk_length
             if size < end + 2:
-                buffer.at = at
+                buffer.position = at
                 return None
             if data[end] != 0x0D or data[end + 1] != 0x0A:
                 raise ProtocolError("ERR Protocol error: expected CRLF after a bulk string")
-            self._args.append(buffer.cut(at, end))
-            self._bytes += self._bulk
-            self._bulk, at = -1, end + 2
-            self._left -= 1
-            if self._left == 0:
-                buffer.at = at
-                args, self._args, self._bytes = self._args, [], 0
+            self._args.append(buffer.copy(at, end))
+            self._args_bytes += self._bulk_length
+            self._bulk_length, at = -1, end + 2
+            self._arguments_left -= 1
+            if self._arguments_left == 0:
+                buffer.position = at
+                args, self._args, self._args_bytes = self._args, [], 0
                 return args
 
-    def _open_header(self, at: int, what: str) -> None:
-        if self._buffer.pending >= MAX_HEADER and len(self._buffer.data) - at >= MAX_HEADER:
-            raise ProtocolError(f"ERR Protocol error: {what}")
+    def _check_header_length(self, at: int, problem: str) -> None:
+        """Refuse a header at `at` whose end has not been found within `MAX_HEADER_BYTES`."""
+        if self._buffer.pending >= MAX_HEADER_BYTES and len(self._buffer.data) - at >= MAX_HEADER_BYTES:
+            raise ProtocolError(f"ERR Protocol error: {problem}")
 
-    def _inline(self) -> list[bytes] | None:
-        """An inline command: words as a person types them; an empty line gives no words."""
+    def _take_inline(self) -> list[bytes] | None:
+        """Return the words of an inline command, as typed by a person; an empty line gives an empty list."""
         buffer = self._buffer
-        end = buffer.data.find(b"\n", buffer.at, buffer.at + self._limits.inline_bytes)
+        end = buffer.data.find(b"\n", buffer.position, buffer.position + self._limits.inline_bytes)
         if end < 0:
             if buffer.pending >= self._limits.inline_bytes:
                 raise ProtocolError("ERR Protocol error: too big inline request")
             return None
-        line = buffer.cut(buffer.at, end)
-        buffer.at = end + 1
+        line = buffer.copy(buffer.position, end)
+        buffer.position = end + 1
         return split_inline(line[:-1] if line.endswith(b"\r") else line)
 
 
-def _shown(byte: int) -> str:
+def _printable(byte: int) -> str:
     return chr(byte) if 0x20 <= byte < 0x7F else f"\\x{byte:02x}"
 
 
-_ESCAPES = {0x6E: 10, 0x72: 13, 0x74: 9, 0x62: 8, 0x61: 7}
-_BLANK = b" \t\n\r\v\f\0"
+_ESCAPES = {0x6E: 10, 0x72: 13, 0x74: 9, 0x62: 8, 0x61: 7}  # \n \r \t \b \a
+_WHITESPACE = b" \t\n\r\v\f\0"
 
 
 def split_inline(line: bytes) -> list[bytes]:
-    """The words of an inline command; double quotes know escapes, single ones only the escaped quote."""
+    """Split an inline command into words. Escapes are read in double quotes; in single quotes only an escaped quote."""
     words: list[bytes] = []
     at, size = 0, len(line)
     while True:
-        while at < size and line[at] in _BLANK:
+        while at < size and line[at] in _WHITESPACE:
             at += 1
         if at >= size:
             return words
         word = bytearray()
-        while at < size and line[at] not in _BLANK:
+        while at < size and line[at] not in _WHITESPACE:
             quote = line[at]
             if quote not in (0x22, 0x27):
                 word.append(quote)
@@ -340,7 +341,7 @@
                 byte = line[at]
                 if byte == quote:
                     at += 1
-                    if at < size and line[at] not in _BLANK:
+                    if at < size and line[at] not in _WHITESPACE:
                         raise ProtocolError("ERR Protocol error: unbalanced quotes in request")
                     break
                 if byte == 0x5C and quote == 0x22 and at + 1 < size:
@@ -361,78 +362,80 @@
         words.append(bytes(word))
 
 
-_LINES = b"+-:_#,("
-_BLOBS = b"$!="
-_AGGREGATES = {0x2A: 1, 0x7E: 1, 0x3E: 1, 0x25: 2, 0x7C: 2}  # * ~ > % |
+_LINE_TYPES = b"+-:_#,("
+_BULK_TYPES = b"$!="
+_VALUES_PER_ITEM = {0x2A: 1, 0x7E: 1, 0x3E: 1, 0x25: 2, 0x7C: 2}  # of the aggregate types * ~ > % |
 
 
 class ReplyReader:
-    """A client's side: whole replies as the bytes they came in, typed only on demand by `decode`.
+    """The client side: returns complete replies as the bytes received, which `decode` turns into values on demand.
 
-    A gateway passes most replies on unread; finding where one ends is all that it needs. `take` raises
-    `ProtocolError` for bytes outside the specification and for streamed types, which no server sends unasked.
+    A gateway forwards most replies without decoding them, and needs only to find where each one ends. `take` raises
+    `ProtocolError` for bytes outside the specification and for streamed types, which no server sends unless asked to.
     """
 
     def __init__(self, limits: Limits = DEFAULT_LIMITS) -> None:
         self._buffer = Buffer(limits)
         self._limits = limits
-        self._scan = 0  # offset from the frame's start up to which it is known to be well formed
-        self._open: list[list[int]] = []  # of each open aggregate: values still to come, 1 if an attribute
+        self._scanned_bytes = 0  # length of the part of the current reply that is known to be well formed
+        # For each aggregate that is not yet complete: the count of values still to come, and 1 if it is an attribute.
+        self._open_aggregates: list[list[int]] = []
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Add received bytes."""
         self._buffer.feed(data)
 
     @property
     def pending(self) -> int:
-        """Bytes held for a reply that is not yet whole."""
+        """The number of bytes buffered for a reply that is not yet complete."""
         return self._buffer.pending
 
     def take(self) -> bytes | None:
-        """The next whole reply, attributes included, or None until more bytes have come."""
+        """Return the next complete reply with its attributes, or None if more bytes are needed."""
         buffer = self._buffer
-        start = buffer.at
-        if not self._whole():
+        start = buffer.position
+        if not self._scan_reply():
             if buffer.pending > self._limits.message_bytes:
                 raise ProtocolError("ERR Protocol error: too big reply")
             return None
-        end = start + self._scan
-        self._scan = 0
-        buffer.at = end
-        return buffer.cut(start, end)
-
-    def _whole(self) -> bool:
-        buffer, limits, stack = self._buffer, self._limits, self._open
-        data, start = buffer.data, buffer.at
+        end = start + self._scanned_bytes
+        self._scanned_bytes = 0
+        buffer.position = end
+        return buffer.copy(start, end)
+
+    def _scan_reply(self) -> bool:
+        """Advance over the bytes received; return whether a complete reply was reached."""
+        buffer, limits, stack = self._buffer, self._limits, self._open_aggregates
+        data, start = buffer.data, buffer.position
         size = len(data)
         while True:
-            at = start + self._scan
+            at = start + self._scanned_bytes
             if at >= size:
                 return False
             kind = data[at]
-            if kind in _LINES:
+            if kind in _LINE_TYPES:
                 end = data.find(CRLF, at, at + limits.inline_bytes)
                 if end < 0:
                     if size - at >= limits.inline_bytes:
                         raise ProtocolError("ERR Protocol error: too long line")
                     return False
                 _check_line(kind, data, at + 1, end)
-                self._scan = end + 2 - start
-            elif kind in _BLOBS or kind in _AGGREGATES:
-                end = data.find(CRLF, at, at + MAX_HEADER)
+                self._scanned_bytes = end + 2 - start
+            elif kind in _BULK_TYPES or kind in _VALUES_PER_ITEM:
+                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
                 if end < 0:
-                    if size - at >= MAX_HEADER:
+                    if size - at >= MAX_HEADER_BYTES:
                         raise ProtocolError("ERR Protocol error: too long length")
                     return False
                 text = bytes(data[at + 1 : end])
                 if text == b"?":
                     raise ProtocolError("ERR Protocol error: streamed types are not taken")
-                length = _number(text, "invalid length")
-                if kind in _BLOBS:
+                length = _parse_integer(text, "invalid length")
+                if kind in _BULK_TYPES:
                     if length > limits.bulk_bytes or length < (-1 if kind == 0x24 else 0):
                         raise ProtocolError("ERR Protocol error: invalid bulk length")
                     if length < 0:
-                        self._scan = end + 2 - start
+                        self._scanned_bytes = end + 2 - start
                     else:
                         stop = end + 2 + length
                         if stop + 2 - start > limits.message_bytes:
@@ -443,37 +446,37 @@
                             raise ProtocolError("ERR Protocol error: expected CRLF after a bulk string")
                         if kind == 0x3D and (length < 4 or data[end + 5] != 0x3A):
                             raise ProtocolError("ERR Protocol error: invalid verbatim string")
-                        self._scan = stop + 2 - start
+                        self._scanned_bytes = stop + 2 - start
                 else:
                     if length > limits.items or length < (-1 if kind == 0x2A else 0):
                         raise ProtocolError("ERR Protocol error: invalid multibulk length")
                     if kind == 0x3E and stack:
                         raise ProtocolError("ERR Protocol error: a push inside another value")
-                    self._scan = end + 2 - start
-                    count = length * _AGGREGATES[kind]
+                    self._scanned_bytes = end + 2 - start
+                    count = length * _VALUES_PER_ITEM[kind]
                     if count > 0:
                         if len(stack) >= limits.depth:
                             raise ProtocolError("ERR Protocol error: nested too deep")
                         stack.append([count, kind == 0x7C])
                         continue
                     if kind == 0x7C:
-                        continue  # an empty attribute; its value follows
+                        continue  # an empty attribute; the value that it describes follows
             else:
-                raise ProtocolError(f"ERR Protocol error: unknown type '{_shown(kind)}'")
-            # One value has ended, and with it perhaps those that hold it.
+                raise ProtocolError(f"ERR Protocol error: unknown type '{_printable(kind)}'")
+            # A value is complete, and with it possibly the aggregates that contain it.
             while stack:
                 stack[-1][0] -= 1
                 if stack[-1][0] > 0:
                     break
                 if stack.pop()[1]:
-                    break  # an attribute has ended; the value that it is about follows
+                    break  # an attribute is complete; the value that it describes follows
             else:
                 return True
 
 
 def _check_line(kind: int, data: bytearray, start: int, end: int) -> None:
     if kind == 0x3A:
-        _number(bytes(data[start:end]), "invalid integer")
+        _parse_integer(bytes(data[start:end]), "invalid integer")
     elif kind == 0x5F:
         if start != end:
             raise ProtocolError("ERR Protocol error: invalid null")
@@ -494,7 +497,7 @@
 
 
 def decode(raw: bytes) -> Value:
-    """The value of one whole reply as `ReplyReader.take` gave it."""
+    """Decode one complete reply as returned by `ReplyReader.take`."""
     value, end = _decode(raw, 0)
     if end != len(raw):
         raise ProtocolError("ERR Protocol error: more than one reply")
@@ -519,7 +522,7 @@
     if kind == 0x28:
         return BigNumber(int(text)), after
     length = int(text)
-    if kind in _BLOBS:
+    if kind in _BULK_TYPES:
         if length < 0:
             return Null(b"$"), after
         data, after = raw[after : after + length], after + length + 2
@@ -529,7 +532,7 @@
     if length < 0:
         return Null(b"*"), after
     items: list[Value] = []
-    for _ in range(length * _AGGREGATES[kind]):
+    for _ in range(length * _VALUES_PER_ITEM[kind]):
         value, after = _decode(raw, after)
         items.append(value)
     if kind in (0x25, 0x7C):
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL protocol: any split, any message, any damage; what the documentation's own layouts look like."""
+"""The PostgreSQL codec: any split of the bytes, round trips, damaged messages, and layouts from the documentation."""
 
 import random
 import struct
@@ -11,7 +11,7 @@
 from oatlink.protocols import pgwire as pg
 from oatlink.protocols.buffer import Limits, ProtocolError
 
-NAMES = st.binary(max_size=20).filter(lambda one: b"\0" not in one)
+NAMES = st.binary(max_size=20).filter(lambda name: b"\0" not in name)
 TEXTS = st.text(st.characters(exclude_characters="\0", exclude_categories=["Cs"]), max_size=20)
 VALUES = st.lists(st.none() | st.binary(max_size=40), max_size=6).map(tuple)
 OIDS = st.lists(st.integers(0, 2**32 - 1), max_size=5).map(tuple)
@@ -27,17 +27,17 @@
     return pg.Bind(draw(NAMES), draw(NAMES), formats, values, (0,) * draw(st.integers(0, 3)))
 
 
-PARSES = st.builds(pg.Parse, NAMES, NAMES, OIDS)
-FRONT = st.one_of(
+PARSE_MESSAGES = st.builds(pg.Parse, NAMES, NAMES, OIDS)
+FRONTEND_MESSAGES = st.one_of(
     NAMES.map(pg.make_query),
-    PARSES.map(pg.make_parse),
+    PARSE_MESSAGES.map(pg.make_parse),
     binds().map(pg.make_bind),
     st.builds(pg.make_target, st.sampled_from([b"D", b"C"]), st.sampled_from([b"S", b"P"]), NAMES),
     st.builds(pg.make_execute, NAMES, st.integers(0, 2**31 - 1)),
     st.sampled_from([pg.Message(kind, b"") for kind in (b"S", b"H", b"X", b"c")]),
     st.binary(max_size=100).map(lambda data: pg.Message(b"d", data)),
 )
-BACK = st.one_of(
+BACKEND_MESSAGES = st.one_of(
     st.builds(pg.make_authentication, st.integers(0, 12), st.binary(max_size=20)),
     st.builds(pg.make_error, st.sampled_from(["42601", "25006", "57P01"]), TEXTS),
     VALUES.map(pg.make_row),
@@ -48,33 +48,34 @@
 )
 
 
-def in_pieces(reader: pg.Reader, data: bytes, cuts: list[int]) -> list[pg.Message]:
-    found: list[pg.Message] = []
-    edges = sorted({0, len(data), *(one % (len(data) + 1) for one in cuts)})
+def read_in_pieces(reader: pg.Reader, data: bytes, splits: list[int]) -> list[pg.Message]:
+    """Feed the bytes in pieces; `splits` are positions modulo the length of the data."""
+    messages: list[pg.Message] = []
+    edges = sorted({0, len(data), *(split % (len(data) + 1) for split in splits)})
     for start, end in zip(edges, edges[1:], strict=False):
         reader.feed(data[start:end])
         while (message := reader.take()) is not None:
-            found.append(message)
+            messages.append(message)
     assert reader.pending == 0
-    return found
+    return messages
 
 
-@given(st.lists(FRONT, max_size=8), st.lists(st.integers(0, 5_000), max_size=12))
-def test_what_clients_send_is_the_same_at_any_split(messages: list[pg.Message], cuts: list[int]) -> None:
+@given(st.lists(FRONTEND_MESSAGES, max_size=8), st.lists(st.integers(0, 5_000), max_size=12))
+def test_frontend_messages_are_the_same_at_any_split(messages: list[pg.Message], splits: list[int]) -> None:
     reader = pg.frontend_reader()
     reader.feed(pg.make_startup({"user": "u"}).encode())
     assert pg.startup(reader.take() or pg.Message(b"", b"")) == pg.Startup(pg.PROTOCOL, {"user": "u"})
     reader.end_startup()
-    assert in_pieces(reader, b"".join(one.encode() for one in messages), cuts) == messages
+    assert read_in_pieces(reader, b"".join(message.encode() for message in messages), splits) == messages
 
 
-@given(st.lists(BACK, max_size=8), st.lists(st.integers(0, 5_000), max_size=12))
-def test_what_servers_send_is_the_same_at_any_split(messages: list[pg.Message], cuts: list[int]) -> None:
-    assert in_pieces(pg.backend_reader(), b"".join(one.encode() for one in messages), cuts) == messages
+@given(st.lists(BACKEND_MESSAGES, max_size=8), st.lists(st.integers(0, 5_000), max_size=12))
+def test_backend_messages_are_the_same_at_any_split(messages: list[pg.Message], splits: list[int]) -> None:
+    assert read_in_pieces(pg.backend_reader(), b"".join(message.encode() for message in messages), splits) == messages
 
 
-@given(PARSES, binds(), VALUES, NAMES, st.integers(0, 2**31 - 1))
-def test_the_inside_of_a_message_is_what_was_put_into_it(
+@given(PARSE_MESSAGES, binds(), VALUES, NAMES, st.integers(0, 2**31 - 1))
+def test_message_bodies_round_trip(
     parse: pg.Parse, bind: pg.Bind, values: tuple[bytes | None, ...], name: bytes, rows: int
 ) -> None:
     assert pg.parse_message(pg.make_parse(parse)) == parse
@@ -85,7 +86,7 @@
     assert pg.target(pg.make_target(b"D", b"P", name)) == (b"P", name)
 
 
-def test_layouts_are_those_of_the_documentation() -> None:
+def test_layouts_match_the_documentation() -> None:
     assert pg.make_query(b"SELECT 1").encode() == b"Q\0\0\0\x0dSELECT 1\0"
     assert pg.Message(b"S", b"").encode() == b"S\0\0\0\x04"
     assert pg.make_request(pg.SSL).encode() == struct.pack("!ii", 8, 80877103)
@@ -107,7 +108,7 @@
     )
 
 
-def test_the_first_message_is_a_startup_a_request_or_a_cancel() -> None:
+def test_the_first_message_is_a_startup_an_encryption_request_or_a_cancel_request() -> None:
     for code in (pg.SSL, pg.GSSENC):
         assert pg.startup(pg.make_request(code)) == code
     assert pg.startup(pg.make_cancel(pg.Cancel(1, b"abcd"))) == pg.Cancel(1, b"abcd")
@@ -128,15 +129,15 @@
         (b"GET / HTTP/1.1\r\n", "invalid length of StartupMessage"),
     ],
 )
-def test_a_first_length_that_cannot_be_is_refused_before_its_bytes(data: bytes, text: str) -> None:
+def test_an_invalid_length_of_the_first_message_is_refused_before_its_body_arrives(data: bytes, text: str) -> None:
     reader = pg.frontend_reader()
     reader.feed(data)
-    with pytest.raises(ProtocolError, match=text) as found:
+    with pytest.raises(ProtocolError, match=text) as caught:
         reader.take()
-    assert str(found.value).startswith("08P01 ")
+    assert str(caught.value).startswith("08P01 ")
 
 
-def test_lengths_and_kinds_are_tested_before_memory_is_taken() -> None:
+def test_lengths_and_types_are_checked_before_memory_is_allocated() -> None:
     reader = pg.Reader(pg.FRONTEND, False, Limits(message_bytes=1_000))
     reader.feed(b"Q\0\0\x03\xe9")
     with pytest.raises(ProtocolError, match="invalid length of Query: expected 4 to 1000 bytes, got 1001"):
@@ -146,12 +147,12 @@
     with pytest.raises(ProtocolError, match="invalid length of Execute"):
         reader.take()
     reader = pg.backend_reader()
-    reader.feed(b"\x00")  # known to be wrong by its first byte alone
+    reader.feed(b"\x00")  # refused by its first byte alone
     with pytest.raises(ProtocolError, match="invalid message type 0x00"):
         reader.take()
 
 
-INSIDES: list[tuple[Callable[[pg.Message], object], pg.Message]] = [
+PARSERS: list[tuple[Callable[[pg.Message], object], pg.Message]] = [
     (pg.startup, pg.make_startup({"user": "someone", "database": "d"})),
     (pg.startup, pg.make_cancel(pg.Cancel(7, b"12345678"))),
     (pg.query_text, pg.make_query(b"SELECT 1")),
@@ -166,47 +167,51 @@
 ]
 
 
-@pytest.mark.parametrize(("read", "message"), INSIDES, ids=lambda one: getattr(one, "__name__", ""))
-def test_damaged_insides_are_one_clear_error(read: Callable[[pg.Message], object], message: pg.Message) -> None:
+@pytest.mark.parametrize(("read", "message"), PARSERS, ids=lambda param: getattr(param, "__name__", ""))
+def test_damaged_bodies_raise_a_protocol_error_with_sqlstate_and_text(
+    read: Callable[[pg.Message], object], message: pg.Message
+) -> None:
     read(message)
     rng = random.Random(5)
-    wrong = 0
+    error_count = 0
     for _ in range(2_000):
         body = bytearray(message.body)
         for _ in range(rng.randrange(1, 4)):
-            at = rng.randrange(len(body) + 1)
-            what = rng.randrange(3)
-            if what == 0 and at < len(body):
-                body[at] = rng.randrange(256)
-            elif what == 1:
-                del body[at : at + rng.randrange(1, 6)]
+            position = rng.randrange(len(body) + 1)
+            mutation = rng.randrange(3)
+            if mutation == 0 and position < len(body):
+                body[position] = rng.randrange(256)
+            elif mutation == 1:
+                del body[position : position + rng.randrange(1, 6)]
             else:
-                body[at:at] = rng.randbytes(rng.randrange(1, 4))
+                body[position:position] = rng.randbytes(rng.randrange(1, 4))
         try:
             read(pg.Message(message.kind, bytes(body)))
-        except ProtocolError as problem:
-            wrong += 1
-            sqlstate, _, text = str(problem).partition(" ")
+        except ProtocolError as error:
+            error_count += 1
+            sqlstate, _, text = str(error).partition(" ")
             assert len(sqlstate) == 5 and text
-    assert wrong > 100 or message.kind == b"R"  # whose data may be anything
+    assert error_count > 100 or message.kind == b"R"  # the data of an Authentication may be anything
 
 
 @given(st.lists(st.binary(max_size=30), max_size=20), st.booleans())
-def test_any_bytes_are_messages_or_one_error(pieces: list[bytes], front: bool) -> None:
-    reader = pg.frontend_reader(Limits(message_bytes=64)) if front else pg.backend_reader(Limits(message_bytes=64))
-    held = 0
+def test_any_bytes_give_messages_or_a_protocol_error(pieces: list[bytes], is_frontend: bool) -> None:
+    reader = (
+        pg.frontend_reader(Limits(message_bytes=64)) if is_frontend else pg.backend_reader(Limits(message_bytes=64))
+    )
+    max_pending = 0
     try:
         for piece in pieces:
             reader.feed(piece)
             while reader.take() is not None:
                 pass
-            held = max(held, reader.pending)
+            max_pending = max(max_pending, reader.pending)
     except ProtocolError:
         pass
-    assert held <= 10_000 + 30
+    assert max_pending <= 10_000 + 30
 
 
-def test_a_zero_byte_cannot_be_smuggled_into_a_string() -> None:
+def test_strings_with_a_zero_byte_are_refused() -> None:
     with pytest.raises(ProtocolError, match="zero byte"):
         pg.make_query(b"a\0b")
     with pytest.raises(ProtocolError, match="zero byte"):
