--- a/oatlink/discovery/__init__.py
+++ b/oatlink/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the roster comes from."""
+"""Sources of the roster, the list of banks and their members."""
--- a/oatlink/discovery/file.py
+++ b/oatlink/discovery/file.py
@@ -1,4 +1,4 @@
-"""A roster file: the banks of the settings, evaluated anew whenever the file changes. It decides nothing."""
+"""The roster file: the banks as in the settings, read again whenever the file changes. Nothing is decided here."""
 
 import asyncio
 import os
@@ -9,29 +9,29 @@
 from oatlink.settings.load import SettingsError, decode_file
 from oatlink.settings.model import Bank
 
-PERIOD_S = 0.1
+PERIOD_S = 0.1  # between two checks whether the file has changed
 
 
 class RosterFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the file holds: banks by the names that the settings give them; slots may not move here."""
+    """The content of the file: banks under their names in the settings; slots cannot be moved by it."""
 
     banks: tuple[Bank, ...]
 
 
-async def follow(path: str, told: Callable[[RosterFile], None], wrong: Callable[[str], None]) -> None:
-    """Watch a file until cancelled. A file that cannot be read changes nothing and is reported once."""
-    seen: tuple[int, int, int] | None = None
+async def follow(path: str, on_roster: Callable[[RosterFile], None], on_error: Callable[[str], None]) -> None:
+    """Watch a file until cancelled. A file that cannot be read leaves the roster unchanged and is reported once."""
+    last_stamp: tuple[int, int, int] | None = None
     while True:
         try:
-            state = os.stat(path)
-            mark = (state.st_mtime_ns, state.st_ino, state.st_size)
-            if mark != seen:
-                seen = mark
-                told(decode_file(path, RosterFile))
+            status = os.stat(path)
+            stamp = (status.st_mtime_ns, status.st_ino, status.st_size)
+            if stamp != last_stamp:
+                last_stamp = stamp
+                on_roster(decode_file(path, RosterFile))
         except SettingsError as error:
-            wrong(str(error))
+            on_error(str(error))
         except OSError:
-            if seen is not None:
-                seen = None
-                wrong(f"{path}: not there; the last roster stands")
+            if last_stamp is not None:
+                last_stamp = None
+                on_error(f"{path}: not there; the last roster stands")
         await asyncio.sleep(PERIOD_S)
--- a/oatlink/settings/__init__.py
+++ b/oatlink/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: a Jsonnet template, evaluated, decoded and checked into immutable values."""
+"""Settings: a Jsonnet file is evaluated, decoded into immutable values and checked."""
 
 from oatlink.settings.load import SettingsError, load, load_text, settings_hash
 from oatlink.settings.model import Settings
--- a/oatlink/settings/fleet.py
+++ b/oatlink/settings/fleet.py
@@ -1,20 +1,21 @@
-"""The settings of what gateways share; without a `fleet` part there is none of it.
-
-Every node's file has the same `nodes`, `tenants` and `versions`; only what is the node's own differs (`node`,
-`state_dir`, `key_files`, `routes`, `trust_keeper`). Floors are divided over `nodes`, so a list that differs from node
-to node is a mistake that no node can see by itself: the hash of the part without its own goes into each greeting
-between nodes, and one that differs is refused.
-
-With a `control` part (docs/design/control.md) processes come and go without a change of anybody's file: `nodes` names
-this node and at most the sources besides, and others are heard if the key has proved their names. The hash is then of
-what must never differ, and versions say the rest:
-- the sources' names and which of them are keepers: a majority of one list need not meet a majority of another, so two
-  changes could both be agreed;
-- how names are proved: whoever proves them otherwise is not understood at all.
-Addresses, key files, `drift`, bounds, places, groups and relays are each process's own: each reckons by its own clock
-and its own bound, and a source that has moved is found by whoever has its new address. What divides by the number of
-nodes (`tenants`, `members`, `versions`) is refused beside `control`, as no file names them all; verdicts, whose words
-name nodes by their place in the list, are not spread.
+"""Settings of what the gateways of a fleet share. Without a `fleet` part nothing is shared.
+
+All nodes have the same `nodes`, `tenants` and `versions` in their files; only the settings of the node itself differ
+(`node`, `state_dir`, `key_files`, `routes`, `trust_keeper`). Floors are divided by the number of `nodes`, so lists that
+differ between nodes are a mistake that no node can detect alone. Therefore every handshake between nodes contains a
+hash of the settings that must be the same, and a handshake with another hash is refused.
+
+With a `control` part (docs/design/control.md) processes join and leave without a change to anybody's file: `nodes`
+contains this node and, besides it, only sources. Other processes are accepted if the shared key proves their names. The
+hash then covers only what must never differ, and versions cover the rest:
+- the names of the sources, and which of them are acceptors (`keeper`): a majority of one list need not overlap with a
+  majority of another, so two conflicting changes could both be agreed;
+- the scheme by which names are proved: processes with different schemes cannot authenticate each other.
+Addresses, key files, `drift`, limits, region and zone, groups and relays may differ between processes: each one
+computes with its own clock and its own limits, and a source that has moved is found by the processes that have its new
+address. Settings that are divided by the number of nodes (`tenants`, `members`, `versions`) are refused together with
+`control`, because no file lists all nodes. Health reports (`verdicts`) are not exchanged then, because they identify
+nodes by their index in the list.
 """
 
 from collections.abc import Iterator
@@ -26,14 +27,18 @@
 
 from oatlink.settings.parts import Match, Name, Part, Positive, is_address
 
-MOST_NODES = 4_096
-MOST_SCOPE = 64  # bytes of a scope's name (`fleet.messages.control`, which settings do not import)
-SCHEME = "blake2b-128 1"  # how frames and names are proved (`oatlink.fleet.envelope`)
-LEAST_BURST = 1.0  # requests: a bucket that holds less never lets one through
+MAX_NODES = 4_096
+# Maximum length of a scope name in bytes: as in `oatlink.fleet.messages.control`, which the settings do not import.
+MOST_SCOPE = 64
+PROOF_SCHEME = "blake2b-128 1"  # how frames and names are authenticated (`oatlink.fleet.envelope`)
+LEAST_BURST = 1.0  # requests; a token bucket with a smaller capacity never admits one
 
 
 class FleetNode(Part, frozen=True):
-    """One gateway of the fleet; `address` is where its fleet port listens, and no other process may have it."""
+    """One gateway of the fleet. `address` is the address of its fleet port, which no other process may use.
+
+    `keeper`: whether the node is an acceptor, which stores registers and votes on changes of them.
+    """
 
     name: Name
     address: str
@@ -41,9 +46,10 @@
 
 
 class Tenant(Part, frozen=True):
-    """One quota over all gateways: `rate` requests a second, `burst` at once, `floor` of both served without a home.
+    """A quota over all gateways: `rate` requests per second and `burst` requests at once.
 
-    A command counts for the first tenant whose `match` takes it. One that none takes has no quota.
+    `floor`: the part of both that is served without a limit coordinator. A command counts for the first tenant whose
+    `match` accepts it; commands that match no tenant have no quota.
     """
 
     name: Name
@@ -54,7 +60,7 @@
 
 
 class MemberLimits(Part, frozen=True):
-    """What all gateways together may ask of each db box. `dials_per_s` 0: not limited by the fleet."""
+    """Limits of all gateways together towards each db box. `dials_per_s` 0: no limit by the fleet."""
 
     dials_per_s: Annotated[float, Meta(ge=0, le=1e6)] = 0.0
     dials_burst: Annotated[float, Meta(ge=1, le=1e6)] = 64.0
@@ -62,36 +68,39 @@
 
 
 class Versions(Part, frozen=True):
-    """Layouts over the banks. `word` stands in a client's name before the version that it wants: `app;layout=2`."""
+    """Versions of the layout of banks.
+
+    `word` precedes the requested version in the name of a client, as in `app;layout=2`.
+    """
 
     first: Positive = 1
     word: Annotated[str, Meta(min_length=2, max_length=32)] = ";layout="
 
 
 class Control(Part, frozen=True):
-    """A process's place in the stream of control; with it the process is a source, where it is named as one.
+    """How a process takes part in the control stream; it is a source if `sources` contains its name.
 
-    `sources`: the machines set aside, an odd number of them keepers. `region`, `zone`, `groups`: whose scopes this
-    process takes. `relays`: how many others it may serve; 0: none.
+    `sources`: the dedicated machines, an odd number of them acceptors (`keeper`). `region`, `zone`, `groups`: determine
+    the scopes to which this process subscribes. `relays`: how many other processes it may serve as a relay; 0: none.
     """
 
     sources: Annotated[tuple[FleetNode, ...], Meta(min_length=3, max_length=7)]
     region: Name
     zone: Name
-    groups: Annotated[tuple[Name, ...], Meta(max_length=13)] = ()  # with `all`, region and zone 16 scopes
+    groups: Annotated[tuple[Name, ...], Meta(max_length=13)] = ()  # 16 scopes together with `all`, region and zone
     relays: Annotated[int, Meta(ge=0, le=256)] = 0
 
 
 class Fleet(Part, frozen=True):
-    """What a gateway is told of its fleet. `drift`: by how much of its rate each clock may be wrong.
+    """The fleet as a gateway is configured for it. `drift`: the largest relative error of any clock's rate.
 
-    `trust_keeper`: a keeper without a file votes at once, by an operator's word that nothing was ever voted here or
-    that it is lost; for the first start of a fleet with one keeper. `routes`: other addresses under which this node
-    reaches some of the others, by name, where its way leads elsewhere.
+    `trust_keeper`: an acceptor without a state file votes at once. The operator thereby states that it never voted, or
+    that its votes are lost; meant for the first start of a fleet with one acceptor. `routes`: addresses, by node name,
+    by which this node reaches other nodes where they differ from those in `nodes`.
     """
 
     node: Name
-    nodes: Annotated[tuple[FleetNode, ...], Meta(min_length=1, max_length=MOST_NODES)]
+    nodes: Annotated[tuple[FleetNode, ...], Meta(min_length=1, max_length=MAX_NODES)]
     key_files: Annotated[tuple[str, ...], Meta(min_length=1, max_length=8)]
     state_dir: Annotated[str, Meta(min_length=1)]
     drift: Annotated[float, Meta(ge=0, le=0.1)] = 0.001
@@ -106,48 +115,48 @@
 
     @property
     def named_nodes(self) -> tuple[FleetNode, ...]:
-        """All nodes that the settings name: with `control` its sources, then those of `nodes` that are none."""
+        """All nodes that the settings name: with `control` first its sources, then the nodes that are not sources."""
         if self.control is None:
             return self.nodes
-        sources = {one.name for one in self.control.sources}
-        return self.control.sources + tuple(one for one in self.nodes if one.name not in sources)
+        sources = {source.name for source in self.control.sources}
+        return self.control.sources + tuple(node for node in self.nodes if node.name not in sources)
 
     @property
     def keepers(self) -> tuple[str, ...]:
-        """The nodes that keep registers, in the order of the list."""
-        return tuple(one.name for one in self.named_nodes if one.keeper)
+        """The names of the acceptors (nodes with `keeper`), in the order of the list."""
+        return tuple(node.name for node in self.named_nodes if node.keeper)
 
     @property
     def own_node(self) -> FleetNode:
-        """The line of the node itself."""
-        return next(one for one in self.named_nodes if one.name == self.node)
+        """The entry of this node itself."""
+        return next(node for node in self.named_nodes if node.name == self.node)
 
 
 def fleet_hash(fleet: Fleet) -> str:
-    """A short name of what must be the same at every node; see the head of this file."""
+    """Hash the settings that must be the same at every node; see the docstring of this module."""
     if fleet.control is not None:
-        sources = sorted((one.name, one.keeper) for one in fleet.control.sources)
-        return xxhash.xxh64(msgspec.json.encode((SCHEME, sources))).hexdigest()
-    same = msgspec.structs.replace(fleet, node="-", state_dir="-", key_files=("-",), routes={}, trust_keeper=False)
-    encoded = msgspec.json.encode(same, order="deterministic")
-    # Without the part there is nothing of it in the hash: a node of the version before understands this one.
+        sources = sorted((source.name, source.keeper) for source in fleet.control.sources)
+        return xxhash.xxh64(msgspec.json.encode((PROOF_SCHEME, sources))).hexdigest()
+    shared = msgspec.structs.replace(fleet, node="-", state_dir="-", key_files=("-",), routes={}, trust_keeper=False)
+    encoded = msgspec.json.encode(shared, order="deterministic")
+    # An absent `control` is left out of the hash, so that nodes of the version before it accept this node.
     return xxhash.xxh64(encoded.removesuffix(b',"control":null}') + b"}").hexdigest()
 
 
 def check_fleet(fleet: Fleet) -> Iterator[str]:
-    """Each mistake that the types allow, as `path: expected ...`."""
+    """Yield each mistake that the types do not exclude, as `path: expected ...`."""
     names: dict[str, int] = {}
     addresses: dict[str, int] = {}
-    for at, one in enumerate(fleet.nodes):
-        path = f"fleet.nodes[{at}]"
-        if one.name in names:
-            yield f"{path}.name: expected a name of its own, {one.name!r} is also fleet.nodes[{names[one.name]}]"
-        names[one.name] = at
-        if one.address.startswith("unix:") or not is_address(one.address):
-            yield f"{path}.address: expected host:port, got {one.address!r}"
-        if one.address in addresses:
-            yield f"{path}.address: expected an address of its own, it is also fleet.nodes[{addresses[one.address]}]"
-        addresses[one.address] = at
+    for index, node in enumerate(fleet.nodes):
+        path = f"fleet.nodes[{index}]"
+        if node.name in names:
+            yield f"{path}.name: expected a name of its own, {node.name!r} is also fleet.nodes[{names[node.name]}]"
+        names[node.name] = index
+        if node.address.startswith("unix:") or not is_address(node.address):
+            yield f"{path}.address: expected host:port, got {node.address!r}"
+        if node.address in addresses:
+            yield f"{path}.address: expected an address of its own, it is also fleet.nodes[{addresses[node.address]}]"
+        addresses[node.address] = index
     for name, address in fleet.routes.items():
         if (name not in names and fleet.control is None) or address.startswith("unix:") or not is_address(address):
             yield f"fleet.routes: expected host:port by a name in fleet.nodes, got {name!r}: {address!r}"
@@ -159,60 +168,60 @@
     keepers = len(fleet.keepers)
     if keepers % 2 == 0:
         yield f"fleet.nodes: expected an odd number of keepers, got {keepers}"
-    seen: set[str] = set()
-    for at, tenant in enumerate(fleet.tenants):
-        path = f"fleet.tenants[{at}]"
-        if tenant.name in seen:
+    tenant_names: set[str] = set()
+    for index, tenant in enumerate(fleet.tenants):
+        path = f"fleet.tenants[{index}]"
+        if tenant.name in tenant_names:
             yield f"{path}.name: expected a name of its own, got {tenant.name!r} again"
-        seen.add(tenant.name)
+        tenant_names.add(tenant.name)
         yield from _check_floor(path, tenant.floor, tenant.burst, len(fleet.nodes))
     if fleet.members.dials_per_s:
         yield from _check_floor("fleet.members", fleet.members.floor, fleet.members.dials_burst, len(fleet.nodes))
 
 
 def _check_control(fleet: Fleet, control: Control) -> Iterator[str]:
-    own = {one.name: one for one in fleet.nodes}
+    nodes = {node.name: node for node in fleet.nodes}
     names: set[str] = set()
-    addresses = {one.address: one.name for one in fleet.nodes}
-    for at, one in enumerate(control.sources):
-        path = f"fleet.control.sources[{at}]"
-        if one.name in names:
-            yield f"{path}.name: expected a name of its own, got {one.name!r} again"
-        names.add(one.name)
-        if one.address.startswith("unix:") or not is_address(one.address):
-            yield f"{path}.address: expected host:port, got {one.address!r}"
-        if addresses.setdefault(one.address, one.name) != one.name:
-            yield f"{path}.address: expected an address of its own, it is also that of {addresses[one.address]!r}"
-        if own.get(one.name, one) != one:
+    addresses = {node.address: node.name for node in fleet.nodes}
+    for index, source in enumerate(control.sources):
+        path = f"fleet.control.sources[{index}]"
+        if source.name in names:
+            yield f"{path}.name: expected a name of its own, got {source.name!r} again"
+        names.add(source.name)
+        if source.address.startswith("unix:") or not is_address(source.address):
+            yield f"{path}.address: expected host:port, got {source.address!r}"
+        if addresses.setdefault(source.address, source.name) != source.name:
+            yield f"{path}.address: expected an address of its own, it is also that of {addresses[source.address]!r}"
+        if nodes.get(source.name, source) != source:
             yield f"{path}: expected the same line as in fleet.nodes, got another"
-    for at, one in enumerate(fleet.nodes):
-        if one.keeper and one.name not in names:
-            yield f"fleet.nodes[{at}].keeper: expected false, with fleet.control the keepers are among its sources"
-    keepers = sum(one.keeper for one in control.sources)
+    for index, node in enumerate(fleet.nodes):
+        if node.keeper and node.name not in names:
+            yield f"fleet.nodes[{index}].keeper: expected false, with fleet.control the keepers are among its sources"
+    keepers = sum(source.keeper for source in control.sources)
     if keepers % 2 == 0:
         yield f"fleet.control.sources: expected an odd number of keepers, got {keepers}"
-    # Threat: a place whose scopes no source takes for one, found out when the process gets no seat.
-    scopes = [f"names/{control.region}/{control.zone}", *(f"group/{one}" for one in control.groups)]
+    # Prevents scope names that every source refuses as too long; the process would only find out when it cannot join.
+    scopes = [f"names/{control.region}/{control.zone}", *(f"group/{group}" for group in control.groups)]
     longest = max(scopes, key=len)
     if len(longest) > MOST_SCOPE:
         yield f"fleet.control: expected scopes of at most {MOST_SCOPE} characters, got {longest!r}"
     if len(set(control.groups)) < len(control.groups):
         yield "fleet.control.groups: expected each name once"
-    # Threat: floors that are each cut out for another number of nodes add up to more than was allowed.
-    for name, is_there in (
+    # Prevents floors that were divided by different numbers of nodes and add up to more than was allowed.
+    for name, is_set in (
         ("tenants", bool(fleet.tenants)),
         ("members.dials_per_s", fleet.members.dials_per_s > 0),
         ("versions", fleet.versions is not None),
     ):
-        if is_there:
+        if is_set:
             yield f"fleet.{name}: expected none with fleet.control, it needs a list of all nodes and no file has one"
 
 
-def _check_floor(path: str, floor: float, burst: float, nodes: int) -> Iterator[str]:
-    # Threat: a floor that lets nothing through, found out on the day that the links are cut.
-    part = floor * burst / nodes
-    if 0 < part < LEAST_BURST:
+def _check_floor(path: str, floor: float, burst: float, node_count: int) -> Iterator[str]:
+    # Prevents a floor that admits nothing, which would show only once the nodes are disconnected from each other.
+    burst_of_node = floor * burst / node_count
+    if 0 < burst_of_node < LEAST_BURST:
         yield (
-            f"{path}.floor: expected 0, or at least {nodes * LEAST_BURST / burst:.3g}: {floor:g} of a burst "
-            f"of {burst:g} over {nodes} nodes is under one request each"
+            f"{path}.floor: expected 0, or at least {node_count * LEAST_BURST / burst:.3g}: {floor:g} of a burst "
+            f"of {burst:g} over {node_count} nodes is under one request each"
         )
--- a/oatlink/settings/load.py
+++ b/oatlink/settings/load.py
@@ -1,4 +1,4 @@
-"""A settings file to settings; every mistake is one line: file, path to the value, what was expected."""
+"""Loads settings files. Every mistake is reported as one line: file, path to the value, what was expected."""
 
 import re
 from pathlib import Path
@@ -14,16 +14,16 @@
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; the text is one line for a person."""
+    """A settings file that cannot be used; the text is one line for the operator."""
 
 
 def load(path: str) -> Settings:
-    """Read, evaluate, decode and check a file. Raises `SettingsError`."""
+    """Read, evaluate, decode and check a settings file. Raises `SettingsError`."""
     return load_text(_read(path), path)
 
 
 def load_text(text: str, name: str) -> Settings:
-    """The same for a text; `name` stands for the file in errors. Imports are read beside the file."""
+    """Evaluate, decode and check a text. `name` is the file name for errors; imports are resolved relative to it."""
     settings = decode(text, name, Settings)
     mistakes = list(check(settings))
     if mistakes:
@@ -33,7 +33,7 @@
 
 
 def evaluate(text: str, name: str) -> str:
-    """A Jsonnet text as JSON. Raises `SettingsError`."""
+    """Evaluate a Jsonnet text to JSON. Raises `SettingsError`."""
     try:
         return str(_jsonnet.evaluate_snippet(name, text, max_stack=200))
     except RuntimeError as error:
@@ -42,18 +42,18 @@
 
 
 def decode(text: str, name: str, kind: type[T]) -> T:
-    """Evaluate a Jsonnet text and decode it as `kind`. Raises `SettingsError` naming file, place and need."""
+    """Evaluate a Jsonnet text and decode it as `kind`. `SettingsError` names file, path and what was expected."""
     data = evaluate(text, name)
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        words, _, place = str(error).partition(" - at `$")
-        path = place.rstrip("`").lstrip(".") or "top level"
-        raise SettingsError(f"{name}: {path}: {words[:1].lower()}{words[1:]}") from None
+        problem, _, json_path = str(error).partition(" - at `$")
+        path = json_path.rstrip("`").lstrip(".") or "top level"
+        raise SettingsError(f"{name}: {path}: {problem[:1].lower()}{problem[1:]}") from None
 
 
 def decode_file(path: str, kind: type[T]) -> T:
-    """The same for a file."""
+    """Read a Jsonnet file and decode it as `kind`. Raises `SettingsError`."""
     return decode(_read(path), path, kind)
 
 
@@ -67,5 +67,5 @@
 
 
 def settings_hash(settings: Settings) -> str:
-    """A short name of all values, the same wherever they are the same."""
+    """Hash all values; equal settings have equal hashes, in every process."""
     return xxhash.xxh64(msgspec.json.encode(settings, order="deterministic")).hexdigest()
--- a/oatlink/settings/matching.py
+++ b/oatlink/settings/matching.py
@@ -1,4 +1,4 @@
-"""Whether a `match` of the settings takes a command. One home for classes and tenants alike."""
+"""Matching of commands against a `match` of the settings, for request classes and tenants alike."""
 
 from fnmatch import fnmatchcase
 from functools import lru_cache
@@ -7,7 +7,7 @@
 
 
 def matches(match: Match, command: str, key: str, user: str, client: str) -> bool:
-    """Whether all conditions that are given hold. `command` is in small letters, `key` the first one or empty."""
+    """Whether a command meets all conditions that are set. `command` is lowercase; `key` is its first key, or empty."""
     if match.commands and command not in _lowered(match.commands):
         return False
     if match.keys and not any(fnmatchcase(key, pattern) for pattern in match.keys):
@@ -19,4 +19,4 @@
 
 @lru_cache(maxsize=1_024)
 def _lowered(names: tuple[str, ...]) -> frozenset[str]:
-    return frozenset(one.lower() for one in names)
+    return frozenset(name.lower() for name in names)
--- a/oatlink/settings/model.py
+++ b/oatlink/settings/model.py
@@ -1,4 +1,4 @@
-"""What can be set. Units stand in the names; every value is immutable; `check` finds what types cannot say."""
+"""The settings of a gateway. Names contain units; all values are immutable; `check` finds what types cannot express."""
 
 from collections.abc import Iterator
 from typing import Annotated, Literal
@@ -9,11 +9,11 @@
 from oatlink.settings.fleet import Fleet, check_fleet
 from oatlink.settings.parts import Match, Name, NotNegative, Part, Positive, Share, is_address
 
-LOOPBACK = ("127.", "[::1]", "localhost:", "unix:")
+LOOPBACK_PREFIXES = ("127.", "[::1]", "localhost:", "unix:")
 
 
 class RequestClass(Part, frozen=True):
-    """One class of requests. A keyed class takes only commands that carry a key."""
+    """A class of requests. A keyed class only accepts commands with a key by which servers drop repeats."""
 
     name: Name
     freshness: Literal["write", "latest", "session", "bounded", "any"]
@@ -30,7 +30,7 @@
 
 
 class Path(Part, frozen=True):
-    """One more address of a db box; 0 stands for what `links` has for all, an empty hall for the box's own."""
+    """A further address of a db box. 0 means the value in `links`, an empty `hall` the hall of the box."""
 
     address: str
     hall: str = ""
@@ -39,7 +39,7 @@
 
 
 class Member(Part, frozen=True):
-    """One db box: `address` is host:port or unix:PATH, `paths` are further ones; `state` is what discovery says."""
+    """A db box. `address` is host:port or unix:PATH, `paths` are further addresses; discovery reports `state`."""
 
     name: Name
     address: str
@@ -51,7 +51,7 @@
 
 
 class Bank(Part, frozen=True):
-    """A primary and its replicas, and the hash slots they hold: pairs, both ends included."""
+    """A primary, its replicas, and the hash slots that they serve, as pairs of first and last slot."""
 
     name: Name
     slots: tuple[tuple[int, int], ...]
@@ -59,7 +59,7 @@
 
 
 class Limits(Part, frozen=True):
-    """Bounds of every queue, for each peer."""
+    """Limits on every queue, for each peer."""
 
     clients: Positive = 10_000
     client_pipeline: Positive = 64
@@ -91,7 +91,7 @@
 
 
 class Cold(Part, frozen=True):
-    """What a member that has just started can bear (rule 32)."""
+    """How much load a member that has just started is given (rule 32)."""
 
     share: Share = 1.0
     warm_after_ms: NotNegative = 0
@@ -100,7 +100,7 @@
 
 
 class Logs(Part, frozen=True):
-    """Structured logs on stderr."""
+    """Structured logging to stderr."""
 
     form: Literal["json", "console"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -108,14 +108,14 @@
 
 
 class Users(Part, frozen=True):
-    """A client's user and password, for AUTH and HELLO."""
+    """A user and password with which clients authenticate by AUTH and HELLO."""
 
     name: str
     password: str
 
 
 class Settings(Part, frozen=True):
-    """All that a gateway is told."""
+    """All settings of a gateway."""
 
     banks: tuple[Bank, ...]
     classes: tuple[RequestClass, ...]
@@ -148,20 +148,20 @@
 
 
 def check(settings: Settings) -> Iterator[str]:
-    """Each mistake that the types allow, as `path: expected ...`."""
+    """Yield each mistake that the types do not exclude, as `path: expected ...`."""
     if not settings.banks:
         yield "banks: expected at least one bank"
     if not settings.listen:
         yield "listen: expected at least one address"
-    for at, address in enumerate(settings.listen):
+    for index, address in enumerate(settings.listen):
         if not is_address(address):
-            yield f"listen[{at}]: expected host:port or unix:PATH, got {address!r}"
+            yield f"listen[{index}]: expected host:port or unix:PATH, got {address!r}"
     if settings.metrics_listen and not is_address(settings.metrics_listen):
         yield f"metrics_listen: expected host:port, got {settings.metrics_listen!r}"
     if settings.admin_listen:
         if not is_address(settings.admin_listen):
             yield f"admin_listen: expected host:port or unix:PATH, got {settings.admin_listen!r}"
-        elif not settings.admin_beyond_loopback and not settings.admin_listen.startswith(LOOPBACK):
+        elif not settings.admin_beyond_loopback and not settings.admin_listen.startswith(LOOPBACK_PREFIXES):
             yield "admin_listen: expected an address of loopback, or admin_beyond_loopback: true"
     if settings.record != "always" and not settings.record_file:
         yield f"record_file: expected a path, where record: {settings.record!r} writes when asked"
@@ -176,54 +176,55 @@
 def _check_banks(banks: tuple[Bank, ...]) -> Iterator[str]:
     names: dict[str, str] = {}
     addresses: dict[str, str] = {}
-    owners: list[tuple[int, int, str]] = []
-    for number, bank in enumerate(banks):
-        path = f"banks[{number}]"
+    slot_ranges: list[tuple[int, int, str]] = []
+    for bank_index, bank in enumerate(banks):
+        path = f"banks[{bank_index}]"
         if bank.name in names:
             yield f"{path}.name: expected a name of its own, {bank.name!r} is also {names[bank.name]}"
         names[bank.name] = path
         if not bank.members:
             yield f"{path}.members: expected at least one member"
-        for at, (low, high) in enumerate(bank.slots):
+        for index, (low, high) in enumerate(bank.slots):
             if not 0 <= low <= high < SLOTS:
-                yield f"{path}.slots[{at}]: expected 0 <= low <= high < {SLOTS}, got [{low}, {high}]"
-            owners.append((low, high, f"{path}.slots[{at}]"))
-        for at, member in enumerate(bank.members):
-            where = f"{path}.members[{at}]"
+                yield f"{path}.slots[{index}]: expected 0 <= low <= high < {SLOTS}, got [{low}, {high}]"
+            slot_ranges.append((low, high, f"{path}.slots[{index}]"))
+        for member_index, member in enumerate(bank.members):
+            member_path = f"{path}.members[{member_index}]"
             if member.name in names:
-                yield f"{where}.name: expected a name of its own, {member.name!r} is also {names[member.name]}"
-            names[member.name] = where
-            ways = [("address", member.address)]
-            ways += [(f"paths[{way}].address", one.address) for way, one in enumerate(member.paths)]
-            for part, address in ways:
+                yield f"{member_path}.name: expected a name of its own, {member.name!r} is also {names[member.name]}"
+            names[member.name] = member_path
+            member_addresses = [("address", member.address)]
+            member_addresses += [(f"paths[{index}].address", extra.address) for index, extra in enumerate(member.paths)]
+            for key, address in member_addresses:
                 if not is_address(address):
-                    yield f"{where}.{part}: expected host:port or unix:PATH, got {address!r}"
+                    yield f"{member_path}.{key}: expected host:port or unix:PATH, got {address!r}"
                 if address in addresses:
-                    yield f"{where}.{part}: expected an address of its own, it is also {addresses[address]}"
-                addresses[address] = where
-    owners.sort()
-    for (_, high, first), (low, _, second) in zip(owners, owners[1:], strict=False):
+                    yield f"{member_path}.{key}: expected an address of its own, it is also {addresses[address]}"
+                addresses[address] = member_path
+    slot_ranges.sort()
+    for (_, high, first), (low, _, second) in zip(slot_ranges, slot_ranges[1:], strict=False):
         if low <= high:
             yield f"{second}: expected slots of its own, {low} is also in {first}"
-    covered = sum(high - low + 1 for low, high, _ in owners)
+    covered = sum(high - low + 1 for low, high, _ in slot_ranges)
     if banks and covered < SLOTS:
         yield f"banks: expected all {SLOTS} slots to be held, {SLOTS - covered} are not"
 
 
 def _check_classes(classes: tuple[RequestClass, ...]) -> Iterator[str]:
-    seen: set[str] = set()
-    for number, one in enumerate(classes):
-        path = f"classes[{number}]"
-        if one.name in seen:
-            yield f"{path}.name: expected a name of its own, got {one.name!r} again"
-        seen.add(one.name)
-        if one.aim_ms > one.deadline_ms:
-            yield f"{path}.aim_ms: expected at most deadline_ms ({one.deadline_ms}), got {one.aim_ms}"
-        if one.effect == "keyed" and not one.repeat_window_ms:
+    names: set[str] = set()
+    for index, request_class in enumerate(classes):
+        path = f"classes[{index}]"
+        if request_class.name in names:
+            yield f"{path}.name: expected a name of its own, got {request_class.name!r} again"
+        names.add(request_class.name)
+        if request_class.aim_ms > request_class.deadline_ms:
+            aim_ms, deadline_ms = request_class.aim_ms, request_class.deadline_ms
+            yield f"{path}.aim_ms: expected at most deadline_ms ({deadline_ms}), got {aim_ms}"
+        if request_class.effect == "keyed" and not request_class.repeat_window_ms:
             yield f"{path}.repeat_window_ms: expected above 0 for a keyed class"
-        if one.freshness == "bounded" and not one.staleness_ms:
+        if request_class.freshness == "bounded" and not request_class.staleness_ms:
             yield f"{path}.staleness_ms: expected above 0 for a bounded class"
-        if one.freshness != "write" and one.effect != "idempotent":
-            yield f"{path}.effect: expected idempotent for a class of reads, got {one.effect}"
-        if one.freshness != "write" and one.wait_replicas:
+        if request_class.freshness != "write" and request_class.effect != "idempotent":
+            yield f"{path}.effect: expected idempotent for a class of reads, got {request_class.effect}"
+        if request_class.freshness != "write" and request_class.wait_replicas:
             yield f"{path}.wait_replicas: expected 0 for a class of reads"
--- a/oatlink/settings/parts.py
+++ b/oatlink/settings/parts.py
@@ -1,4 +1,4 @@
-"""What all parts of the settings are made of."""
+"""Types shared by all parts of the settings."""
 
 from typing import Annotated
 
@@ -12,11 +12,11 @@
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all settings: immutable, and a misspelt name is a mistake."""
+    """Base class of all settings: immutable, and unknown keys are refused so that misspelt ones are found."""
 
 
 class Match(Part, frozen=True):
-    """Which commands a class takes: all conditions given must hold; each list is of alternatives."""
+    """Which commands belong to a class or tenant: every list that is not empty must contain a match."""
 
     commands: tuple[str, ...] = ()
     keys: tuple[str, ...] = ()
@@ -25,11 +25,11 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is host:port, with an IPv6 host in brackets, or unix:PATH."""
+    """Whether the text is host:port, with an IPv6 host in brackets, or unix:PATH."""
     if text.startswith("unix:"):
         return len(text) > 5
     host, colon, port = text.rpartition(":")
-    inside = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+    bare_host = host[1:-1] if host.startswith("[") and host.endswith("]") else host
     return bool(
-        colon and host and port.isdigit() and int(port) < 65_536 and (":" not in inside or host.startswith("["))
+        colon and host and port.isdigit() and int(port) < 65_536 and (":" not in bare_host or host.startswith("["))
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each mistake is one line with the path to the wrong value and what was expected."""
+"""Settings: each mistake is reported as one line with the path to the wrong value and what was expected."""
 
 import subprocess
 import sys
@@ -9,16 +9,16 @@
 from oatlink.settings import SettingsError, load, load_text, settings_hash
 
 ROOT = Path(__file__).parent.parent
-GOOD = """{
+VALID = """{
   banks: [{ name: 'b', slots: [[0, 16383]], members: [{ name: 'x', address: '127.0.0.1:7001' }] }],
   classes: [{ name: 'post', freshness: 'write', effect: 'keyed', aim_ms: 10, deadline_ms: 20, repeat_window_ms: 5 }],
 }"""
 
 
-def test_the_example_is_good_and_names_the_briefs_fleet() -> None:
+def test_the_example_file_is_valid_and_has_the_expected_classes_and_halls() -> None:
     settings = load(str(ROOT / "docs" / "operate" / "example.jsonnet"))
-    assert [one.name for one in settings.classes][:3] == ["price-view", "price-check", "price-post"]
-    assert len(settings.banks) == 2 and {one.hall for bank in settings.banks for one in bank.members} == {
+    assert [request_class.name for request_class in settings.classes][:3] == ["price-view", "price-check", "price-post"]
+    assert len(settings.banks) == 2 and {member.hall for bank in settings.banks for member in bank.members} == {
         "ebene-a",
         "ebene-b",
         "cybercity-c",
@@ -42,25 +42,25 @@
         (("name: 'b'", "name: 'x'"), "f: banks[0].members[0].name: expected a name of its own, 'x' is also banks[0]"),
     ],
 )
-def test_a_mistake_is_one_line(change: tuple[str, str], line: str) -> None:
-    assert change[0] in GOOD
+def test_each_mistake_is_reported_as_one_line(change: tuple[str, str], line: str) -> None:
+    assert change[0] in VALID
     with pytest.raises(SettingsError) as caught:
-        load_text(GOOD.replace(*change), "f")
+        load_text(VALID.replace(*change), "f")
     assert str(caught.value).startswith(line) and "\n" not in str(caught.value)
 
 
-def test_the_command_says_it_and_exits_with_two(tmp_path: Path) -> None:
+def test_commands_print_the_mistake_and_exit_with_code_2(tmp_path: Path) -> None:
     path = tmp_path / "bad.jsonnet"
-    path.write_text(GOOD.replace("7001", "x"))
-    for words in (
+    path.write_text(VALID.replace("7001", "x"))
+    for args in (
         ["check-settings", str(path)],
         ["gateway", str(path)],
         ["check-settings", str(tmp_path / "none")],
         ["day", "--scenario", str(path)],
     ):
-        done = subprocess.run([sys.executable, "-m", "oatlink", *words], capture_output=True, text=True, timeout=20)
+        done = subprocess.run([sys.executable, "-m", "oatlink", *args], capture_output=True, text=True, timeout=20)
         assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
-    path.write_text(GOOD)
+    path.write_text(VALID)
     done = subprocess.run(
         [sys.executable, "-m", "oatlink", "check-settings", str(path)], capture_output=True, text=True
     )
