--- a/oatlink/__main__.py
+++ b/oatlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oatlink`."""
+"""Entry point of `python -m oatlink`."""
 
 from oatlink.cli.main import main
 
--- a/oatlink/cli/__init__.py
+++ b/oatlink/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: click commands, nothing else."""
+"""The command line: click commands only, without logic of their own."""
--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -1,4 +1,4 @@
-"""Commands for operators: what a gateway believes, what a helper would believe, why a request went where it went."""
+"""Commands for operators: show the state of a running gateway, check boxes, control recording, explain routing."""
 
 import asyncio
 import json
@@ -22,18 +22,18 @@
 Sections = dict[str, dict[str, str]]
 
 
-class AskError(Exception):
-    """A gateway that cannot be asked; the text is one line."""
+class QueryError(Exception):
+    """A gateway could not be queried; the text is one line."""
 
 
 def fail(text: str) -> None:
-    """One clear line on stderr, exit 2."""
+    """Print one line to stderr and exit with code 2."""
     click.echo(f"oatlink: {text}", err=True)
     sys.exit(2)
 
 
 def read_recording(file: str) -> Recording:
-    """A recording from a file, or one line and exit 2."""
+    """Read a recording from a file, or print one line and exit with code 2."""
     try:
         return Recording(Path(file).read_bytes(), file)
     except OSError as error:
@@ -43,58 +43,58 @@
     raise AssertionError("fail() ends the process")
 
 
-def ask(address: str, *words: str, timeout_s: float = 3.0) -> Value:
-    """A running gateway's answer to one command. Raises `AskError`, also where the answer is an error."""
+def send_command(address: str, *words: str, timeout_s: float = 3.0) -> Value:
+    """Return a running gateway's reply to one command. Raises `QueryError`, also if the reply is an error."""
     host, _, port = address.rpartition(":")
     if not port.isdigit():
-        raise AskError(f"{address}: expected host:port")
+        raise QueryError(f"{address}: expected host:port")
     reader = ReplyReader()
     try:
-        with socket.create_connection((host.strip("[]"), int(port)), timeout_s) as one:
-            one.settimeout(timeout_s)
-            one.sendall(command(*words))
-            while (frame := reader.take()) is None:
-                data = one.recv(65_536)
+        with socket.create_connection((host.strip("[]"), int(port)), timeout_s) as connection:
+            connection.settimeout(timeout_s)
+            connection.sendall(command(*words))
+            while (reply := reader.take()) is None:
+                data = connection.recv(65_536)
                 if not data:
-                    raise AskError(f"{address}: closed the connection")
+                    raise QueryError(f"{address}: closed the connection")
                 reader.feed(data)
-        value = decode(frame)
+        value = decode(reply)
     except OSError as error:
-        raise AskError(f"{address}: {error.strerror or error}") from None
+        raise QueryError(f"{address}: {error.strerror or error}") from None
     except ProtocolError as error:
-        raise AskError(f"{address}: not RESP: {error}") from None
+        raise QueryError(f"{address}: not RESP: {error}") from None
     if isinstance(value, Error):
-        raise AskError(f"{address}: {value.text.decode('utf-8', 'replace')}")
+        raise QueryError(f"{address}: {value.text.decode('utf-8', 'replace')}")
     return value
 
 
-def ask_info(address: str) -> Sections:
-    """The sections of a running gateway's INFO. Raises `AskError`."""
-    value = ask(address, "INFO")
+def request_info(address: str) -> Sections:
+    """Return the sections of a running gateway's INFO. Raises `QueryError`."""
+    value = send_command(address, "INFO")
     text = value.data if isinstance(value, Verbatim) else value
     if not isinstance(text, bytes):
-        raise AskError(f"{address}: INFO was not answered with text")
-    return read_sections(text.decode("utf-8", "replace"), address)
+        raise QueryError(f"{address}: INFO was not answered with text")
+    return parse_sections(text.decode("utf-8", "replace"), address)
 
 
-def read_sections(text: str, address: str) -> Sections:
-    """INFO's text by section. Raises `AskError` where it is not a gateway's."""
-    found: Sections = {}
+def parse_sections(text: str, address: str) -> Sections:
+    """Split the text of INFO into sections. Raises `QueryError` if it is not from a gateway."""
+    sections: Sections = {}
     name = ""
     for line in text.split("\r\n"):
         if line.startswith("# "):
             name = line[2:].lower()
-            found[name] = {}
+            sections[name] = {}
         elif ":" in line:
             key, _, value = line.partition(":")
-            found.setdefault(name, {})[key] = value
-    if "oatlink_version" not in found.get("server", {}):
-        raise AskError(f"{address}: not a gateway of oatlink")
-    return found
+            sections.setdefault(name, {})[key] = value
+    if "oatlink_version" not in sections.get("server", {}):
+        raise QueryError(f"{address}: not a gateway of oatlink")
+    return sections
 
 
 def member_rows(sections: Sections) -> dict[str, dict[str, str]]:
-    """The members of an INFO: a table by name."""
+    """Return the member rows of an INFO by member name."""
     return {
         name: dict(part.partition("=")[::2] for part in value.split(","))
         for name, value in sections.get("members", {}).items()
@@ -105,26 +105,26 @@
 
 
 def path_rows(sections: Sections) -> dict[str, dict[str, str]]:
-    """The paths of an INFO: a table by box and place; empty where every box has one address only."""
+    """Return the path rows of an INFO by `box/place` (place: index of the address), or none if no box has several."""
     rows = {
         name: dict(part.partition("=")[::2] for part in value.split(",", 10))
         for name, value in sections.get("paths", {}).items()
     }
-    return where_several(rows)
+    return omit_single_paths(rows)
 
 
-def where_several(rows: dict[str, dict[str, str]]) -> dict[str, dict[str, str]]:
-    """Paths by box and place, or none where every box has one address only."""
+def omit_single_paths(rows: dict[str, dict[str, str]]) -> dict[str, dict[str, str]]:
+    """Return the path rows (by `box/place`), or none if no box has several addresses."""
     return rows if any(not name.endswith("/0") for name in rows) else {}
 
 
-COLUMNS = ("bank", "role", "says", "state", "offset", "age_ms", "heard_ms", "warmth", "out", "room", "takes")
+MEMBER_COLUMNS = ("bank", "role", "says", "state", "offset", "age_ms", "heard_ms", "warmth", "out", "room", "takes")
 
 
-def table(rows: dict[str, dict[str, str]], columns: tuple[str, ...] = COLUMNS) -> str:
-    """Rows in aligned columns."""
-    lines = [("box", *columns)] + [(name, *[row.get(one, "") for one in columns]) for name, row in rows.items()]
-    widths = [max(len(line[at]) for line in lines) for at in range(len(lines[0]))]
+def table(rows: dict[str, dict[str, str]], columns: tuple[str, ...] = MEMBER_COLUMNS) -> str:
+    """Format rows as a table with aligned columns."""
+    lines = [("box", *columns)] + [(name, *[row.get(column, "") for column in columns]) for name, row in rows.items()]
+    widths = [max(len(line[index]) for line in lines) for index in range(len(lines[0]))]
     return "\n".join(
         "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip() for line in lines
     )
@@ -132,17 +132,17 @@
 
 @click.command()
 @click.argument("address", metavar="HOST:PORT")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a reading.")
-@click.option("--watch", default=0.0, metavar="SECONDS", help="Ask again after so many seconds, until interrupted.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object for each reading.")
+@click.option("--watch", default=0.0, metavar="SECONDS", help="Read again after this many seconds, until interrupted.")
 def status(address: str, as_json: bool, watch: float) -> None:
-    """What a running gateway believes: members, roles, offsets, ages, room, elections, final answers.
+    """Show the state of a running gateway: members, roles, offsets, ages, concurrency limits, elections, final answers.
 
-    Exit 0: answered. Exit 2: nobody there, or not a gateway.
+    Exit 0: the gateway answered. Exit 2: nothing listens there, or it is not a gateway.
     """
     while True:
         try:
-            sections = ask_info(address)
-        except AskError as error:
+            sections = request_info(address)
+        except QueryError as error:
             fail(str(error))
             return
         rows = member_rows(sections)
@@ -168,10 +168,11 @@
         time.sleep(watch)
 
 
-async def inspect(path: str) -> tuple[dict[str, dict[str, str]], dict[str, dict[str, str]]]:
-    """Ask every box of a settings file by an engine of our own, as the gateway would, over each of its addresses.
+async def probe_boxes(path: str) -> tuple[dict[str, dict[str, str]], dict[str, dict[str, str]]]:
+    """Probe every box of a settings file over each of its addresses, with an engine of this process.
 
-    Returns the boxes and the paths to those that have several. Raises `SettingsError`.
+    The engine judges the boxes as a gateway would. Returns the rows of the boxes, and those of the paths if any box has
+    several. Raises `SettingsError`.
     """
     settings = load(path)
     gateway = Gateway(
@@ -179,88 +180,89 @@
     )
     gateway.start([])
     wait_s = (settings.links.connect_timeout_ms + settings.links.probe_timeout_ms) / 1000 + 0.1
-    # Twice: a replica's offset says how old it is only beside a primary's that was asked before it.
+    # Two rounds: the age of a replica's offset follows only from a primary's offset that was read before it.
     for _ in range(2):
         gateway.feed(m.Inspected())
-        end = time.monotonic() + wait_s
-        while gateway.probing and time.monotonic() < end:
+        deadline_s = time.monotonic() + wait_s
+        while gateway.probing and time.monotonic() < deadline_s:
             await asyncio.sleep(0.005)
     rows = {}
-    for one in gateway.engine.verdicts():
-        fields = {key: str(value) for key, value in msgspec.structs.asdict(one).items()}
+    for report in gateway.engine.verdicts():
+        fields = {key: str(value) for key, value in msgspec.structs.asdict(report).items()}
         rows[fields.pop("name")] = fields
-    end = time.monotonic() + wait_s
-    while time.monotonic() < end and any(row["state"] == "untried" for row in gateway.engine.path_rows()):
+    deadline_s = time.monotonic() + wait_s
+    while time.monotonic() < deadline_s and any(row["state"] == "untried" for row in gateway.engine.path_rows()):
         await asyncio.sleep(0.005)
     paths = {f"{row.pop('box')}/{row.pop('place')}": row for row in gateway.engine.path_rows()}
     await gateway.stop()
-    shown = {name: {key: str(value) for key, value in row.items()} for name, row in paths.items()}
-    return rows, where_several(shown)
+    texts = {name: {key: str(value) for key, value in row.items()} for name, row in paths.items()}
+    return rows, omit_single_paths(texts)
 
 
 @click.command()
 @click.argument("file", metavar="SETTINGS.jsonnet")
 @click.argument("boxes", nargs=-1, metavar="[BOX]...")
-@click.option("--against", default="", metavar="HOST:PORT", help="Show a running gateway's verdict beside.")
+@click.option("--against", default="", metavar="HOST:PORT", help="Also show how a running gateway uses each box.")
 @click.option("--json", "as_json", is_flag=True)
 def check(file: str, boxes: tuple[str, ...], against: str, as_json: bool) -> None:
-    """Ask boxes for role, history and offset, and say what a gateway by these settings would give them.
+    """Probe boxes for role, history and offset, and show which requests a gateway with these settings would send them.
 
-    Where a box has several addresses, each is tried and shown.
+    If a box has several addresses, each one is probed and shown.
 
-    Exit 0: every box named (or all) would be given work. Exit 1: one would not, or, with --against, the running
-    gateway's verdict is another one. Exit 2: bad settings, an unknown box, no gateway there.
+    Exit 0: every box named (or all) would be sent requests. Exit 1: one would not, or, with --against, the running
+    gateway uses a box differently. Exit 2: bad settings, an unknown box, no gateway at the address.
     """
     try:
-        rows, paths = asyncio.run(inspect(file))
-        sections = ask_info(against) if against else {}
+        rows, paths = asyncio.run(probe_boxes(file))
+        sections = request_info(against) if against else {}
         if against and sections["server"]["oatlink_version"] != __version__:
-            raise AskError(
+            raise QueryError(
                 f"{against}: version {sections['server']['oatlink_version']}, this is {__version__}: "
                 "they may decide differently"
             )
-        other = member_rows(sections)
-    except (SettingsError, AskError) as error:
+        gateway_rows = member_rows(sections)
+    except (SettingsError, QueryError) as error:
         fail(str(error))
         return
     for name in boxes:
         if name not in rows:
             fail(f"{file}: no box {name!r}; it names {', '.join(rows)}")
     rows = {name: row for name, row in rows.items() if not boxes or name in boxes}
-    differ = []
+    differing = []
     if against:
         for name, row in rows.items():
-            row["gateway"] = other.get(name, {}).get("takes", "not listed")
+            row["gateway"] = gateway_rows.get(name, {}).get("takes", "not listed")
             if row["gateway"] != row["takes"]:
-                differ.append(name)
+                differing.append(name)
     if as_json:
-        click.echo(json.dumps({"boxes": rows, "differ": differ, "paths": paths}))
+        click.echo(json.dumps({"boxes": rows, "differ": differing, "paths": paths}))
     else:
         columns = ("bank", "role", "says", "state", "replid", "offset", "age_ms", "warmth", "takes")
         click.echo(table(rows, (*columns, "gateway") if against else columns))
-        shown = {name: row for name, row in paths.items() if name.rpartition("/")[0] in rows}
-        if shown:
-            click.echo(table(shown, PATH_COLUMNS))
-        for name in differ:
+        paths_of_boxes = {name: row for name, row in paths.items() if name.rpartition("/")[0] in rows}
+        if paths_of_boxes:
+            click.echo(table(paths_of_boxes, PATH_COLUMNS))
+        for name in differing:
             click.echo(f"{name}: the running gateway says otherwise")
     idle = [name for name, row in rows.items() if row["takes"].startswith("nothing")]
-    sys.exit(1 if idle or differ else 0)
+    sys.exit(1 if idle or differing else 0)
 
 
 @click.command()
 @click.argument("address", metavar="HOST:PORT")
 @click.argument("word", metavar="WORD", type=click.Choice(["start", "stop", "dump", "status"]))
 def record(address: str, word: str) -> None:
-    """Start, stop or write down a running gateway's recording; HOST:PORT is its admin_listen.
+    """Start, stop or dump the recording of a running gateway; HOST:PORT is its admin_listen.
 
-    start: record to files from now on, beginning with the gateway's whole state. stop: end that. dump: write the ring
-    in memory (record: 'ring') to files beside record_file. status: what is recorded now. With workers, the first one.
+    start: record to files from now on, beginning with the gateway's whole state. stop: end the recording. dump: write
+    the in-memory ring (record: 'ring') to files beside record_file. status: what is being recorded. With several
+    workers, the command applies to the first one.
 
-    Exit 0: done, the line names the files. Exit 2: not done, and why.
+    Exit 0: done; the line printed names the files. Exit 2: not done; the line printed gives the reason.
     """
     try:
-        value = ask(address, "RECORD", word)
-    except AskError as error:
+        value = send_command(address, "RECORD", word)
+    except QueryError as error:
         fail(str(error))
         return
     click.echo(value.text.decode("utf-8", "replace") if isinstance(value, Simple) else str(value))
@@ -271,9 +273,9 @@
 @click.argument("request", type=int)
 @click.option("--json", "as_json", is_flag=True)
 def explain_command(file: str, request: int, as_json: bool) -> None:
-    """Say why a recorded request went where it went: each choice, each member, which guard spoke against it.
+    """Explain the routing of a recorded request: each choice, each member, and which guards excluded it.
 
-    The guards are the Router's own, asked during a replay. Exit 1: the recording does not know the request.
+    The guards are those of the Router, evaluated during a replay. Exit 1: the request is not in the recording.
     """
     recording = read_recording(file)
     account = explain(recording.header, recording.entries(), request)
@@ -289,10 +291,10 @@
     for line in account.events:
         click.echo(f"  {line}")
     for choice in account.choices:
-        need = f", data at most {choice.need_ms} ms old" if choice.need_ms >= 0 else ""
-        click.echo(f"{choice.at_us} chose {choice.chosen or 'nobody'}{need}")
-        for one in choice.candidates:
+        age_limit = f", data at most {choice.need_ms} ms old" if choice.need_ms >= 0 else ""
+        click.echo(f"{choice.at_us} chose {choice.chosen or 'nobody'}{age_limit}")
+        for candidate in choice.candidates:
             click.echo(
-                f"  {one.box}: {one.role}, {one.behind_ms} ms behind, {one.out} of {one.room} out: "
-                f"{', '.join(one.against) or 'fit'}"
+                f"  {candidate.box}: {candidate.role}, {candidate.behind_ms} ms behind, "
+                f"{candidate.out} of {candidate.room} out: {', '.join(candidate.against) or 'fit'}"
             )
--- a/oatlink/native.py
+++ b/oatlink/native.py
@@ -1,4 +1,4 @@
-"""Whether this process runs the compiled decisions and codecs, or the same as plain Python (setup.py)."""
+"""Whether this process runs the modules that setup.py compiles as machine code, or as plain Python."""
 
 from oatlink import book, holds, state
 from oatlink.core import engine, requests, sessions
@@ -9,6 +9,6 @@
 
 
 def code_kind() -> str:
-    """`COMPILED` or `PLAIN`; both decide the same, byte for byte."""
-    parts = (router, book, holds, state, engine, requests, sessions, resp)
-    return PLAIN if any((one.__file__ or "").endswith(".py") for one in parts) else COMPILED
+    """Return `COMPILED` or `PLAIN`; both behave the same, byte for byte."""
+    modules = (router, book, holds, state, engine, requests, sessions, resp)
+    return PLAIN if any((module.__file__ or "").endswith(".py") for module in modules) else COMPILED
