--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -43,12 +43,12 @@
 
 def pytest_configure(config: pytest.Config) -> None:
     """Read which tests are known to fail."""
-    known_red.load(config)
+    known_red.load_list(config)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     """Print the tests known to fail."""
-    known_red.tell(config, terminalreporter)
+    known_red.print_known_failures(config, terminalreporter)
 
 
 @pytest.hookimpl(optionalhook=True)
@@ -60,7 +60,7 @@
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Keep what must not run beside its like in one worker, and a module's other tests together."""
-    known_red.mark(config, items)
+    known_red.mark_expected_failures(config, items)
     for item in items:
         name = item.nodeid.partition(".py")[0].replace("/", ".")
         group = "processes" if name in PROCESSES else "fleets" if name in FLEETS else name
