--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins: truthful offsets, partial and full resynchronisation, WAIT, failover, faults, the control port."""
+"""Stand-in boxes: correct offsets, partial and full resynchronisation, WAIT, failover, faults, the control port."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,8 @@
 
 
 @contextlib.asynccontextmanager
-async def replicated() -> AsyncIterator[Bank]:
+async def replicated_bank() -> AsyncIterator[Bank]:
+    """A running bank of three synchronised boxes; the first one, `x`, is the primary."""
     bank = Bank("b", ["x", "y", "z"], seed=1, detect_s=(0.1, 0.2), elect_s=(0.05, 0.1))
     bank.start()
     await bank.synced()
@@ -26,47 +27,47 @@
         bank.stop()
 
 
-def held(box: Box) -> int:
-    """The offset that the data themselves show: each write adds one entry to the list."""
+def count_writes(box: Box) -> int:
+    """Count the writes that a box has applied: each one adds an entry to the list `l`."""
     value = box.store.data.get(b"l", [])
     assert isinstance(value, list)
     return len(value)
 
 
-@scene(replicated)
-async def test_offsets_count_exactly_the_writes_held(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_offsets_match_the_writes_applied(bank: Bank) -> None:
     x, y, _ = bank.boxes
     wire = await Wire.open(x.port)
-    size = len(resp.command("RPUSH", "l", 1))
+    write_bytes = len(resp.command("RPUSH", "l", 1))
     base = x.offset
     y.faults.lag_ms = 150
     for number in range(1, 10):
         await wire.ask("RPUSH", "l", 1)
-        assert x.offset == base + number * size and held(x) == number
+        assert x.offset == base + number * write_bytes and count_writes(x) == number
         for box in bank.boxes:
-            assert box.offset >= base and (box.offset - base) // size <= held(box)
+            assert box.offset >= base and (box.offset - base) // write_bytes <= count_writes(box)
         await asyncio.sleep(0.02)
     assert y.offset < x.offset
     y.faults.lag_ms = 0
     await bank.synced()
-    assert {held(one) for one in bank.boxes} == {9}
+    assert {count_writes(box) for box in bank.boxes} == {9}
 
 
-@scene(replicated)
-async def test_a_replica_refuses_writes_and_answers_reads_from_what_it_has(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_a_replica_refuses_writes_and_answers_reads_from_its_own_data(bank: Bank) -> None:
     x, y, _ = bank.boxes
     y.faults.lag_ms = 300
-    one, two = await Wire.open(x.port), await Wire.open(y.port)
-    await one.ask("SET", "a", 1)
-    assert await two.ask("GET", "a") == resp.Null(b"$")
-    refused = await two.ask("SET", "a", 2)
+    primary, replica = await Wire.open(x.port), await Wire.open(y.port)
+    await primary.ask("SET", "a", 1)
+    assert await replica.ask("GET", "a") == resp.Null(b"$")
+    refused = await replica.ask("SET", "a", 2)
     assert isinstance(refused, resp.Error) and refused.prefix == b"READONLY"
-    role = await two.ask("ROLE")
+    role = await replica.ask("ROLE")
     assert isinstance(role, resp.Array) and role.items[0] == b"slave"
 
 
-@scene(replicated)
-async def test_wait_counts_the_replicas_that_hold_the_write(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_wait_counts_the_replicas_that_have_the_write(bank: Bank) -> None:
     x, y, z = bank.boxes
     wire = await Wire.open(x.port)
     await wire.ask("SET", "a", 1)
@@ -76,8 +77,8 @@
     assert await wire.ask("WAIT", 1, 100) == 0
 
 
-@scene(replicated)
-async def test_a_crashed_primarys_unshipped_write_is_lost_and_its_history_resynchronised(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_a_crashed_primarys_unreplicated_write_is_lost_and_the_primary_resynchronised(bank: Bank) -> None:
     x = bank.boxes[0]
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", "kept")
@@ -85,20 +86,20 @@
     x.faults.die_on_write = True
     with pytest.raises(ConnectionError):
         await wire.ask("RPUSH", "l", "lost")
-    diverged = x.offset
+    diverged_offset = x.offset
     async with asyncio.timeout(3):
         while bank.primary is None:
             await asyncio.sleep(0.01)
-    new = bank.primary
-    assert new is not None and new is not x and new.offset < diverged
-    assert new.replid2 == x.replid and new.second_offset == new.offset + 1
+    elected = bank.primary
+    assert elected is not None and elected is not x and elected.offset < diverged_offset
+    assert elected.replid2 == x.replid and elected.second_offset == elected.offset + 1
     x.start()
     await bank.synced()
-    assert x.store.data[b"l"] == [b"kept"] and x.offset == new.offset and not x.is_primary
+    assert x.store.data[b"l"] == [b"kept"] and x.offset == elected.offset and not x.is_primary
 
 
-@scene(replicated)
-async def test_a_short_break_is_resynchronised_partly(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_a_short_disconnection_causes_a_partial_resynchronisation(bank: Bank) -> None:
     x, y, _ = bank.boxes
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", 1)
@@ -108,11 +109,12 @@
     await wire.ask("RPUSH", "l", 2)
     y.start()
     await bank.synced()
-    assert y.store.data is store and held(y) == 2  # a full one would have made the data anew
+    # A full resynchronisation would have replaced the data object.
+    assert y.store.data is store and count_writes(y) == 2
 
 
-@scene(replicated)
-async def test_a_hung_primary_is_fenced_when_it_wakes(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_a_primary_that_hung_is_fenced_when_it_continues(bank: Bank) -> None:
     x = bank.boxes[0]
     x.faults.hang = True
     wire = await Wire.open(x.port)
@@ -121,52 +123,52 @@
         while bank.primary is None:
             await asyncio.sleep(0.01)
     x.faults.hang = False
-    found = await pending
-    assert isinstance(found, resp.Error) and found.prefix == b"READONLY"
+    reply = await pending
+    assert isinstance(reply, resp.Error) and reply.prefix == b"READONLY"
 
 
-@scene(replicated)
-async def test_a_hand_over_loses_no_write(bank: Bank) -> None:
+@scene(replicated_bank)
+async def test_a_hand_over_loses_no_writes(bank: Bank) -> None:
     x = bank.boxes[0]
     wire = await Wire.open(x.port)
     for number in range(50):
         await wire.ask("RPUSH", "l", number)
-    chosen = await bank.hand_over()
-    assert chosen is not None and held(chosen) == 50 and chosen.is_primary and not x.is_primary
+    new_primary = await bank.hand_over()
+    assert new_primary is not None and count_writes(new_primary) == 50 and new_primary.is_primary and not x.is_primary
     await bank.synced()
 
 
-@scene(replicated)
+@scene(replicated_bank)
 async def test_repeats_inside_the_window_are_dropped_on_the_next_primary_too(bank: Bank) -> None:
     wire = await Wire.open(bank.boxes[0].port)
     first = await wire.ask("XADD", "s", "IDMP", "p", "k", "*", "f", "v")
     await bank.synced()
-    chosen = await bank.hand_over()
-    assert chosen is not None
-    other = await Wire.open(chosen.port)
+    new_primary = await bank.hand_over()
+    assert new_primary is not None
+    other = await Wire.open(new_primary.port)
     assert await other.ask("XADD", "s", "IDMP", "p", "k", "*", "f", "v") == first
     assert await other.ask("XLEN", "s") == 1
 
 
-def test_the_window_ends() -> None:
+def test_repeats_are_executed_again_after_the_window() -> None:
     store = Store(window_ms=100)
-    words = [b"XADD", b"s", b"IDMP", b"p", b"k", b"*", b"f", b"v"]
-    first = store.execute(words, 1_000)[0]
-    assert store.execute(words, 1_099) == (first, [])
-    assert store.execute(words, 1_100)[0] != first
+    args = [b"XADD", b"s", b"IDMP", b"p", b"k", b"*", b"f", b"v"]
+    first = store.execute(args, 1_000)[0]
+    assert store.execute(args, 1_099) == (first, [])
+    assert store.execute(args, 1_100)[0] != first
 
 
-def test_work_takes_its_time_and_a_cold_box_does_less() -> None:
+def test_work_takes_time_and_a_cold_box_has_less_capacity() -> None:
     box = Box("x", work=Work(read_us=10_000, cores=2, cold_share=0.25, warm_s=100.0))
 
     async def test() -> None:
         box.start()
         assert 45 <= box.capacity() <= 60
         wire = await Wire.open(box.port)
-        began = asyncio.get_running_loop().time()
+        start_s = asyncio.get_running_loop().time()
         for _ in range(3):
             await wire.ask("GET", "a")
-        assert asyncio.get_running_loop().time() - began > 0.1
+        assert asyncio.get_running_loop().time() - start_s > 0.1
         box.stop()
 
     asyncio.run(test())
