--- a/setup.py
+++ b/setup.py
@@ -1,7 +1,7 @@
-"""Builds the decisions and codecs of `[tool.oatlink] native` in pyproject.toml to machine code, by mypyc.
+"""Compiles the modules listed in `[tool.oatlink] native` in pyproject.toml to machine code with mypyc.
 
-Where there is no C compiler, or one that fails, the same wheel holds plain Python alone: all of it is compiled or
-nothing is. `OATLINK_PLAIN=1` asks for plain Python. Nothing is written into the source tree.
+Without a C compiler, or if it fails, the wheel contains only plain Python: either all modules are compiled or none.
+`OATLINK_PLAIN=1` requests plain Python. Nothing is written into the source tree.
 """
 
 import os
@@ -14,12 +14,12 @@
 from setuptools import Distribution, setup
 from setuptools.command.build_ext import build_ext
 
-PLACE = tempfile.mkdtemp(prefix="oatlink-build-")
+BUILD_DIR = tempfile.mkdtemp(prefix="oatlink-build-")
 MODULES = tomllib.loads(Path("pyproject.toml").read_text(encoding="utf-8"))["tool"]["oatlink"]["native"]
 
 
-class Native(build_ext):
-    """All modules of the list, or none."""
+class NativeBuild(build_ext):
+    """Compiles all modules of the list, or none."""
 
     def finalize_options(self) -> None:
         if self.distribution.ext_modules is None:
@@ -31,29 +31,29 @@
         try:
             from mypyc.build import mypycify
 
-            # No configuration: the project's own is strict, and needs packages that a build has no use for.
-            options = ["--config-file=", "--ignore-missing-imports", "--cache-dir", f"{PLACE}/types", *MODULES]
+            # The project's mypy configuration is not used: it is strict, and needs packages that a build does not.
+            options = ["--config-file=", "--ignore-missing-imports", "--cache-dir", f"{BUILD_DIR}/types", *MODULES]
             level = os.environ.get("OATLINK_OPTIMIZE", "2")
-            return mypycify(options, opt_level=level, debug_level="0", separate=True, target_dir=PLACE)
-        except (Exception, SystemExit) as problem:
-            self._plain(problem)
+            return mypycify(options, opt_level=level, debug_level="0", separate=True, target_dir=BUILD_DIR)
+        except (Exception, SystemExit) as error:
+            self._report_plain(error)
             return []
 
     def run(self) -> None:
         try:
             super().run()
-        except Exception as problem:  # no compiler, no headers, no room: whatever it is, plain Python is there
-            self._plain(problem)
-            for one in Path(self.build_lib).rglob("*.so"):
-                one.unlink()
+        except Exception as error:  # whatever fails (no compiler, headers or disk space), plain Python is left
+            self._report_plain(error)
+            for library in Path(self.build_lib).rglob("*.so"):
+                library.unlink()
             self.distribution.ext_modules = self.extensions = []
 
-    def _plain(self, problem: BaseException) -> None:
-        print(f"oatlink: plain Python only, nothing was compiled: {problem}", file=sys.stderr)
+    def _report_plain(self, error: BaseException) -> None:
+        print(f"oatlink: plain Python only, nothing was compiled: {error}", file=sys.stderr)
 
 
 class Package(Distribution):
-    """Says that there is something to compile before it is known what."""
+    """Declares extension modules before it is known which ones there are."""
 
     def has_ext_modules(self) -> bool:
         return os.environ.get("OATLINK_PLAIN", "") != "1"
@@ -62,8 +62,8 @@
 try:
     setup(
         distclass=Package,
-        cmdclass={"build_ext": Native},
-        options={"build": {"build_base": PLACE}, "egg_info": {"egg_base": PLACE}},
+        cmdclass={"build_ext": NativeBuild},
+        options={"build": {"build_base": BUILD_DIR}, "egg_info": {"egg_base": BUILD_DIR}},
     )
 finally:
-    shutil.rmtree(PLACE, ignore_errors=True)
+    shutil.rmtree(BUILD_DIR, ignore_errors=True)
