--- a/oatlink/protocols/resp.py
+++ b/oatlink/protocols/resp.py
@@ -235,66 +235,66 @@
     def take(self) -> list[bytes] | None:
         """Return the next complete command, or None if more bytes are needed."""
         buffer = self._buffer
-        data, at = buffer.data, buffer.position
+        data, position = buffer.data, buffer.position
         size = len(data)
         while True:
             if self._arguments_left == 0:
-                if at >= size:
-                    buffer.position = at
+                if position >= size:
+                    buffer.position = position
                     return None
-                if data[at] != 0x2A:  # '*'
-                    buffer.position = at
+                if data[position] != 0x2A:  # '*'
+                    buffer.position = position
                     words = self._take_inline()
                     if words is None or words:
                         return words
-                    at = buffer.position
+                    position = buffer.position
                     continue
-                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
+                end = data.find(CRLF, position, position + MAX_HEADER_BYTES)
                 if end < 0:
-                    buffer.position = at
-                    self._check_header_length(at, "too big mbulk count string")
+                    buffer.position = position
+                    self._check_header_length(position, "too big mbulk count string")
                     return None
-                count = _parse_integer(bytes(data[at + 1 : end]), "invalid multibulk length")
+                count = _parse_integer(bytes(data[position + 1 : end]), "invalid multibulk length")
                 if count > self._limits.items:
                     raise ProtocolError("ERR Protocol error: invalid multibulk length")
-                at = end + 2
+                position = end + 2
                 if count <= 0:
                     continue
                 self._arguments_left, self._args, self._args_bytes = count, [], 0
             if self._bulk_length < 0:
-                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
+                end = data.find(CRLF, position, position + MAX_HEADER_BYTES)
                 if end < 0:
-                    buffer.position = at
-                    if at < size and data[at] != 0x24:
-                        raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[at])}'")
-                    self._check_header_length(at, "too big bulk count string")
+                    buffer.position = position
+                    if position < size and data[position] != 0x24:
+                        raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[position])}'")
+                    self._check_header_length(position, "too big bulk count string")
                     return None
-                if data[at] != 0x24:  # '$'
-                    raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[at])}'")
-                length = _parse_integer(bytes(data[at + 1 : end]), "invalid bulk length")
+                if data[position] != 0x24:  # '$'
+                    raise ProtocolError(f"ERR Protocol error: expected '$', got '{_printable(data[position])}'")
+                length = _parse_integer(bytes(data[position + 1 : end]), "invalid bulk length")
                 if length < 0 or length > self._limits.bulk_bytes:
                     raise ProtocolError("ERR Protocol error: invalid bulk length")
                 if self._args_bytes + length > self._limits.message_bytes:
                     raise ProtocolError("ERR Protocol error: too big request")
-                self._bulk_length, at = length, end + 2
-            end = at + self._bulk_length
+                self._bulk_length, position = length, end + 2
+            end = position + self._bulk_length
             if size < end + 2:
-                buffer.position = at
+                buffer.position = position
                 return None
             if data[end] != 0x0D or data[end + 1] != 0x0A:
                 raise ProtocolError("ERR Protocol error: expected CRLF after a bulk string")
-            self._args.append(buffer.copy(at, end))
+            self._args.append(buffer.copy(position, end))
             self._args_bytes += self._bulk_length
-            self._bulk_length, at = -1, end + 2
+            self._bulk_length, position = -1, end + 2
             self._arguments_left -= 1
             if self._arguments_left == 0:
-                buffer.position = at
+                buffer.position = position
                 args, self._args, self._args_bytes = self._args, [], 0
                 return args
 
-    def _check_header_length(self, at: int, problem: str) -> None:
-        """Refuse a header at `at` whose end has not been found within `MAX_HEADER_BYTES`."""
-        if self._buffer.pending >= MAX_HEADER_BYTES and len(self._buffer.data) - at >= MAX_HEADER_BYTES:
+    def _check_header_length(self, position: int, problem: str) -> None:
+        """Refuse a header at `position` whose end has not been found within `MAX_HEADER_BYTES`."""
+        if self._buffer.pending >= MAX_HEADER_BYTES and len(self._buffer.data) - position >= MAX_HEADER_BYTES:
             raise ProtocolError(f"ERR Protocol error: {problem}")
 
     def _take_inline(self) -> list[bytes] | None:
@@ -319,52 +319,58 @@
 
 
 def split_inline(line: bytes) -> list[bytes]:
-    """Split an inline command into words. Escapes are read in double quotes; in single quotes only an escaped quote."""
+    """Split an inline command into words. Double quotes allow escapes, single quotes only an escaped single quote."""
     words: list[bytes] = []
-    at, size = 0, len(line)
+    position, size = 0, len(line)
     while True:
-        while at < size and line[at] in _WHITESPACE:
-            at += 1
-        if at >= size:
+        while position < size and line[position] in _WHITESPACE:
+            position += 1
+        if position >= size:
             return words
         word = bytearray()
-        while at < size and line[at] not in _WHITESPACE:
-            quote = line[at]
+        while position < size and line[position] not in _WHITESPACE:
+            quote = line[position]
             if quote not in (0x22, 0x27):
                 word.append(quote)
-                at += 1
+                position += 1
                 continue
-            at += 1
+            position += 1
             while True:
-                if at >= size:
+                if position >= size:
                     raise ProtocolError("ERR Protocol error: unbalanced quotes in request")
-                byte = line[at]
+                byte = line[position]
                 if byte == quote:
-                    at += 1
-                    if at < size and line[at] not in _WHITESPACE:
+                    position += 1
+                    if position < size and line[position] not in _WHITESPACE:
                         raise ProtocolError("ERR Protocol error: unbalanced quotes in request")
                     break
-                if byte == 0x5C and quote == 0x22 and at + 1 < size:
-                    code = line[at + 2 : at + 4]
-                    if line[at + 1] == 0x78 and len(code) == 2 and all(c in b"0123456789abcdefABCDEF" for c in code):
+                if byte == 0x5C and quote == 0x22 and position + 1 < size:
+                    code = line[position + 2 : position + 4]
+                    if (
+                        line[position + 1] == 0x78
+                        and len(code) == 2
+                        and all(c in b"0123456789abcdefABCDEF" for c in code)
+                    ):
                         word.append(int(code, 16))
-                        at += 4
+                        position += 4
                         continue
-                    word.append(_ESCAPES.get(line[at + 1], line[at + 1]))
-                    at += 2
+                    word.append(_ESCAPES.get(line[position + 1], line[position + 1]))
+                    position += 2
                     continue
-                if byte == 0x5C and quote == 0x27 and line[at + 1 : at + 2] == b"'":
+                if byte == 0x5C and quote == 0x27 and line[position + 1 : position + 2] == b"'":
                     word.append(0x27)
-                    at += 2
+                    position += 2
                     continue
                 word.append(byte)
-                at += 1
+                position += 1
         words.append(bytes(word))
 
 
-_LINE_TYPES = b"+-:_#,("
-_BULK_TYPES = b"$!="
-_VALUES_PER_ITEM = {0x2A: 1, 0x7E: 1, 0x3E: 1, 0x25: 2, 0x7C: 2}  # of the aggregate types * ~ > % |
+# Type bytes compared below: 21 "!", 23 "#", 24 "$", 25 "%", 28 "(", 2A "*", 2B "+", 2C ",", 2D "-", 3A ":", 3D "=",
+# 3E ">", 5F "_", 7C "|", 7E "~".
+_LINE_TYPES = b"+-:_#,("  # the whole value is on one line
+_BULK_TYPES = b"$!="  # a length line, then that many bytes
+_VALUES_PER_ITEM = {0x2A: 1, 0x7E: 1, 0x3E: 1, 0x25: 2, 0x7C: 2}  # aggregate types: * ~ > % |
 
 
 class ReplyReader:
@@ -409,25 +415,25 @@
         data, start = buffer.data, buffer.position
         size = len(data)
         while True:
-            at = start + self._scanned_bytes
-            if at >= size:
+            position = start + self._scanned_bytes
+            if position >= size:
                 return False
-            kind = data[at]
+            kind = data[position]
             if kind in _LINE_TYPES:
-                end = data.find(CRLF, at, at + limits.inline_bytes)
+                end = data.find(CRLF, position, position + limits.inline_bytes)
                 if end < 0:
-                    if size - at >= limits.inline_bytes:
+                    if size - position >= limits.inline_bytes:
                         raise ProtocolError("ERR Protocol error: too long line")
                     return False
-                _check_line(kind, data, at + 1, end)
+                _check_line(kind, data, position + 1, end)
                 self._scanned_bytes = end + 2 - start
             elif kind in _BULK_TYPES or kind in _VALUES_PER_ITEM:
-                end = data.find(CRLF, at, at + MAX_HEADER_BYTES)
+                end = data.find(CRLF, position, position + MAX_HEADER_BYTES)
                 if end < 0:
-                    if size - at >= MAX_HEADER_BYTES:
+                    if size - position >= MAX_HEADER_BYTES:
                         raise ProtocolError("ERR Protocol error: too long length")
                     return False
-                text = bytes(data[at + 1 : end])
+                text = bytes(data[position + 1 : end])
                 if text == b"?":
                     raise ProtocolError("ERR Protocol error: streamed types are not taken")
                 length = _parse_integer(text, "invalid length")
@@ -504,9 +510,9 @@
     return value
 
 
-def _decode(raw: bytes, at: int) -> tuple[Value, int]:
-    end = raw.index(CRLF, at)
-    kind, text, after = raw[at], raw[at + 1 : end], end + 2
+def _decode(raw: bytes, position: int) -> tuple[Value, int]:
+    end = raw.index(CRLF, position)
+    kind, text, after = raw[position], raw[position + 1 : end], end + 2
     if kind == 0x2B:
         return Simple(text), after
     if kind == 0x2D:
