--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -193,7 +193,7 @@
         match pg.startup(message):
             case pg.Startup():
                 self._is_started = True
-                self._reader.started()
+                self._reader.end_startup()
                 self.write(answers.GREETING)
             case pg.Cancel():
                 self.end(b"")
