--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -8,7 +8,6 @@
 import msgspec
 
 from oatlink import interface as api
-from oatlink.beliefs import belief as belief_of
 from oatlink.core import messages as m
 from oatlink.core import outcomes
 from oatlink.core.reports import BoxReport, parse_info
@@ -16,6 +15,7 @@
 from oatlink.core.ways import REPORT, Ways, ways_of
 from oatlink.fleet.gate import Seen
 from oatlink.interface import Outcome, Role
+from oatlink.member_status import belief as belief_of
 
 SAMPLE_WAIT_US = 10_000  # a replica's check waits so long for the primary's offset to compare with
 SEEN = {"late": "hung", "refused": "refused", "reset": "reset"}  # how a probe or an attempt ended: evidence for others
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from oatlink import interface as api
-from oatlink.book import Book, Member, Request
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Entry, Header, engine_of
-from oatlink.rules import checks, cold, holding, room
+from oatlink.router_state import Book, Member, Request
+from oatlink.rules import checks, cold, concurrency, queueing
 
 
 class Candidate(msgspec.Struct, frozen=True):
@@ -68,7 +68,7 @@
         rows = [self._row(book, request, member) for member in book.groups[request.group].members.values()]
         found = self._whole(book, request)
         chosen = self.names.get(found.entry.member, "") if found is not None else ""
-        need = holding.need(book, request) if request.rule.freshness is not api.Freshness.WRITE else -1
+        need = queueing.need(book, request) if request.rule.freshness is not api.Freshness.WRITE else -1
         need_ms = (book.now - need) // 1000 if need >= 0 else -1
         self.seen.append(Choice(int(request.id), book.now, chosen, need_ms, rows))
         return found
@@ -85,7 +85,7 @@
             against.append("role unknown")
         if writes and group.primary != member.entry.member:
             against.append("not the primary")
-        if not writes and member.role is api.Role.REPLICA and member.position_us < holding.need(book, request):
+        if not writes and member.role is api.Role.REPLICA and member.position_us < queueing.need(book, request):
             against.append("position too old or not proven")
         if checks.in_doubt(book, member):
             against.append("a check is overdue")
@@ -93,7 +93,7 @@
             against.append("tried before")
         if not cold.within_budget(book, copy(member), 1.0):
             against.append("cold budget spent")
-        elif not room.has_room(book, copy(member), 1.0):
+        elif not concurrency.has_room(book, copy(member), 1.0):
             against.append("no room")
         book.shown, book.shown_us = kept
         behind = (book.now - member.position_us) // 1000 if member.position_us >= 0 else -1
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from oatlink.beliefs import belief as belief_of
 from oatlink.core import messages as m
 from oatlink.core.commands import find
 from oatlink.core.local import server_section
@@ -13,6 +12,7 @@
 from oatlink.core.shared import BoxState
 from oatlink.core.transactions import Transactions
 from oatlink.interface import Role
+from oatlink.member_status import belief as belief_of
 from oatlink.protocols.resp import Array, Map, Simple, Value, encode, error
 
 ADMIN = frozenset((b"MEMBERS", b"BANKS", b"ELECTIONS", b"SESSIONS", b"INSPECT", b"PATHS"))
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -18,10 +18,10 @@
 import xxhash
 
 from oatlink import __version__
-from oatlink.book import Book
 from oatlink.core import positions
 from oatlink.core.engine import Engine
 from oatlink.core.stored_names import ENUMS, RECORDS, ROUTER, engine_names
+from oatlink.router_state import Book
 from oatlink.settings.load import settings_hash
 from oatlink.settings.model import Settings
 
--- a/oatlink/core/stored_names.py
+++ b/oatlink/core/stored_names.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from oatlink import holds, state
 from oatlink import interface as api
-from oatlink.book import Book
+from oatlink import pending, state
 from oatlink.core import addresses, messages, overload, positions, reports, sessions, shared
+from oatlink.router_state import Book
 from oatlink.settings import model, parts
 
 RECORDS: dict[str, tuple[type, tuple[str, ...]]] = {
@@ -101,7 +101,7 @@
         ),
     ),
     "oatlink.holds.Row": (
-        holds.Row,
+        pending.Row,
         (
             "first",
             "size",
@@ -111,7 +111,7 @@
         ),
     ),
     "oatlink.holds.Holds": (
-        holds.Holds,
+        pending.Holds,
         (
             "held",
             "rows",
--- a/oatlink/beliefs.py
+++ b/oatlink/member_status.py
@@ -1,6 +1,6 @@
 """What a router holds of a member, for people and for their tools. It changes nothing and decides nothing."""
 
-from oatlink.book import Belief
+from oatlink.router_state import Belief
 from oatlink.rules import Router, checks, cold
 
 
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 
 from oatlink import interface as api
-from oatlink.beliefs import belief as belief_of
 from oatlink.gateway.clock import Marks, now_us
 from oatlink.interface import Outcome, Report, RosterKind
+from oatlink.member_status import belief as belief_of
 from oatlink.platform import discovery as disco
 from oatlink.platform import requests as req
 from oatlink.platform import signals
--- a/oatlink/book.py
+++ b/oatlink/router_state.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from oatlink import interface as api
-from oatlink.holds import Holds, Kind, Row
+from oatlink.pending import Holds, Kind, Row
 from oatlink.state import LONG_AGO, NEVER, Attempt, Belief, Group, Member, Request, SessionRequests
 
 __all__ = ["LONG_AGO", "NEVER", "Attempt", "Belief", "Book", "Group", "Holds", "Kind", "Member", "Request", "Row"]
--- a/oatlink/rules/arrivals.py
+++ b/oatlink/rules/arrivals.py
@@ -1,8 +1,8 @@
 """What is done with a request that has come in."""
 
-from oatlink.book import Book, Request
 from oatlink.interface import Arrival, Freshness
-from oatlink.rules import checks, due, holding, placing, terms
+from oatlink.router_state import Book, Request
+from oatlink.rules import checks, dispatch, parameters, queueing, sweeps
 
 DRAW_STEPS_COUNT = 8  # in which a cold primary admits what only it takes
 
@@ -25,7 +25,7 @@
         rule.worth * _share_worth(book, event.tenant),
         group.arrived,
     )
-    if book.settings.peers > terms.FEW_PEERS_COUNT:
+    if book.settings.peers > parameters.FEW_PEERS_COUNT:
         request.tied = rule.freshness in (Freshness.WRITE, Freshness.LATEST)
         request.draw = (1 + book.random.randrange(DRAW_STEPS_COUNT)) / DRAW_STEPS_COUNT
         book.arrived, book.answered = book.arrived + 1, 0.95 * book.answered
@@ -37,11 +37,11 @@
     drawn = book.random.random() ** max(request.worth, 0.01) if group.share < 1.0 else 0.0
     # Threat: a share that is never tried never comes back.
     if drawn > group.share**book.worth and book.now - group.let_us < book.settings.fall_us:
-        holding.give_up(book, request)
+        queueing.give_up(book, request)
     else:  # Threat: a tenant's flood. Past its share it passes nothing that waits, nor is passed by others.
         group.let_us, held = book.now, bool(book.holds[group.id].held)
-        placing.place(book, request, held and (request.worth < rule.worth or group.id in book.unsettled))
-    due.plan(book, group)
+        dispatch.place(book, request, held and (request.worth < rule.worth or group.id in book.unsettled))
+    sweeps.plan(book, group)
 
 
 def _share_worth(book: Book, tenant: str | None) -> float:
--- a/oatlink/rules/checks.py
+++ b/oatlink/rules/checks.py
@@ -1,8 +1,8 @@
 """When a member is asked how it is, and when an open question holds work back."""
 
 from oatlink import interface as api
-from oatlink.book import NEVER, Book, Group, Member
-from oatlink.rules import answers, cold, terms
+from oatlink.router_state import NEVER, Book, Group, Member
+from oatlink.rules import cold, parameters, service_time
 
 
 def check(book: Book, member: Member) -> None:
@@ -34,7 +34,7 @@
 
 def _check_unknown(book: Book, member: Member) -> None:
     """Ask a member again at the design's half seconds, but one that does not answer ever more rarely."""
-    if book.now - member.checked_us >= terms.HOLD_CHECK_US << min(max(0, member.failed_checks - 1), 4):
+    if book.now - member.checked_us >= parameters.HOLD_CHECK_US << min(max(0, member.failed_checks - 1), 4):
         check(book, member)
 
 
@@ -43,7 +43,7 @@
     if not member.out:
         return NEVER
     since = max(member.heard_us, next(iter(member.out.values())), book.stalled_us)
-    return max(since + 2 * answers.usual_us(book, group), member.checked_us + book.target_us)
+    return max(since + 2 * service_time.usual_us(book, group), member.checked_us + book.target_us)
 
 
 def in_doubt(book: Book, member: Member) -> bool:
--- a/oatlink/rules/cold.py
+++ b/oatlink/rules/cold.py
@@ -1,7 +1,7 @@
 """How much a member may be given that has only just started."""
 
-from oatlink.book import Book, Member, Request
-from oatlink.rules.terms import HEARTBEAT_US
+from oatlink.router_state import Book, Member, Request
+from oatlink.rules.parameters import HEARTBEAT_US
 
 COLD_BUDGET_SHARE = 0.7  # of what a cold member bears, for all routers together; the rest is left for chance
 KEPT_TOKENS_COUNT = 1.1  # that a router may always keep: for an attempt, and the check before it
--- a/oatlink/rules/room.py
+++ b/oatlink/rules/concurrency.py
@@ -1,8 +1,8 @@
 """How much may be out at a member, and what share of its group's requests is let in."""
 
-from oatlink.book import Book, Member, Request
 from oatlink.interface import AttemptEnded, Outcome
-from oatlink.rules import answers, checks, cold, due, terms
+from oatlink.router_state import Book, Member, Request
+from oatlink.rules import checks, cold, parameters, service_time, sweeps
 
 LEAST_ADMITTED_SHARE = 0.05  # to a group whose answers are slow: enough to see it recover
 
@@ -27,7 +27,7 @@
     """Room follows what a member shows: more while answers come in good time, less when slow or full."""
     group = book.groups[member.entry.group]
     if event.outcome is Outcome.SERVED:
-        member.rate = cold.rate(book, member) + 1e6 / terms.HEARTBEAT_US
+        member.rate = cold.rate(book, member) + 1e6 / parameters.HEARTBEAT_US
         member.rate_us, member.refused, book.answered = book.now, 0, book.answered + 0.05
         # Threat: a first guess far above what answers take keeps a member out of the turn for long.
         member.duration_us += (0.1 if member.duration_us else 1.0) * (event.duration_us - member.duration_us)
@@ -47,17 +47,17 @@
         _admit_by(book, member, True)
     elif event.outcome is Outcome.LATE and event.duration_us > book.target_us:  # else a short wait
         _cut(book, member)
-        if answers.usual_us(book, group) > book.target_us:
+        if service_time.usual_us(book, group) > book.target_us:
             _admit_by(book, member, True)  # where other answers are quick, this one was lost
     elif event.outcome is Outcome.NO_CONNECTION:  # Threat: it takes few. Each next try waits longer
-        _pause(book, member, min(book.tick_us << min(member.refused, 8), terms.HOLD_CHECK_US))
+        _pause(book, member, min(book.tick_us << min(member.refused, 8), parameters.HOLD_CHECK_US))
         member.refused += 1
 
 
 def _pause(book: Book, member: Member, pause_us: int) -> None:
     """Nothing more to a member for about this long."""
     member.full_until_us = book.now + round(pause_us * book.random.uniform(0.5, 1.5))
-    due.look_by(book, book.groups[member.entry.group], member.full_until_us)
+    sweeps.look_by(book, book.groups[member.entry.group], member.full_until_us)
 
 
 def _cut(book: Book, member: Member) -> None:
@@ -70,11 +70,11 @@
     """Threat: one attempt of each of many routers is already too much; room cannot fall below one."""
     # Then a share is let in by chance: first, at a primary, of what has a choice, then of all the group's.
     group = book.groups[member.entry.group]
-    lends = group.primary == member.entry.member and book.now - book.lent_us < terms.HEARTBEAT_US
+    lends = group.primary == member.entry.member and book.now - book.lent_us < parameters.HEARTBEAT_US
     if not slow:
         group.share = min(1.0, group.share + 0.05)
         book.lend = min(1.0, (1.05 if lends else 1.0) * book.lend)
     elif lends and book.lend > LEAST_ADMITTED_SHARE:
         book.lend *= 0.8
-    elif member.room <= 1.0 and book.settings.peers > terms.FEW_PEERS_COUNT:
+    elif member.room <= 1.0 and book.settings.peers > parameters.FEW_PEERS_COUNT:
         group.share = max(LEAST_ADMITTED_SHARE, 0.8 * group.share)
--- a/oatlink/rules/placing.py
+++ b/oatlink/rules/dispatch.py
@@ -2,22 +2,22 @@
 
 import heapq
 
-from oatlink.book import LONG_AGO, Book, Group, Kind, Request, Row
 from oatlink.interface import Freshness
-from oatlink.rules import due, holding, reads, room, sending
+from oatlink.router_state import LONG_AGO, Book, Group, Kind, Request, Row
+from oatlink.rules import concurrency, queueing, reads, sending, sweeps
 
 
 def place(book: Book, request: Request, wait: bool = False) -> None:
     """Send a request, or hold it. Threat: clients that wait less than answers take fill the members."""
-    end_us = holding.give_up_at(book, request)
+    end_us = queueing.give_up_at(book, request)
     brief = not request.attempts and book.now >= end_us
     member = None if wait or brief else book.choose(book, request)
     if member is None or not sending.send(book, request, member):
-        holding.hold(book, book.groups[request.group], request)
+        queueing.hold(book, book.groups[request.group], request)
         if book.now >= end_us:
-            holding.give_up(book, request)
+            queueing.give_up(book, request)
         else:
-            due.look_by(book, book.groups[request.group], end_us)
+            sweeps.look_by(book, book.groups[request.group], end_us)
 
 
 def pump(book: Book, group: Group) -> None:
@@ -26,10 +26,10 @@
     if book.more and holds.held:
         book.unsettled[group.id] = None
         return
-    if holds.held and any(room.is_free(book, one, 1.0) for one in group.members.values()):
-        holding.tidy_rows(book, holds)
+    if holds.held and any(concurrency.is_free(book, one, 1.0) for one in group.members.values()):
+        queueing.tidy_rows(book, holds)
         heads = [(kind, row.oldest()) for kind, row in holds.rows.items()]
-        waiting = [(holding.urgency(book, head), kind) for kind, head in heads if head is not None]
+        waiting = [(queueing.urgency(book, head), kind) for kind, head in heads if head is not None]
         heapq.heapify(waiting)
         aside: list[tuple[Request, Kind]] = []
         while waiting:
@@ -38,8 +38,8 @@
             request = _next(book, group, row) if row is not None else None
             if row is None or request is None:
                 continue
-            if holding.urgency(book, request) > urgency:  # older ones of its row find no member
-                heapq.heappush(waiting, (holding.urgency(book, request), kind))
+            if queueing.urgency(book, request) > urgency:  # older ones of its row find no member
+                heapq.heappush(waiting, (queueing.urgency(book, request), kind))
                 continue
             member = book.choose(book, request)
             if member is None or not sending.send(book, request, member):
@@ -48,8 +48,8 @@
             if row.held:
                 heapq.heappush(waiting, (urgency, kind))
         for request, kind in aside:
-            holding.put(book, holds, request, kind)
-    due.plan(book, group)
+            queueing.put(book, holds, request, kind)
+    sweeps.plan(book, group)
 
 
 def _next(book: Book, group: Group, row: Row) -> Request | None:
@@ -63,8 +63,9 @@
         ready = reads.sound(book, group)
         most = fits = max((one.position_us for one in ready), default=LONG_AGO)
         primary = group.members.get(group.primary) if group.primary is not None else None
-        if primary is None or not room.has_room(book, primary, 0.5):
-            most = max((one.position_us for one in ready if room.has_room(book, one, 1.0)), default=LONG_AGO)
+        if primary is None or not concurrency.has_room(book, primary, 0.5):
+            free = [one for one in ready if concurrency.has_room(book, one, 1.0)]
+            most = max((one.position_us for one in free), default=LONG_AGO)
         beyond = row.newest(fits)
         if beyond is not None and book.choose(book, beyond) is not None:
             return oldest
--- a/oatlink/rules/outcomes.py
+++ b/oatlink/rules/outcomes.py
@@ -1,8 +1,8 @@
 """What the end of an attempt, or of a check, says of its member and its request."""
 
-from oatlink.book import Book, Member, Request
 from oatlink.interface import AttemptEnded, Cancel, Checked, DropIdle, Freshness, Outcome, Role
-from oatlink.rules import checks, holding, placing, primaries, room, sending, sessions, terms
+from oatlink.router_state import Book, Member, Request
+from oatlink.rules import checks, concurrency, dispatch, parameters, primaries, queueing, sending, sessions
 
 
 def checked(book: Book, end: Checked) -> None:
@@ -26,7 +26,7 @@
             # Threat: no check is ever answered. With nothing heard at all the list's roles are tried.
             for one in group.members.values():
                 primaries.take_list_role(book, one)
-    placing.pump(book, group)
+    dispatch.pump(book, group)
 
 
 def ended(book: Book, end: AttemptEnded) -> None:
@@ -41,9 +41,9 @@
             request.may_have_run_us = request.attempts[end.attempt].sent_us
         sessions.ended(book, request)
         (_served if end.over else _go_on)(book, request, end)
-        placing.pump(book, book.groups[request.group])
+        dispatch.pump(book, book.groups[request.group])
     elif member is not None:
-        placing.pump(book, book.groups[member.entry.group])
+        dispatch.pump(book, book.groups[member.entry.group])
 
 
 def _learn(book: Book, member: Member, end: AttemptEnded, sent_us: int) -> None:
@@ -54,8 +54,8 @@
     if end.report is not None:
         primaries.hear(book, member, end.report, fresh=False)
     if sent_us >= book.stalled_us:
-        room.learn(book, member, end)
-    if end.outcome is Outcome.NO_CONNECTION and book.now - member.heard_us < terms.HEARTBEAT_US:
+        concurrency.learn(book, member, end)
+    if end.outcome is Outcome.NO_CONNECTION and book.now - member.heard_us < parameters.HEARTBEAT_US:
         # Threat: the member is full for this router. Connections that worked are kept; a check tells.
         if book.now - member.heard_us > book.target_us:
             checks.check(book, member)
@@ -80,13 +80,13 @@
         sessions.ended(book, request, (end.answer and end.answer.position_us) or book.now)
     if book.settings.may_cancel:
         book.do += [Cancel(request.id, number) for number, one in enumerate(request.attempts) if one.out]
-    holding.forget(book, request.id)
+    queueing.forget(book, request.id)
 
 
 def _go_on(book: Book, request: Request, end: AttemptEnded) -> None:
     """An attempt has failed: the next one, or the end."""
     if end.outcome is Outcome.NOT_SENT or book.now >= request.expires_us - book.margin_us:
-        return holding.give_up(book, request)
+        return queueing.give_up(book, request)
     request.tried.append(end.member)
     request.draw += request.tied and end.outcome is Outcome.FULL  # Threat: each send weighs, also a repeat
     # Threat: requests that fail everywhere. One error may be the member's, a second is the request's.
@@ -94,4 +94,4 @@
     again, request.failed = request.failed and error, request.failed or error
     if not any(one.out for one in request.attempts):
         over = again or not sending.may_repeat(book, request)
-        (holding.give_up if over else placing.place)(book, request)
+        (queueing.give_up if over else dispatch.place)(book, request)
--- a/oatlink/rules/terms.py
+++ b/oatlink/rules/parameters.py
@@ -1,7 +1,7 @@
 """What follows from the settings, and the times that several modules go by."""
 
-from oatlink.book import Book
 from oatlink.interface import Freshness, Settings
+from oatlink.router_state import Book
 
 HEARTBEAT_US = 10_000_000  # the design's default; also how long what a member has shown is believed
 HOLD_CHECK_US = 500_000  # the design's period of checks while a group lacks a primary
--- a/oatlink/rules/primaries.py
+++ b/oatlink/rules/primaries.py
@@ -1,8 +1,8 @@
 """Which member of a group is its primary."""
 
-from oatlink.book import Book, Member
 from oatlink.interface import Effect, Log, Report, Role
-from oatlink.rules import checks, due, holding
+from oatlink.router_state import Book, Member
+from oatlink.rules import checks, queueing, sweeps
 
 
 def hear(book: Book, member: Member, report: Report | None, fresh: bool) -> None:
@@ -60,5 +60,5 @@
         if request is not None and request.rule.effect is Effect.IDEMPOTENT and not request.copied:
             request.copied = True
             request.tried.append(member.entry.member)
-            holding.hold(book, group, request)
-    due.plan(book, group)
+            queueing.hold(book, group, request)
+    sweeps.plan(book, group)
--- a/oatlink/rules/holding.py
+++ b/oatlink/rules/queueing.py
@@ -1,8 +1,8 @@
 """In what order is held what cannot be sent, and when holding on stops making sense."""
 
 from oatlink import interface as api
-from oatlink.book import NEVER, Book, Group, Holds, Kind, Request
-from oatlink.rules import answers, sessions
+from oatlink.router_state import NEVER, Book, Group, Holds, Kind, Request
+from oatlink.rules import service_time, sessions
 
 READ_CHECKS_COUNT = 2  # before a read goes to the primary
 
@@ -63,7 +63,7 @@
     """When holding on stops making sense: an answer would come past the aim or the deadline."""
     end, half, last = _ends(book, request)
     # Threat: work sent just before its end is done for nobody. The next sweep may be too late, too.
-    return min(end - min(answers.reserve_us(book, book.groups[request.group]), half), last)
+    return min(end - min(service_time.reserve_us(book, book.groups[request.group]), half), last)
 
 
 def _ends(book: Book, request: Request) -> tuple[int, int, int]:
--- a/oatlink/rules/reads.py
+++ b/oatlink/rules/reads.py
@@ -1,8 +1,8 @@
 """Which member takes a request now."""
 
-from oatlink.book import Book, Group, Member, Request
 from oatlink.interface import Freshness, Role
-from oatlink.rules import answers, checks, holding, room, terms
+from oatlink.router_state import Book, Group, Member, Request
+from oatlink.rules import checks, concurrency, parameters, queueing, service_time
 
 
 def choose(book: Book, request: Request) -> Member | None:
@@ -10,8 +10,8 @@
     group = book.groups[request.group]
     primary = group.members.get(group.primary) if group.primary is not None else None
     if request.rule.freshness is Freshness.WRITE:
-        return primary if primary is not None and room.has_room(book, primary, 1.0, request) else None
-    need, replicas = holding.need(book, request), sound(book, group)
+        return primary if primary is not None and concurrency.has_room(book, primary, 1.0, request) else None
+    need, replicas = queueing.need(book, request), sound(book, group)
     fit = [one for one in replicas if one.position_us >= need]
     best = _turn_over(book, [one for one in fit if one.entry.member not in request.tried])
     if best is not None and best.out and request.rule.freshness is Freshness.BOUNDED:
@@ -24,7 +24,7 @@
     # Threat: reads crowd out writes. Those with a choice get half the room, current ones three quarters.
     share = 0.75 if request.rule.freshness is Freshness.LATEST else 0.5
     lent = request.tied or request.draw <= book.lend
-    if best is None and primary is not None and lent and room.has_room(book, primary, share, request):
+    if best is None and primary is not None and lent and concurrency.has_room(book, primary, share, request):
         best, book.lent_us = primary, book.lent_us if request.tied else book.now
     return best or _turn_over(book, fit)
 
@@ -49,12 +49,12 @@
     if any(one.check_sent_us is not None and not checks.in_doubt(book, one) for one in replicas):
         return True
     before_us = min(request.arrived_us, book.now - book.bound_us // 4)
-    member = _ask_one(book, replicas, before_us) if request.asked < holding.READ_CHECKS_COUNT else None
+    member = _ask_one(book, replicas, before_us) if request.asked < queueing.READ_CHECKS_COUNT else None
     if member is None:
         return False
     request.asked += 1
-    if request.asked == holding.READ_CHECKS_COUNT and request.id in book.holds[group.id]:
-        holding.put(book, book.holds[group.id], request)
+    if request.asked == queueing.READ_CHECKS_COUNT and request.id in book.holds[group.id]:
+        queueing.put(book, book.holds[group.id], request)
     return member.check_sent_us is not None
 
 
@@ -68,7 +68,7 @@
 
 def _turn_over(book: Book, members: list[Member]) -> Member | None:
     """Take turns over the members with room, passing over long waits, the own zone first."""
-    waits = [(_wait(book, one), one) for one in members if room.has_room(book, one, 1.0)]
+    waits = [(_wait(book, one), one) for one in members if concurrency.has_room(book, one, 1.0)]
     limit = 1.2 * min((wait for wait, _ in waits), default=0.0)
     return min((one for wait, one in waits if wait <= limit), key=lambda one: one.turn, default=None)
 
@@ -76,8 +76,8 @@
 def _wait(book: Book, member: Member) -> float:
     """What a new attempt may take there, by its answers and what is out; other zones cost more."""
     base = member.duration_us
-    if not base or book.now - member.answered_us >= 2 * terms.HEARTBEAT_US:
-        base = answers.usual_us(book, book.groups[member.entry.group])
+    if not base or book.now - member.answered_us >= 2 * parameters.HEARTBEAT_US:
+        base = service_time.usual_us(book, book.groups[member.entry.group])
     if member.out:
         base = max(base, float(book.now - next(iter(member.out.values()))))
     later = member.answered_us < member.entry.doubt[0] and book.now < member.entry.doubt[1]
--- a/oatlink/rules/roster.py
+++ b/oatlink/rules/roster.py
@@ -1,8 +1,8 @@
 """Who is there, who drains, and when discovery is asked."""
 
 from oatlink import interface as api
-from oatlink.book import NEVER, Book, Member
-from oatlink.rules import checks, primaries, terms
+from oatlink.router_state import NEVER, Book, Member
+from oatlink.rules import checks, parameters, primaries
 
 CHECK_COST_US = 5_000  # what a check is taken to last before one has been answered
 START_ROOM_ATTEMPTS = 16.0  # out at a member that has shown nothing, of all routers together
@@ -11,7 +11,8 @@
 def start(book: Book) -> None:
     """Subscribe where discovery must be asked. Threat: all routers may start in the same instant."""
     if book.settings.must_ask_roster:
-        spread_us = book.settings.ask_within_us // 4 if book.settings.peers > terms.FEW_PEERS_COUNT else 0
+        many_peers = book.settings.peers > parameters.FEW_PEERS_COUNT
+        spread_us = book.settings.ask_within_us // 4 if many_peers else 0
         book.ask_at_us = book.now + round(spread_us * book.random.random())
 
 
--- a/oatlink/rules/router.py
+++ b/oatlink/rules/router.py
@@ -4,8 +4,19 @@
 import random
 
 from oatlink import interface as api
-from oatlink.book import NEVER, Book, Group
-from oatlink.rules import answers, arrivals, checks, holding, outcomes, placing, reads, roster, sending, terms
+from oatlink.router_state import NEVER, Book, Group
+from oatlink.rules import (
+    arrivals,
+    checks,
+    dispatch,
+    outcomes,
+    parameters,
+    queueing,
+    reads,
+    roster,
+    sending,
+    service_time,
+)
 
 
 class Router:
@@ -13,13 +24,13 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self.book = book = Book(settings, random.Random(settings.seed), reads.choose)
-        terms.configure(book, settings)
+        parameters.configure(book, settings)
         book.answer_us = book.target_us
         book.worth = (sum(rule.worth for rule in settings.classes) or 1.0) / len(settings.classes)
 
     def configure(self, settings: api.Settings) -> None:
         """Go by these settings from now on. What came before keeps its class, also where that is no more."""
-        terms.configure(self.book, settings)
+        parameters.configure(self.book, settings)
 
     def handle(self, event: api.Event, now_us: int, more: bool = False) -> list[api.Action]:
         """Return what an event calls for. With `more`, what waits is placed after the instant's last."""
@@ -37,7 +48,7 @@
             case api.Checked():
                 outcomes.checked(book, event)
             case api.Departure():
-                holding.forget(book, event.request, has_left=True)
+                queueing.forget(book, event.request, has_left=True)
             case api.Roster():
                 roster.listed(book, event)
             case api.Start():
@@ -45,7 +56,7 @@
         if book.unsettled and not more:
             unsettled, book.unsettled = book.unsettled, {}
             for group_id in unsettled:
-                placing.pump(book, book.groups[group_id])
+                dispatch.pump(book, book.groups[group_id])
         _look_at_due(book)
         return book.do
 
@@ -80,14 +91,14 @@
 def _look(book: Book, group: Group) -> None:
     """What waits in a group: silent members, requests past their time, room for the held."""
     holds = book.holds[group.id]
-    if holds.held and group.primary is None and book.now - group.checked_us >= terms.HOLD_CHECK_US:
+    if holds.held and group.primary is None and book.now - group.checked_us >= parameters.HOLD_CHECK_US:
         checks.check_all(book, group)
     for member in list(group.members.values()):
         if book.now >= checks.silent_at(book, group, member):
             checks.check(book, member)
-    for request in holds.over(book.now, answers.reserve_us(book, group)):
+    for request in holds.over(book.now, service_time.reserve_us(book, group)):
         if any(one.out for one in request.attempts):
             holds.pop(request.id)
         else:
-            holding.give_up(book, request)
-    placing.pump(book, group)
+            queueing.give_up(book, request)
+    dispatch.pump(book, group)
--- a/oatlink/rules/sending.py
+++ b/oatlink/rules/sending.py
@@ -1,8 +1,8 @@
 """Whether an attempt may start. The one place that starts attempts; it asks every guard each time."""
 
 from oatlink import interface as api
-from oatlink.book import Attempt, Book, Member, Request
-from oatlink.rules import cold, holding, sessions
+from oatlink.router_state import Attempt, Book, Member, Request
+from oatlink.rules import cold, queueing, sessions
 
 
 def send(book: Book, request: Request, member: Member) -> bool:
@@ -31,7 +31,8 @@
 def may_write(book: Book, request: Request, member: Member, sent_us: int) -> bool:
     """The guards that time alone may turn. Threat: a connection that comes up when all has changed."""
     sure = book.settings.members_check_reads or book.groups[member.entry.group].primary == member.entry.member
-    fresh = request.rule.freshness is api.Freshness.WRITE or member.position_us >= holding.need(book, request)
+    is_write = request.rule.freshness is api.Freshness.WRITE
+    fresh = is_write or member.position_us >= queueing.need(book, request)
     return (
         (sure or fresh)
         and not member.drained
--- a/oatlink/rules/answers.py
+++ b/oatlink/rules/service_time.py
@@ -1,6 +1,6 @@
 """How long an answer takes."""
 
-from oatlink.book import Book, Group
+from oatlink.router_state import Book, Group
 
 
 def reserve_us(book: Book, group: Group) -> int:
--- a/oatlink/rules/sessions.py
+++ b/oatlink/rules/sessions.py
@@ -1,7 +1,7 @@
 """What a session's read must see: each write of it that may have been committed before the read is sent."""
 
-from oatlink.book import NEVER, Book, Request
 from oatlink.interface import Freshness
+from oatlink.router_state import NEVER, Book, Request
 
 
 def needed_us(book: Book, request: Request, by_us: int) -> int:
--- a/oatlink/rules/due.py
+++ b/oatlink/rules/sweeps.py
@@ -2,17 +2,17 @@
 
 import heapq
 
-from oatlink.book import NEVER, Book, Group
-from oatlink.rules import answers, checks, terms
+from oatlink.router_state import NEVER, Book, Group
+from oatlink.rules import checks, parameters, service_time
 
 
 def plan(book: Book, group: Group) -> None:
     """Look again soon while requests are held, else when an attempt grows overdue."""
-    holds, soon_us = book.holds[group.id], book.now + terms.HOLD_CHECK_US // 5
+    holds, soon_us = book.holds[group.id], book.now + parameters.HOLD_CHECK_US // 5
     if group.due_us <= (soon_us if holds.held else book.now + book.tick_us):
         return
     if holds.held:
-        ends = [soon_us, holds.next_end(answers.reserve_us(book, group))]
+        ends = [soon_us, holds.next_end(service_time.reserve_us(book, group))]
         ends += [one.full_until_us for one in group.members.values() if one.full_until_us > book.now]
     else:
         ends = [NEVER, *[round(checks.silent_at(book, group, one)) for one in group.members.values()]]
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from oatlink import interface as api
-from oatlink.book import Book, Member, Request
 from oatlink.core import engine as core
 from oatlink.core import messages as m
 from oatlink.core.positions import Positions
 from oatlink.gateway import links
 from oatlink.gateway.server import Gateway
+from oatlink.router_state import Book, Member, Request
 from oatlink.rules import cold, reads, sessions
 
 count = 0
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from oatlink import interface as api
-from oatlink.book import Book
-from oatlink.holds import Holds, Row
 from oatlink.interface import Outcome, Role
-from oatlink.rules import Router, holding, placing, room, sending
+from oatlink.pending import Holds, Row
+from oatlink.router_state import Book
+from oatlink.rules import Router, concurrency, dispatch, queueing, sending
 from oatlink.state import Group, Member, Request
 from tests.conftest import ANY, CHECK, OWN, POST, SETTINGS, START_US, SUBMIT, VIEW, Driver, member, sends
 
@@ -73,13 +73,13 @@
     """
     kept_back = set()
     held = [one for one, _ in book.holds[group.id].held.values()]
-    if any(room.has_room(book, one, 1.0) for one in group.members.values()):
-        for one in sorted(held, key=lambda one: (holding.urgency(book, one), holding.kind_of(book, one), one.number)):
-            found = book.choose(book, one) if holding.kind_of(book, one) not in kept_back else None
+    if any(concurrency.has_room(book, one, 1.0) for one in group.members.values()):
+        for one in sorted(held, key=lambda one: (queueing.urgency(book, one), queueing.kind_of(book, one), one.number)):
+            found = book.choose(book, one) if queueing.kind_of(book, one) not in kept_back else None
             if found is not None:
                 sending.send(book, one, found)
             elif one.rule.freshness is api.Freshness.LATEST:
-                kept_back.add(holding.kind_of(book, one))
+                kept_back.add(queueing.kind_of(book, one))
 
 
 class Compared:
@@ -88,7 +88,7 @@
     pumps = sent = most = 0
 
     def __init__(self) -> None:
-        self.whole = placing.pump
+        self.whole = dispatch.pump
 
     def pump(self, book: Book, group: Group) -> None:
         if book.more:
@@ -174,7 +174,7 @@
 
 def test_the_indexed_pump_sends_what_the_plain_one_sends_in_the_same_order(monkeypatch: pytest.MonkeyPatch) -> None:
     compared = Compared()
-    monkeypatch.setattr(placing, "pump", compared.pump)
+    monkeypatch.setattr(dispatch, "pump", compared.pump)
     for seed in range(4):
         play(seed, 160)
         play(seed, 160, members_check_reads=True)
@@ -201,5 +201,5 @@
         return choose(book, one)
 
     book.choose = counted
-    placing.pump(book, book.groups[1])
+    dispatch.pump(book, book.groups[1])
     assert tried < 10
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from oatlink.book import Book, Group
 from oatlink.core import messages as m
 from oatlink.core.recording import Recorder, Recording, replay
 from oatlink.gateway.clock import CLIENTS_A_TURN, Marks, patience
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
-from oatlink.rules import placing
+from oatlink.router_state import Book, Group
+from oatlink.rules import dispatch
 from oatlink.standins.box import Work
 from tests.gateways import Served, Wire, given_to, served
 from tests.scenes import scene
@@ -116,13 +116,13 @@
     assert len(rig.sent) == 3  # two out, the rest held
     first, second = rig.sent[1:]
     pumped = []
-    pump = placing.pump
+    pump = dispatch.pump
 
     def noted(book: Book, group: Group) -> None:
         pumped.append(book.more)
         pump(book, group)
 
-    monkeypatch.setattr(placing, "pump", noted)
+    monkeypatch.setattr(dispatch, "pump", noted)
     for send, more in ((first, True), (second, False)):
         rig.give(m.Ended(send.request, send.attempt, send.box, "reply", 500, rig.now, [b"+OK\r\n"], b"", more))
         assert len(rig.sent) == (3 if more else 5)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -16,7 +16,7 @@
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder, Recording, RecordingError, replay
 from oatlink.lab.day import Report
-from oatlink.rules import checks, room
+from oatlink.rules import checks, concurrency
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig
 
 
@@ -175,7 +175,7 @@
     assert done.returncode == 0 and "cut off inside a frame" in done.stderr
     # A guard is changed: the replay must find it and name the request.
     monkeypatch.setattr(checks, "in_doubt", lambda *_: False)
-    monkeypatch.setattr(room, "has_room", lambda book, member, share, *_: len(member.out) < 1)
+    monkeypatch.setattr(concurrency, "has_room", lambda book, member, share, *_: len(member.out) < 1)
     recording = Recording(files[1].read_bytes())
     found = replay(recording.header, recording.entries())
     assert found.differences > 0 and found.first is not None and found.first.request > 0
--- a/tests/test_session_model.py
+++ b/tests/test_session_model.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 
-from oatlink.book import Book, Request
 from oatlink.interface import Outcome
-from oatlink.rules import holding, sending, sessions
+from oatlink.router_state import Book, Request
+from oatlink.rules import queueing, sending, sessions
 from tests.session_world import MEMBERS, SESSIONS, OpenAttempt, World
 
 NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.MISS)
@@ -177,7 +177,7 @@
 
 
 def _writes_of_clients_that_left_bind_nobody(patch: pytest.MonkeyPatch) -> None:
-    forget = holding.forget
+    forget = queueing.forget
 
     def drops(book: Book, request_id: str, has_left: bool = False) -> None:
         request = book.requests.get(request_id)
@@ -185,7 +185,7 @@
             book.session_writes.drop(request)
         forget(book, request_id)
 
-    patch.setattr(holding, "forget", drops)
+    patch.setattr(queueing, "forget", drops)
 
 
 def _forgotten_sessions_bind_nobody(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_session_reads.py
+++ b/tests/test_session_reads.py
@@ -3,8 +3,8 @@
 import pytest
 
 from oatlink import interface as api
-from oatlink.holds import Row
 from oatlink.interface import Outcome, Role
+from oatlink.pending import Row
 from oatlink.state import Request
 from tests.conftest import SUBMIT, Driver, sends
 
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -7,7 +7,6 @@
 import pytest
 
 from oatlink import interface as api
-from oatlink.beliefs import belief as belief_of
 from oatlink.core import messages as m
 from oatlink.core.addresses import State
 from oatlink.core.explain import explain
@@ -15,6 +14,7 @@
 from oatlink.core.snapshot import restore, take
 from oatlink.core.ways import MOST_DIALS
 from oatlink.interface import Role
+from oatlink.member_status import belief as belief_of
 from oatlink.protocols.resp import command
 from oatlink.settings import SettingsError, load_text
 from tests.test_engine import KEY, PLAIN, TEMPLATE, Rig, info, sent
