--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -122,7 +122,7 @@
                     self._later(one.at_us - self.now, api.TimerFired(one.name))
 
     def _sent(self, send: api.Send) -> None:
-        number = len(self.router.book.requests[send.request].attempts) - 1
+        number = len(self.router.state.requests[send.request].attempts) - 1
         if send.member in self.down:
             lost = api.AttemptEnded(send.request, number, send.member, api.Outcome.NO_CONNECTION, DIAL_US)
             self._later(DIAL_US, lost)
--- a/benchmarks/scale/slopes/failover.py
+++ b/benchmarks/scale/slopes/failover.py
@@ -23,8 +23,8 @@
         others.append(site.checked[1] - was_other)
     site.primaries[0] = 1
     known = 0
-    assert site.router.book.groups[0].primary is None
-    while site.router.book.groups[0].primary != 1 and known < 150:
+    assert site.router.state.groups[0].primary is None
+    while site.router.state.groups[0].primary != 1 and known < 150:
         site.run(0.1)
         known += 1
     return {
--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -15,7 +15,7 @@
 from oatlink.core.ways import REPORT, Ways, ways_of
 from oatlink.fleet.gate import Seen
 from oatlink.interface import Outcome, Role
-from oatlink.member_status import belief as belief_of
+from oatlink.member_status import member_status
 
 SAMPLE_WAIT_US = 10_000  # a replica's check waits so long for the primary's offset to compare with
 SEEN = {"late": "hung", "refused": "refused", "reset": "reset"}  # how a probe or an attempt ended: evidence for others
@@ -68,8 +68,8 @@
             self._route(api.Roster(api.RosterKind.CHANGES, (self._entry(state),)))
 
     def _is_primary(self, state: BoxState) -> bool:
-        belief = belief_of(self.router, state.member)
-        return belief is not None and belief.primary
+        belief = member_status(self.router, state.member)
+        return belief is not None and belief.is_primary
 
     def _on_inspected(self, given: m.AnyInput) -> None:
         """An operator wants to know: every box is asked, the primaries' offsets first."""
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -71,7 +71,7 @@
 
     def _on_ticked(self, given: m.AnyInput) -> None:
         self._wake_us = 2**62
-        if self.router.book.unsettled:
+        if self.router.state.deferred_groups:
             self._route(api.TimerFired("settle"))
 
     def _on_reloaded(self, given: m.AnyInput) -> None:
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -13,7 +13,7 @@
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Entry, Header, engine_of
-from oatlink.router_state import Book, Member, Request
+from oatlink.router_state import Member, Request, RouterState
 from oatlink.rules import checks, cold, concurrency, queueing
 
 
@@ -57,10 +57,10 @@
         self.wanted = wanted
         self.seen: list[Choice] = []
         self.names = engine.names
-        self._whole = engine.router.book.choose
-        engine.router.book.choose = self.choose
+        self._whole = engine.router.state.choose_member
+        engine.router.state.choose_member = self.choose
 
-    def choose(self, book: Book, request: Request) -> Member | None:
+    def choose(self, book: RouterState, request: Request) -> Member | None:
         """The Router's choice, as it is."""
         if self.wanted is not None and request.id != self.wanted:
             return self._whole(book, request)
@@ -68,41 +68,49 @@
         rows = [self._row(book, request, member) for member in book.groups[request.group].members.values()]
         found = self._whole(book, request)
         chosen = self.names.get(found.entry.member, "") if found is not None else ""
-        need = queueing.need(book, request) if request.rule.freshness is not api.Freshness.WRITE else -1
-        need_ms = (book.now - need) // 1000 if need >= 0 else -1
-        self.seen.append(Choice(int(request.id), book.now, chosen, need_ms, rows))
+        need = (
+            queueing.min_position_us(book, request)
+            if request.request_class.freshness is not api.Freshness.WRITE
+            else -1
+        )
+        need_ms = (book.now_us - need) // 1000 if need >= 0 else -1
+        self.seen.append(Choice(int(request.id), book.now_us, chosen, need_ms, rows))
         return found
 
-    def _row(self, book: Book, request: Request, member: Member) -> Candidate:
+    def _row(self, book: RouterState, request: Request, member: Member) -> Candidate:
         """One member by the Router's own rules."""
         group = book.groups[request.group]
-        kept = (book.shown, book.shown_us)
+        kept = (book.warm_rate, book.warm_rate_us)
         against = []
-        writes = request.rule.freshness is api.Freshness.WRITE
-        if member.drained:
+        writes = request.request_class.freshness is api.Freshness.WRITE
+        if member.is_draining:
             against.append("draining")
         if member.role is api.Role.UNKNOWN:
             against.append("role unknown")
         if writes and group.primary != member.entry.member:
             against.append("not the primary")
-        if not writes and member.role is api.Role.REPLICA and member.position_us < queueing.need(book, request):
+        if (
+            not writes
+            and member.role is api.Role.REPLICA
+            and member.position_us < queueing.min_position_us(book, request)
+        ):
             against.append("position too old or not proven")
-        if checks.in_doubt(book, member):
+        if checks.is_in_doubt(book, member):
             against.append("a check is overdue")
-        if member.entry.member in request.tried:
+        if member.entry.member in request.tried_members:
             against.append("tried before")
         if not cold.within_budget(book, copy(member), 1.0):
             against.append("cold budget spent")
-        elif not concurrency.has_room(book, copy(member), 1.0):
+        elif not concurrency.has_capacity(book, copy(member), 1.0):
             against.append("no room")
-        book.shown, book.shown_us = kept
-        behind = (book.now - member.position_us) // 1000 if member.position_us >= 0 else -1
+        book.warm_rate, book.warm_rate_us = kept
+        behind = (book.now_us - member.position_us) // 1000 if member.position_us >= 0 else -1
         return Candidate(
             self.names.get(member.entry.member, str(member.entry.member)),
             member.role.value,
             behind,
-            len(member.out),
-            round(member.room, 1),
+            len(member.outstanding),
+            round(member.concurrency_limit, 1),
             against,
         )
 
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -12,7 +12,7 @@
 from oatlink.core.shared import BoxState
 from oatlink.core.transactions import Transactions
 from oatlink.interface import Role
-from oatlink.member_status import belief as belief_of
+from oatlink.member_status import member_status
 from oatlink.protocols.resp import Array, Map, Simple, Value, encode, error
 
 ADMIN = frozenset((b"MEMBERS", b"BANKS", b"ELECTIONS", b"SESSIONS", b"INSPECT", b"PATHS"))
@@ -49,16 +49,16 @@
 
     def _verdict(self, state: BoxState) -> Verdict:
         report = state.report or BoxReport()
-        believed = belief_of(self.router, state.member)
+        believed = member_status(self.router, state.member)
         at = self._report(state, state.asked_us)
         age = -1 if at is None or at.position_us is None else (self._now - at.position_us) // 1_000
         if believed is None or state.box.state != "ready":
             takes = "nothing: draining"
-        elif believed.in_doubt:
+        elif believed.is_in_doubt:
             takes = "nothing for now: a check is overdue"
         elif state.doubt[1] > self._now and state.heard_us < state.doubt[0]:
             takes = "reads later in the turn: others saw it fail"
-        elif believed.primary:
+        elif believed.is_primary:
             takes = "writes and current reads"
         elif believed.role is Role.REPLICA:
             takes = "reads that allow its age" if age >= 0 else "reads of any age only: nothing is proven"
@@ -77,8 +77,8 @@
             age,
             (self._now - state.heard_us) // 1_000 if state.heard_us else -1,
             believed.warmth if believed is not None else 0.0,
-            believed.out if believed is not None else 0,
-            believed.room if believed is not None else 0.0,
+            believed.outstanding if believed is not None else 0,
+            believed.concurrency_limit if believed is not None else 0.0,
             report.run_id,
         )
 
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -412,4 +412,6 @@
         name = session.name if self.settings.sessions == "client-name" and session.name else f"#{session.client}"
         left = ask.arrived_us + rule.deadline_ms * 1_000 - self._now
         needs_us = self._step_us(ask) if ask.version else None
-        self._route(api.Arrival(str(ask.id), rule.name, ask.group, left, f"{name}@{ask.group}", needs_us=needs_us))
+        self._route(
+            api.Arrival(str(ask.id), rule.name, ask.group, left, f"{name}@{ask.group}", min_position_us=needs_us)
+        )
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -21,7 +21,7 @@
 from oatlink.core import positions
 from oatlink.core.engine import Engine
 from oatlink.core.stored_names import ENUMS, RECORDS, ROUTER, engine_names
-from oatlink.router_state import Book
+from oatlink.router_state import RouterState
 from oatlink.settings.load import settings_hash
 from oatlink.settings.model import Settings
 
@@ -140,7 +140,7 @@
 def take(engine: Engine, now_us: int, hide: Hide | None = None) -> bytes:
     """The whole state, without what `hide` leaves out. Changes nothing; not while the engine handles an input."""
     writer = _Writer(hide)
-    book = engine.router.book
+    book = engine.router.state
     held = {name: writer.put(getattr(engine, attribute)) for name, attribute in engine_names(engine).items()}
     routed = {name: writer.put(getattr(book, attribute)) for name, attribute in ROUTER.items()}
     version, numbers, gauss = book.random.getstate()
@@ -184,10 +184,10 @@
         for field, one in head.engine.items():
             setattr(engine, _attribute(names, field, name), reader.take(one))
         for field, one in head.router.items():
-            setattr(engine.router.book, _attribute(ROUTER, field, name), reader.take(one))
+            setattr(engine.router.state, _attribute(ROUTER, field, name), reader.take(one))
         version, numbers, gauss = head.random
-        engine.router.book.random = random.Random()
-        engine.router.book.random.setstate((version, tuple(numbers), gauss))
+        engine.router.state.random = random.Random()
+        engine.router.state.random.setstate((version, tuple(numbers), gauss))
         engine.gate.recall(head.gate)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise SnapshotError(f"{name}: {type(error).__name__}: {error}") from None
@@ -222,15 +222,17 @@
     engine = Engine(settings, now_us)
     for mine, theirs in zip(engine._groups, old._groups, strict=True):
         mine.positions = theirs.positions
-    _take_over_sessions(engine.router.book, old.router.book, now_us)
+    _take_over_sessions(engine.router.state, old.router.state, now_us)
     engine.fresh = False
     return engine
 
 
-def _take_over_sessions(book: Book, old: Book, now_us: int) -> None:
+def _take_over_sessions(book: RouterState, old: RouterState, now_us: int) -> None:
     """Bind sessions by what they had written, by what was open, and by all that came after the snapshot was taken."""
-    book.forgotten_us = max(old.forgotten_us, now_us)
-    for session, position_us in old.sessions.items():
-        book.remember(session, max(position_us, now_us))
-    for session in old.session_writes.by_session:
-        book.remember(session, max(one.settled_us for one in old.session_writes.of(session)))
+    book.forgotten_position_us = max(old.forgotten_position_us, now_us)
+    for session, position_us in old.session_positions.items():
+        book.record_session_write(session, max(position_us, now_us))
+    for session in old.open_session_writes.by_session:
+        book.record_session_write(
+            session, max(one.settled_by_us for one in old.open_session_writes.of_session(session))
+        )
--- a/oatlink/interface.py
+++ b/oatlink/interface.py
@@ -150,7 +150,11 @@
     listing: Listing = Listing.READY
     primary: bool = False
     started_us: int = 0
-    doubt: tuple[int, int] = (0, 0)  # others saw it fail at the first time; it comes later in the turn until the second
+    # Other gateways saw it fail at the first time; until the second it is given fewer requests.
+    suspicion: tuple[int, int] = (
+        0,
+        0,
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,7 +177,7 @@
 class Arrival:
     """A request has come in. `since_write_us` is the carried age of its session's last write.
 
-    `needs_us`: no replica with an older position may take it, whatever its class allows.
+    `min_position_us`: no replica with an older position may take it, whatever its class allows.
     """
 
     request: str
@@ -183,7 +187,7 @@
     session: str | None = None
     since_write_us: int | None = None
     tenant: str | None = None
-    needs_us: int | None = None
+    min_position_us: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/oatlink/lab/scale/gateway.py
+++ b/oatlink/lab/scale/gateway.py
@@ -84,7 +84,7 @@
 
     def _arrive(self) -> None:
         self._time.after(self._gap_us(), self._arrive)
-        if not self.router.book.members:
+        if not self.router.state.members:
             self._count("not ready")
             return
         self._requests += 1
@@ -111,7 +111,7 @@
             self._linked.discard(member)
             self._do(api.AttemptEnded(send.request, attempt, member, api.Outcome.NO_CONNECTION, took))
             return
-        rule = self.router.book.requests[send.request].rule
+        rule = self.router.state.requests[send.request].request_class
         report = self._estate.report(member, now)
         writes = rule.freshness is api.Freshness.WRITE and report.role is not api.Role.PRIMARY
         outcome = api.Outcome.MISS if writes else api.Outcome.SERVED
@@ -177,10 +177,10 @@
 
     def knows_primary(self, group: int, member: int) -> bool:
         """Whether the Router holds this member for its group's primary."""
-        found = self.router.book.groups.get(group)
+        found = self.router.state.groups.get(group)
         return found is not None and found.primary == member
 
     @property
     def groups_without_primary(self) -> int:
         """Of those that were asked for."""
-        return sum(one.primary is None and bool(one.members) for one in self.router.book.groups.values())
+        return sum(one.primary is None and bool(one.members) for one in self.router.state.groups.values())
--- a/oatlink/lab/scale/scenarios/primaries.py
+++ b/oatlink/lab/scale/scenarios/primaries.py
@@ -46,6 +46,6 @@
     found.peaks.append(Peak("database of a group without primary", "checks", round(asked / GROUP, 1), 0))
     found.notes.append(
         f"while a request waits for a primary each gateway asks all members of the group each half second "
-        f"({at(router._look, 'check_all')}, {at(checks.check_all)}), so a group is asked by all gateways at once"
+        f"({at(router._sweep_group, 'check_all')}, {at(checks.check_all)}), so a group is asked by all gateways at once"
     )
     return found
--- a/oatlink/lab/scale/scenarios/region.py
+++ b/oatlink/lab/scale/scenarios/region.py
@@ -52,7 +52,7 @@
     found.notes += [
         f"what is out of reach is asked for as long as it is: each unknown member at most each 8 s by each gateway "
         f"({at(checks._check_unknown)}), 4/5 of all databases inside; each takes a dial of 250 ms",
-        f"a group whose primary is out of reach refuses its writes ({at(primaries.lose)})",
+        f"a group whose primary is out of reach refuses its writes ({at(primaries.mark_unknown)})",
     ]
     return found
 
--- a/oatlink/lab/scale/scenarios/release.py
+++ b/oatlink/lab/scale/scenarios/release.py
@@ -51,8 +51,8 @@
     found = stage.finding("release", seconds - 1, seconds)
     found.in_force.append(watch.waits().judged("changes offered during the release"))
     found.notes += [
-        f"each process that starts asks every database again ({at(arrivals.arrive, 'check_all')}); nothing of what its "
-        "predecessor knew is handed on",
+        f"each process that starts asks every database again ({at(arrivals.handle_arrival, 'check_all')}); nothing of "
+        "what its predecessor knew is handed on",
         f"settings of neighbouring versions refuse one another, as the whole part is hashed ({at(fleet_hash)})",
     ]
     return found
--- a/oatlink/lab/scale/scenarios/start.py
+++ b/oatlink/lab/scale/scenarios/start.py
@@ -26,7 +26,7 @@
     def look() -> None:
         stage.time.after(LOOK_US, look)
         for number, one in list(unready.items()):
-            if one.router.book.groups and not one.groups_without_primary:
+            if one.router.state.groups and not one.groups_without_primary:
                 del unready[number]
                 waits.saw("start", stage.time.now)
 
@@ -38,13 +38,18 @@
         waits.name(f"gateway {number}")
     found.in_force.append(waits.judged("primaries of all groups known"))
     found.notes += [
-        f"a group's first request asks all its members ({at(arrivals.arrive, 'check_all')}, {at(checks.check_all)}): "
+        f"a group's first request asks all its members ({at(arrivals.handle_arrival, 'check_all')}, "
+        f"{at(checks.check_all)}): "
         "each gateway asks every database once, gateways x databases in all",
-        f"a Router has no subset of members ({at(reads.choose)}, {at(roster.listed, 'for entry')}): each gateway ends "
+        f"a Router has no subset of members ({at(reads.choose_member)}, {at(roster.apply_roster, 'for entry')}): "
+        "each gateway ends "
         "up with a link to every database",
-        f"a bounded read asks a second replica whenever the best has something out ({at(reads.choose, 'best.out')}); "
-        f"an answer from far away counts as overdue at twice the group's usual ({at(checks.silent_at)})",
-        f"a bounded read whose replicas were heard of too long ago asks one ({at(reads.choose, '_ask_replica')}, "
-        f"{at(reads._ask_replica, '_ask_one')}): the more databases a gateway's statements are spread over, the more",
+        f"a bounded read asks a second replica whenever the best has something out "
+        f"({at(reads.choose_member, 'best.outstanding')}); "
+        f"an answer from far away counts as overdue at twice the group's usual ({at(checks.overdue_at)})",
+        f"a bounded read whose replicas were heard of too long ago asks one "
+        f"({at(reads.choose_member, '_request_report')}, "
+        f"{at(reads._request_report, '_check_next')}): the more databases a gateway's statements are spread over, the "
+        "more",
     ]
     return found
--- a/oatlink/lab/scale/scenarios/zone.py
+++ b/oatlink/lab/scale/scenarios/zone.py
@@ -47,7 +47,8 @@
         watch.waits().judged("change offered while the zone was lost"),
     ]
     found.notes += [
-        f"each gateway finds each lost database by itself, by a request that fails ({at(outcomes._learn, 'RESET')}), "
+        f"each gateway finds each lost database by itself, by a request that fails "
+        f"({at(outcomes._record_outcome, 'RESET')}), "
         "never where it sent nothing there meanwhile, "
         f"and asks it again ever more rarely, at most each 8 s ({at(checks._check_unknown)}), one of every gateway",
     ]
@@ -81,7 +82,7 @@
 
     def look() -> None:
         for (number, member), one in list(still.items()):
-            role = one.router.book.members[member].role
+            role = one.router.state.members[member].role
             if (role is api.Role.UNKNOWN) == unknown:
                 del still[number, member]
                 waits.saw("members", stage.time.now - since_us)
--- a/oatlink/pending.py
+++ b/oatlink/pending.py
@@ -16,60 +16,60 @@
 from oatlink.interface import Freshness
 from oatlink.state import LONG_AGO, NEVER, Request, SessionRequests
 
-Kind = tuple[str, float, bool, tuple[int, ...], bool, float]
+QueueKey = tuple[str, float, bool, tuple[int, ...], bool, float]
 """Class, worth, whether late, members tried, whether it may not ask any more, its draw: what one says for all."""
 
-LEAST_WINDOW_ROWS = 1024  # numbers
+MIN_WINDOW_SIZE = 1024  # numbers
 
 
 @dataclass(slots=True)
-class Row:
+class PendingQueue:
     """Held requests of one kind."""
 
-    first: int = 0  # number of the window's first place
+    first_number: int = 0  # number of the window's first place
     size: int = 0  # places, a power of two
-    low: list[int] = field(default_factory=list)
-    high: list[int] = field(default_factory=list)
-    held: dict[int, Request] = field(default_factory=dict)
+    min_positions: list[int] = field(default_factory=list)
+    max_positions: list[int] = field(default_factory=list)
+    requests: dict[int, Request] = field(default_factory=dict)
 
-    def put(self, request: Request, need: int) -> None:
+    def add(self, request: Request, need: int) -> None:
         """Take in a request, at its place by arrival."""
-        place = request.number - self.first
+        place = request.arrival_number - self.first_number
         if not 0 <= place < self.size:
-            self._lay_anew(request.number)
-            place = request.number - self.first
-        self.held[request.number] = request
-        self._set(place, need, need)
+            self._rebuild(request.arrival_number)
+            place = request.arrival_number - self.first_number
+        self.requests[request.arrival_number] = request
+        self._set_leaf(place, need, need)
 
-    def drop(self, request: Request) -> None:
+    def remove(self, request: Request) -> None:
         """Let a request go; whether it is there does not matter."""
-        if self.held.pop(request.number, None) is not None:
-            self._set(request.number - self.first, NEVER, LONG_AGO)
+        if self.requests.pop(request.arrival_number, None) is not None:
+            self._set_leaf(request.arrival_number - self.first_number, NEVER, LONG_AGO)
 
     def oldest(self, most: int = NEVER - 1) -> Request | None:
         """The oldest request that needs at most so much."""
-        low, size, at = self.low, self.size, 1
-        if not self.held or low[1] > most:
+        low, size, at = self.min_positions, self.size, 1
+        if not self.requests or low[1] > most:
             return None
         while at < size:
             at *= 2
             if low[at] > most:
                 at += 1
-        return self.held[at - size + self.first]
+        return self.requests[at - size + self.first_number]
 
     def newest(self, above: int) -> Request | None:
         """The newest request that needs more."""
-        high, size, at = self.high, self.size, 1
-        if not self.held or high[1] <= above:
+        high, size, at = self.max_positions, self.size, 1
+        if not self.requests or high[1] <= above:
             return None
         while at < size:
             at = 2 * at + 1
             if high[at] <= above:
                 at -= 1
-        return self.held[at - size + self.first]
+        return self.requests[at - size + self.first_number]
 
-    def _set(self, place: int, low_need: int, high_need: int) -> None:
-        low, high, at = self.low, self.high, place + self.size
+    def _set_leaf(self, place: int, low_need: int, high_need: int) -> None:
+        low, high, at = self.min_positions, self.max_positions, place + self.size
         low[at], high[at] = low_need, high_need
         while at > 1:
             at //= 2
@@ -80,110 +80,110 @@
                 return
             low[at], high[at] = new_low, new_high
 
-    def _lay_anew(self, number: int) -> None:
+    def _rebuild(self, number: int) -> None:
         """Move the window so that a number fits, with as much again on both sides."""
-        needs = {one: self.low[one - self.first + self.size] for one in self.held}
+        needs = {one: self.min_positions[one - self.first_number + self.size] for one in self.requests}
         least, most = min([number, *needs]), max([number, *needs])
         span = most - least + 1
-        self.size = LEAST_WINDOW_ROWS
+        self.size = MIN_WINDOW_SIZE
         while self.size < 4 * span:
             self.size *= 2
-        self.first = least - span
+        self.first_number = least - span
         low, high = [NEVER] * (2 * self.size), [LONG_AGO] * (2 * self.size)
-        self.low, self.high = low, high
+        self.min_positions, self.max_positions = low, high
         if len(needs) < self.size // 16:
             for one, need in needs.items():
-                self._set(one - self.first, need, need)
+                self._set_leaf(one - self.first_number, need, need)
             return
         for one, need in needs.items():
-            low[one - self.first + self.size] = high[one - self.first + self.size] = need
+            low[one - self.first_number + self.size] = high[one - self.first_number + self.size] = need
         for at in range(self.size - 1, 0, -1):
             low[at] = min(low[2 * at], low[2 * at + 1])
             high[at] = max(high[2 * at], high[2 * at + 1])
 
 
 @dataclass(slots=True)
-class Holds:
+class PendingRequests:
     """All that is held for one group."""
 
-    held: dict[str, tuple[Request, Kind]] = field(default_factory=dict)
-    rows: dict[Kind, Row] = field(default_factory=dict)
-    halves: list[tuple[int, int, str]] = field(default_factory=list)  # when, end, request
-    ends: list[tuple[int, str]] = field(default_factory=list)
-    lasts: list[tuple[int, str]] = field(default_factory=list)
+    entries: dict[str, tuple[Request, QueueKey]] = field(default_factory=dict)
+    queues: dict[QueueKey, PendingQueue] = field(default_factory=dict)
+    earliest_ends: list[tuple[int, int, str]] = field(default_factory=list)  # when, end, request
+    soft_ends: list[tuple[int, str]] = field(default_factory=list)
+    hard_ends: list[tuple[int, str]] = field(default_factory=list)
     session_reads: SessionRequests = field(default_factory=SessionRequests)
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.entries)
 
     def __contains__(self, request_id: str) -> bool:
-        return request_id in self.held
+        return request_id in self.entries
 
-    def put(self, request: Request, kind: Kind, need: int) -> None:
+    def add(self, request: Request, kind: QueueKey, need: int) -> None:
         """Hold a request in the row of its kind, or move it there."""
-        self._leave_row(request.id)
-        self.held[request.id] = request, kind
-        row = self.rows.get(kind)
+        self._leave_queue(request.id)
+        self.entries[request.id] = request, kind
+        row = self.queues.get(kind)
         if row is None:
-            row = self.rows[kind] = Row()
-        row.put(request, need)
-        if request.rule.freshness is Freshness.SESSION:
+            row = self.queues[kind] = PendingQueue()
+        row.add(request, need)
+        if request.request_class.freshness is Freshness.SESSION:
             self.session_reads.add(request)
 
-    def move(self, request: Request, need: int) -> None:
+    def change_position(self, request: Request, need: int) -> None:
         """Order a held request by another need, in the row that it is in."""
-        self.put(request, self.held[request.id][1], need)
+        self.add(request, self.entries[request.id][1], need)
 
-    def ends_at(self, request: Request, half: int, end: int, last: int) -> None:
+    def set_ends(self, request: Request, half: int, end: int, last: int) -> None:
         """Say when holding it on ends (see the module's head)."""
-        heapq.heappush(self.halves, (half, end, request.id))
-        heapq.heappush(self.lasts, (last, request.id))
+        heapq.heappush(self.earliest_ends, (half, end, request.id))
+        heapq.heappush(self.hard_ends, (last, request.id))
 
-    def pop(self, request_id: str) -> None:
+    def remove(self, request_id: str) -> None:
         """Hold a request no longer; whether it is held does not matter."""
-        self._leave_row(request_id)
-        found = self.held.pop(request_id, None)
+        self._leave_queue(request_id)
+        found = self.entries.pop(request_id, None)
         if found is not None:
-            self.session_reads.drop(found[0])
+            self.session_reads.remove(found[0])
 
-    def _leave_row(self, request_id: str) -> None:
-        found = self.held.get(request_id)
+    def _leave_queue(self, request_id: str) -> None:
+        found = self.entries.get(request_id)
         if found is not None:
             request, kind = found
-            row = self.rows.get(kind)
+            row = self.queues.get(kind)
             if row is not None:
-                row.drop(request)
-                if not row.held and kind[3]:  # rows of tried members come and go, the others are few and come again
-                    del self.rows[kind]
+                row.remove(request)
+                if not row.requests and kind[3]:  # rows of tried members come and go, the others are few and come again
+                    del self.queues[kind]
 
-    def over(self, now: int, usual: int) -> list[Request]:
+    def ended(self, now: int, usual: int) -> list[Request]:
         """What has come to its end, in order of arrival; it stays held until it is popped."""
         found: dict[int, Request] = {}
-        while self.halves and self.halves[0][0] <= now:
-            _, end, name = heapq.heappop(self.halves)
-            heapq.heappush(self.ends, (end, name))
-        for heap, until in ((self.ends, now + usual), (self.lasts, now)):
+        while self.earliest_ends and self.earliest_ends[0][0] <= now:
+            _, end, name = heapq.heappop(self.earliest_ends)
+            heapq.heappush(self.soft_ends, (end, name))
+        for heap, until in ((self.soft_ends, now + usual), (self.hard_ends, now)):
             while heap and heap[0][0] <= until:
                 _, name = heapq.heappop(heap)
-                if name in self.held:
-                    request = self.held[name][0]
-                    found[request.number] = request
+                if name in self.entries:
+                    request = self.entries[name][0]
+                    found[request.arrival_number] = request
         return [found[number] for number in sorted(found)]
 
-    def next_end(self, usual: int) -> int:
+    def next_end_us(self, usual: int) -> int:
         """When `over` may next find something, `NEVER` where nothing is held.
 
         Of those whose half has not come only the first is asked; another's end may come a little sooner.
         """
-        held = self.held
-        while self.halves and self.halves[0][2] not in held:
-            heapq.heappop(self.halves)
-        while self.ends and self.ends[0][1] not in held:
-            heapq.heappop(self.ends)
-        while self.lasts and self.lasts[0][1] not in held:
-            heapq.heappop(self.lasts)
+        held = self.entries
+        while self.earliest_ends and self.earliest_ends[0][2] not in held:
+            heapq.heappop(self.earliest_ends)
+        while self.soft_ends and self.soft_ends[0][1] not in held:
+            heapq.heappop(self.soft_ends)
+        while self.hard_ends and self.hard_ends[0][1] not in held:
+            heapq.heappop(self.hard_ends)
         return min(
-            max(self.halves[0][0], self.halves[0][1] - usual) if self.halves else NEVER,
-            self.ends[0][0] - usual if self.ends else NEVER,
-            self.lasts[0][0] if self.lasts else NEVER,
+            max(self.earliest_ends[0][0], self.earliest_ends[0][1] - usual) if self.earliest_ends else NEVER,
+            self.soft_ends[0][0] - usual if self.soft_ends else NEVER,
+            self.hard_ends[0][0] if self.hard_ends else NEVER,
         )
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -15,7 +15,7 @@
 from oatlink import interface as api
 from oatlink.gateway.clock import Marks, now_us
 from oatlink.interface import Outcome, Report, RosterKind
-from oatlink.member_status import belief as belief_of
+from oatlink.member_status import member_status
 from oatlink.platform import discovery as disco
 from oatlink.platform import requests as req
 from oatlink.platform import signals
@@ -139,11 +139,13 @@
         members = []
         for pool in self._servers.used:
             number = pool.number
-            belief = belief_of(self._router, number)
+            belief = member_status(self._router, number)
             if belief is not None:
-                role = "P" if belief.primary else belief.role.value[0]
-                doubt = "?" if belief.in_doubt else ""
-                members.append(f"{self._numbers.name(number)}:{role}{doubt} {belief.out}/{belief.room:.1f}")
+                role = "P" if belief.is_primary else belief.role.value[0]
+                doubt = "?" if belief.is_in_doubt else ""
+                members.append(
+                    f"{self._numbers.name(number)}:{role}{doubt} {belief.outstanding}/{belief.concurrency_limit:.1f}"
+                )
         LOG.info(
             "state: %s; requests %d, clients %d (%d idle), to servers %d; %s, %d more",
             self._answers.take(),
--- a/oatlink/router_state.py
+++ b/oatlink/router_state.py
@@ -9,29 +9,30 @@
 from dataclasses import dataclass, field
 
 from oatlink import interface as api
-from oatlink.pending import Holds, Kind, Row
-from oatlink.state import LONG_AGO, NEVER, Attempt, Belief, Group, Member, Request, SessionRequests
+from oatlink.pending import PendingQueue, PendingRequests, QueueKey
+from oatlink.state import LONG_AGO, NEVER, Attempt, Group, Member, MemberStatus, Request, SessionRequests
 
-__all__ = ["LONG_AGO", "NEVER", "Attempt", "Belief", "Book", "Group", "Holds", "Kind", "Member", "Request", "Row"]
+__all__ = ["LONG_AGO", "NEVER", "Attempt", "Group", "Member", "PendingQueue", "PendingRequests", "QueueKey", "Request"]
+__all__ += ["MemberStatus", "RouterState"]
 
 
 @dataclass(slots=True)
-class Book:
+class RouterState:
     """The state of one router."""
 
     settings: api.Settings
     random: random.Random
-    choose: Callable[["Book", Request], Member | None]  # how a member is found; one that explains looks on here
+    choose_member: Callable[["RouterState", Request], Member | None]  # replaced to observe each choice (`explain`)
 
     # The event at hand (`router`): what it calls for, when it came, whether others of the same instant follow.
-    do: list[api.Action] = field(default_factory=list)
-    now: int = 0
-    more: bool = False
+    actions: list[api.Action] = field(default_factory=list)
+    now_us: int = 0
+    more_follow: bool = False
 
     # What follows from the settings (`terms`).
     classes: dict[str, api.RequestClass] = field(default_factory=dict)
-    target_us: float = 0.0
-    bound_us: int = 0
+    target_service_us: float = 0.0
+    staleness_bound_us: int = 0
     tick_us: int = 0
     margin_us: int = 0
     heartbeat_us: int = 0
@@ -40,53 +41,55 @@
     members: dict[int, Member] = field(default_factory=dict)
     groups: dict[int, Group] = field(default_factory=dict)
     requests: dict[str, Request] = field(default_factory=dict)
-    holds: dict[int, Holds] = field(default_factory=dict)
-    unsettled: dict[int, None] = field(default_factory=dict)  # `placing`: groups that wait for the last of `more`
+    pending: dict[int, PendingRequests] = field(default_factory=dict)
+    deferred_groups: dict[int, None] = field(default_factory=dict)  # `placing`: groups that wait for the last of `more`
 
     # What is due (`due`): the time and group of each look; the timer that is set, the last own stall (`router`).
-    due: list[tuple[int, int]] = field(default_factory=list)
+    due_sweeps: list[tuple[int, int]] = field(default_factory=list)
     timer_us: int = NEVER
     stalled_us: int = LONG_AGO
 
     # The next call to discovery (`roster`).
-    ask_at_us: int = NEVER
-    ask_wait_us: int = 0
+    roster_request_us: int = NEVER
+    roster_retry_wait_us: int = 0
 
     # What answers take, of all groups (`room`); turns taken (`sending`).
-    answer_us: float = 0.0
-    turn: float = 0.0
+    average_service_us: float = 0.0
+    round_robin_position: float = 0.0
 
     # The rate of a warm member, and when it was last counted (`cold`).
-    shown: float = 0.0
-    shown_us: int = LONG_AGO
+    warm_rate: float = 0.0
+    warm_rate_us: int = LONG_AGO
 
     # Requests that came, the share of them that only a primary takes, answers for each of late (`room`); what one is
     # worth of late; each tenant's share at this router, a second's worth of requests in hand: rate, left, when
     # (`arrivals`).
-    arrived: int = 0
-    tied: float = 0.0
-    answered: float = 1.0
-    worth: float = 0.0
-    shares: dict[str, tuple[float, float, int]] = field(default_factory=dict)
+    arrival_count: int = 0
+    primary_only_share: float = 0.0
+    answers_per_arrival: float = 1.0
+    average_worth: float = 0.0
+    tenant_budgets: dict[str, tuple[float, float, int]] = field(default_factory=dict)
 
     # Of requests that others take too, the share that may go to primaries (`room`); when one last did (`reads`).
-    lend: float = 1.0
-    lent_us: int = LONG_AGO
+    spill_ratio: float = 1.0
+    spilled_us: int = LONG_AGO
 
     # Sessions' last writes, and the newest of those forgotten (`sessions`).
-    sessions: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    forgotten_us: int = -1
+    session_positions: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    forgotten_position_us: int = -1
     # Sessions' writes that may be committed and are not known to be (`sessions`).
-    session_writes: SessionRequests = field(default_factory=SessionRequests)
+    open_session_writes: SessionRequests = field(default_factory=SessionRequests)
 
-    def remember(self, session: str, position_us: int) -> None:
+    def record_session_write(self, session: str, position_us: int) -> None:
         """Keep a session's last write. Memory is bounded: what is forgotten stands for every unknown session."""
-        self.sessions[session] = max(position_us, self.sessions.pop(session, self.forgotten_us))
-        if len(self.sessions) > self.settings.max_open:
-            self.forgotten_us = max(self.forgotten_us, self.sessions.popitem(last=False)[1])
+        self.session_positions[session] = max(
+            position_us, self.session_positions.pop(session, self.forgotten_position_us)
+        )
+        if len(self.session_positions) > self.settings.max_open:
+            self.forgotten_position_us = max(self.forgotten_position_us, self.session_positions.popitem(last=False)[1])
 
     def group_of(self, group_id: int) -> Group:
         """The record of a group, made when it is first named."""
         if group_id not in self.groups:
-            self.groups[group_id], self.holds[group_id] = Group(group_id), Holds()
+            self.groups[group_id], self.pending[group_id] = Group(group_id), PendingRequests()
         return self.groups[group_id]
--- a/oatlink/rules/outcomes.py
+++ b/oatlink/rules/outcomes.py
@@ -1,97 +1,102 @@
 """What the end of an attempt, or of a check, says of its member and its request."""
 
 from oatlink.interface import AttemptEnded, Cancel, Checked, DropIdle, Freshness, Outcome, Role
-from oatlink.router_state import Book, Member, Request
+from oatlink.router_state import Member, Request, RouterState
 from oatlink.rules import checks, concurrency, dispatch, parameters, primaries, queueing, sending, sessions
 
 
-def checked(book: Book, end: Checked) -> None:
+def handle_check(state: RouterState, end: Checked) -> None:
     """A check has ended. A capped one says nothing; any other failure marks the member unknown."""
-    member = book.members.get(end.member)
+    member = state.members.get(end.member)
     if member is None:
         return
-    group, sent_us, member.check_sent_us = book.groups[member.entry.group], member.check_sent_us or 0, None
+    group, sent_us, member.check_sent_us = state.groups[member.entry.group], member.check_sent_us or 0, None
     if end.outcome is Outcome.SERVED:
-        if member.failed_checks:  # Threat: a member comes back cold, with hung work in it
-            member.failed_checks, member.room, member.duration_us, group.usual_us = 0, 1.0, 0.0, -1.0
+        if member.failed_check_count:  # Threat: a member comes back cold, with hung work in it
+            member.failed_check_count, member.concurrency_limit = 0, 1.0
+            member.average_service_us, group.typical_service_us = 0.0, -1.0
         member.check_cost_us += 0.2 * (end.duration_us - member.check_cost_us)
-        primaries.hear(book, member, end.report, fresh=False)
+        primaries.record_report(state, member, end.report, fresh=False)
         if member.role is Role.UNKNOWN and (end.report is None or end.report.role is Role.UNKNOWN):
-            primaries.take_list_role(book, member)
-    elif end.outcome is not Outcome.FULL and max(member.answered_us, book.stalled_us) < sent_us:
+            primaries.adopt_listed_role(state, member)
+    elif end.outcome is not Outcome.FULL and max(member.answered_us, state.stalled_us) < sent_us:
         # Threat: checks that fail though the member works. An answer since the check went out says more.
-        member.failed_checks += 1
-        primaries.lose(book, member)
-        if all(one.heard_us < 0 and one.failed_checks for one in group.members.values()):
+        member.failed_check_count += 1
+        primaries.mark_unknown(state, member)
+        if all(one.heard_us < 0 and one.failed_check_count for one in group.members.values()):
             # Threat: no check is ever answered. With nothing heard at all the list's roles are tried.
             for one in group.members.values():
-                primaries.take_list_role(book, one)
-    dispatch.pump(book, group)
+                primaries.adopt_listed_role(state, one)
+    dispatch.dispatch_pending(state, group)
 
 
-def ended(book: Book, end: AttemptEnded) -> None:
+def handle_attempt(state: RouterState, end: AttemptEnded) -> None:
     """An attempt has ended: learn from it, then answer, resend or hold its request."""
-    member, request = book.members.get(end.member), book.requests.get(end.request)
-    sent_us = member.out.pop((end.request, end.attempt), None) if member is not None else None
+    member, request = state.members.get(end.member), state.requests.get(end.request)
+    sent_us = member.outstanding.pop((end.request, end.attempt), None) if member is not None else None
     if member is not None and sent_us is not None:
-        _learn(book, member, end, sent_us)
+        _record_outcome(state, member, end, sent_us)
     if request is not None and end.attempt < len(request.attempts):
-        request.attempts[end.attempt].out = False
+        request.attempts[end.attempt].is_outstanding = False
         if end.outcome.may_have_run and request.may_have_run_us is None:
             request.may_have_run_us = request.attempts[end.attempt].sent_us
-        sessions.ended(book, request)
-        (_served if end.over else _go_on)(book, request, end)
-        dispatch.pump(book, book.groups[request.group])
+        sessions.settle_write(state, request)
+        (_finish if end.over else _retry)(state, request, end)
+        dispatch.dispatch_pending(state, state.groups[request.group])
     elif member is not None:
-        dispatch.pump(book, book.groups[member.entry.group])
+        dispatch.dispatch_pending(state, state.groups[member.entry.group])
 
 
-def _learn(book: Book, member: Member, end: AttemptEnded, sent_us: int) -> None:
+def _record_outcome(state: RouterState, member: Member, end: AttemptEnded, sent_us: int) -> None:
     """The error rules: what an outcome says of its member."""
     if end.answer is not None:
-        member.answered_us = book.now
-        primaries.hear(book, member, end.answer, fresh=True)
+        member.answered_us = state.now_us
+        primaries.record_report(state, member, end.answer, fresh=True)
     if end.report is not None:
-        primaries.hear(book, member, end.report, fresh=False)
-    if sent_us >= book.stalled_us:
-        concurrency.learn(book, member, end)
-    if end.outcome is Outcome.NO_CONNECTION and book.now - member.heard_us < parameters.HEARTBEAT_US:
+        primaries.record_report(state, member, end.report, fresh=False)
+    if sent_us >= state.stalled_us:
+        concurrency.record_outcome(state, member, end)
+    if end.outcome is Outcome.NO_CONNECTION and state.now_us - member.heard_us < parameters.HEARTBEAT_US:
         # Threat: the member is full for this router. Connections that worked are kept; a check tells.
-        if book.now - member.heard_us > book.target_us:
-            checks.check(book, member)
-    elif end.outcome is Outcome.RESET and max(member.broken_us, book.now - book.target_us) < member.heard_us:
+        if state.now_us - member.heard_us > state.target_service_us:
+            checks.check(state, member)
+    elif end.outcome is Outcome.RESET and member.heard_us > max(
+        member.connection_broken_us, state.now_us - state.target_service_us
+    ):
         # Threat: one connection broke, not the member, heard of just before. A second one says more.
-        member.broken_us = book.now
-        checks.check(book, member)
+        member.connection_broken_us = state.now_us
+        checks.check(state, member)
     elif end.outcome in (Outcome.RESET, Outcome.NO_CONNECTION):
-        book.do.append(DropIdle(member.entry.member))
-        primaries.lose(book, member)
-        checks.check(book, member)
+        state.actions.append(DropIdle(member.entry.member))
+        primaries.mark_unknown(state, member)
+        checks.check(state, member)
     elif end.outcome is Outcome.MISS or end.outcome is Outcome.ERROR and member.role is not Role.PRIMARY:
-        request = book.requests.get(end.request)
-        if request is not None and request.rule.freshness is Freshness.WRITE:
-            primaries.lose(book, member)
-            checks.check(book, member)
+        request = state.requests.get(end.request)
+        if request is not None and request.request_class.freshness is Freshness.WRITE:
+            primaries.mark_unknown(state, member)
+            checks.check(state, member)
 
 
-def _served(book: Book, request: Request, end: AttemptEnded) -> None:
+def _finish(state: RouterState, request: Request, end: AttemptEnded) -> None:
     """The client has its answer: remember a session's write, call off copies."""
     if end.outcome is Outcome.SERVED:
-        sessions.ended(book, request, (end.answer and end.answer.position_us) or book.now)
-    if book.settings.may_cancel:
-        book.do += [Cancel(request.id, number) for number, one in enumerate(request.attempts) if one.out]
-    queueing.forget(book, request.id)
+        sessions.settle_write(state, request, (end.answer and end.answer.position_us) or state.now_us)
+    if state.settings.may_cancel:
+        outstanding = [number for number, one in enumerate(request.attempts) if one.is_outstanding]
+        state.actions += [Cancel(request.id, number) for number in outstanding]
+    queueing.forget(state, request.id)
 
 
-def _go_on(book: Book, request: Request, end: AttemptEnded) -> None:
+def _retry(state: RouterState, request: Request, end: AttemptEnded) -> None:
     """An attempt has failed: the next one, or the end."""
-    if end.outcome is Outcome.NOT_SENT or book.now >= request.expires_us - book.margin_us:
-        return queueing.give_up(book, request)
-    request.tried.append(end.member)
-    request.draw += request.tied and end.outcome is Outcome.FULL  # Threat: each send weighs, also a repeat
+    if end.outcome is Outcome.NOT_SENT or state.now_us >= request.expires_us - state.margin_us:
+        return queueing.give_up(state, request)
+    request.tried_members.append(end.member)
+    # Threat: each send weighs, also a repeat
+    request.admission_draw += request.is_primary_only and end.outcome is Outcome.FULL
     # Threat: requests that fail everywhere. One error may be the member's, a second is the request's.
     error = end.outcome is Outcome.ERROR
-    again, request.failed = request.failed and error, request.failed or error
-    if not any(one.out for one in request.attempts):
-        over = again or not sending.may_repeat(book, request)
-        (queueing.give_up if over else dispatch.place)(book, request)
+    again, request.has_failed = request.has_failed and error, request.has_failed or error
+    if not any(one.is_outstanding for one in request.attempts):
+        over = again or not sending.may_repeat(state, request)
+        (queueing.give_up if over else dispatch.submit)(state, request)
--- a/oatlink/rules/primaries.py
+++ b/oatlink/rules/primaries.py
@@ -1,31 +1,31 @@
 """Which member of a group is its primary."""
 
 from oatlink.interface import Effect, Log, Report, Role
-from oatlink.router_state import Book, Member
+from oatlink.router_state import Member, RouterState
 from oatlink.rules import checks, queueing, sweeps
 
 
-def hear(book: Book, member: Member, report: Report | None, fresh: bool) -> None:
+def record_report(state: RouterState, member: Member, report: Report | None, fresh: bool) -> None:
     """Set role, position and time heard. A report, as old as its position, overturns no later role."""
-    member.heard_us = book.now
+    member.heard_us = state.now_us
     if report is None:
         return
-    true_us = book.now if fresh or report.position_us is None else report.position_us
+    true_us = state.now_us if fresh or report.position_us is None else report.position_us
     if report.position_us is not None:
         member.position_us = max(member.position_us, report.position_us)
-        member.lag_us = book.now - member.position_us
+        member.lag_us = state.now_us - member.position_us
     if report.role is Role.PRIMARY:
-        _claim(book, member, true_us)
+        _record_claim(state, member, true_us)
     elif report.role is Role.REPLICA and (member.role is not Role.PRIMARY or true_us >= member.role_us):
-        group = book.groups[member.entry.group]
+        group = state.groups[member.entry.group]
         if group.primary == member.entry.member:
-            group.primary, group.lost_us = None, book.now
+            group.primary, group.primary_lost_us = None, state.now_us
         member.role, member.role_us = Role.REPLICA, max(member.role_us, true_us)
 
 
-def _claim(book: Book, member: Member, true_us: int) -> None:
+def _record_claim(state: RouterState, member: Member, true_us: int) -> None:
     """One primary a group: the later claim stands, an older one is turned unknown and checked at once."""
-    group = book.groups[member.entry.group]
+    group = state.groups[member.entry.group]
     if true_us < member.role_us:
         return
     held = group.members.get(group.primary) if group.primary is not None else None
@@ -33,32 +33,32 @@
         if held.role_us > true_us:
             return
         held.role, group.primary = Role.UNKNOWN, None
-        checks.check(book, held)
+        checks.check(state, held)
     member.role, member.role_us = Role.PRIMARY, true_us
-    if group.primary is None and not member.drained:
-        group.primary, group.known_us = member.entry.member, book.now
-        book.do.append(Log(f"group {group.id}: primary is {group.primary}"))
+    if group.primary is None and not member.is_draining:
+        group.primary, group.primary_known_us = member.entry.member, state.now_us
+        state.actions.append(Log(f"group {group.id}: primary is {group.primary}"))
 
 
-def take_list_role(book: Book, member: Member) -> None:
+def adopt_listed_role(state: RouterState, member: Member) -> None:
     """Where members cannot say their role, the list's word stands until an answer is heard."""
     if member.entry.primary:
-        _claim(book, member, member.role_us)
+        _record_claim(state, member, member.role_us)
     else:
         member.role = Role.REPLICA
 
 
-def lose(book: Book, member: Member) -> None:
+def mark_unknown(state: RouterState, member: Member) -> None:
     """Turn a member unknown. Threat: a silent one. Its reads go elsewhere where a repeat is allowed."""
-    group = book.groups[member.entry.group]
+    group = state.groups[member.entry.group]
     if group.primary == member.entry.member:
-        group.primary, group.lost_us = None, book.now
-        book.do.append(Log(f"group {group.id}: primary {member.entry.member} lost"))
-    member.role, member.role_us = Role.UNKNOWN, max(member.role_us, book.now)
-    for request_id, _ in list(member.out):
-        request = book.requests.get(request_id)
-        if request is not None and request.rule.effect is Effect.IDEMPOTENT and not request.copied:
-            request.copied = True
-            request.tried.append(member.entry.member)
-            queueing.hold(book, group, request)
-    sweeps.plan(book, group)
+        group.primary, group.primary_lost_us = None, state.now_us
+        state.actions.append(Log(f"group {group.id}: primary {member.entry.member} lost"))
+    member.role, member.role_us = Role.UNKNOWN, max(member.role_us, state.now_us)
+    for request_id, _ in list(member.outstanding):
+        request = state.requests.get(request_id)
+        if request is not None and request.request_class.effect is Effect.IDEMPOTENT and not request.has_copy:
+            request.has_copy = True
+            request.tried_members.append(member.entry.member)
+            queueing.enqueue(state, group, request)
+    sweeps.plan_sweep(state, group)
--- a/oatlink/rules/roster.py
+++ b/oatlink/rules/roster.py
@@ -1,76 +1,79 @@
 """Who is there, who drains, and when discovery is asked."""
 
 from oatlink import interface as api
-from oatlink.router_state import NEVER, Book, Member
+from oatlink.router_state import NEVER, Member, RouterState
 from oatlink.rules import checks, parameters, primaries
 
-CHECK_COST_US = 5_000  # what a check is taken to last before one has been answered
-START_ROOM_ATTEMPTS = 16.0  # out at a member that has shown nothing, of all routers together
+INITIAL_CHECK_COST_US = 5_000  # what a check is taken to last before one has been answered
+INITIAL_LIMIT_ATTEMPTS = 16.0  # out at a member that has shown nothing, of all routers together
 
 
-def start(book: Book) -> None:
+def start(state: RouterState) -> None:
     """Subscribe where discovery must be asked. Threat: all routers may start in the same instant."""
-    if book.settings.must_ask_roster:
-        many_peers = book.settings.peers > parameters.FEW_PEERS_COUNT
-        spread_us = book.settings.ask_within_us // 4 if many_peers else 0
-        book.ask_at_us = book.now + round(spread_us * book.random.random())
+    if state.settings.must_ask_roster:
+        many_peers = state.settings.peers > parameters.FEW_PEERS_COUNT
+        spread_us = state.settings.ask_within_us // 4 if many_peers else 0
+        state.roster_request_us = state.now_us + round(spread_us * state.random.random())
 
 
-def ask(book: Book) -> None:
+def request_roster(state: RouterState) -> None:
     """Subscribe, and again should nothing come; a plain fetch too once that has failed for long."""
-    book.ask_at_us = book.now + book.settings.ask_within_us // 4
-    book.do += [api.FollowRoster(), *[api.FetchRoster()] * (book.now + book.ask_wait_us >= book.ask_at_us)]
+    state.roster_request_us = state.now_us + state.settings.ask_within_us // 4
+    state.actions.append(api.FollowRoster())
+    if state.now_us + state.roster_retry_wait_us >= state.roster_request_us:
+        state.actions.append(api.FetchRoster())
 
 
-def listed(book: Book, roster: api.Roster) -> None:
+def apply_roster(state: RouterState, roster: api.Roster) -> None:
     """Take in a list: who is there, who drains, who has started."""
     if roster.kind is api.RosterKind.FAILED:  # Threat: it hides drains. Ask again, ever more rarely
-        longest = book.settings.ask_within_us // 4
-        book.ask_wait_us = min(longest, max(2 * book.ask_wait_us, longest // 8))
-        book.ask_at_us = book.now + round(book.ask_wait_us * book.random.uniform(0.5, 1.5))
+        longest = state.settings.ask_within_us // 4
+        state.roster_retry_wait_us = min(longest, max(2 * state.roster_retry_wait_us, longest // 8))
+        wait_us = round(state.roster_retry_wait_us * state.random.uniform(0.5, 1.5))
+        state.roster_request_us = state.now_us + wait_us
         return
     if roster.kind is not api.RosterKind.SAVED:
-        book.ask_at_us, book.ask_wait_us = NEVER, 0
+        state.roster_request_us, state.roster_retry_wait_us = NEVER, 0
     for entry in roster.entries:
-        _enter(book, entry)
+        _apply_entry(state, entry)
     if roster.kind is not api.RosterKind.CHANGES:
         named = {entry.member for entry in roster.entries}
-        for member in [one for one in book.members.values() if one.entry.member not in named]:
-            _leave(book, member)
+        for member in [one for one in state.members.values() if one.entry.member not in named]:
+            _remove_member(state, member)
 
 
-def _enter(book: Book, entry: api.RosterEntry) -> None:
+def _apply_entry(state: RouterState, entry: api.RosterEntry) -> None:
     """Take in one line of a list."""
-    member = book.members.get(entry.member)
+    member = state.members.get(entry.member)
     if entry.listing is api.Listing.GONE:
-        return _leave(book, member)
-    group = book.group_of(entry.group)
-    group.usual_us = -1.0
+        return _remove_member(state, member)
+    group = state.group_of(entry.group)
+    group.typical_service_us = -1.0
     if member is None:  # Threat: a new one is everybody's next. Its first turn and token are drawn
-        turn = book.turn - book.random.random() * (len(group.members) + 1)
-        room = max(1.0, START_ROOM_ATTEMPTS / book.settings.peers)
-        member = Member(entry, turn, book.random.random(), room, CHECK_COST_US)
+        turn = state.round_robin_position - state.random.random() * (len(group.members) + 1)
+        room = max(1.0, INITIAL_LIMIT_ATTEMPTS / state.settings.peers)
+        member = Member(entry, turn, state.random.random(), room, INITIAL_CHECK_COST_US)
     member.entry = entry
-    book.members[entry.member] = group.members[entry.member] = member
+    state.members[entry.member] = group.members[entry.member] = member
     if entry.started_us > member.started_us:
-        member.started_us, member.tokens = entry.started_us, book.random.random()
-        member.room, member.duration_us = 1.0, 0.0
-    member.drained = member.was_terminating = entry.listing is api.Listing.TERMINATING
-    if member.drained:
-        primaries.lose(book, member)
-    elif not book.settings.may_probe and member.role is api.Role.UNKNOWN:
-        primaries.take_list_role(book, member)
-    elif entry.doubt[0] > max(0, member.heard_us):  # others saw it fail since it was heard of here
-        checks.check(book, member)
+        member.started_us, member.tokens = entry.started_us, state.random.random()
+        member.concurrency_limit, member.average_service_us = 1.0, 0.0
+    member.is_draining = member.was_terminating = entry.listing is api.Listing.TERMINATING
+    if member.is_draining:
+        primaries.mark_unknown(state, member)
+    elif not state.settings.may_probe and member.role is api.Role.UNKNOWN:
+        primaries.adopt_listed_role(state, member)
+    elif entry.suspicion[0] > max(0, member.heard_us):  # others saw it fail since it was heard of here
+        checks.check(state, member)
 
 
-def _leave(book: Book, member: Member | None) -> None:
+def _remove_member(state: RouterState, member: Member | None) -> None:
     """A member is gone. Where a dropped one stays open, only one that was seen draining is bound."""
-    if member is None or book.settings.dropped_stay_open and not member.was_terminating:
+    if member is None or state.settings.dropped_stay_open and not member.was_terminating:
         return
-    member.drained = True
-    primaries.lose(book, member)
-    group = book.groups[member.entry.group]
+    member.is_draining = True
+    primaries.mark_unknown(state, member)
+    group = state.groups[member.entry.group]
     group.members.pop(member.entry.member, None)
-    group.usual_us = -1.0
-    book.members.pop(member.entry.member, None)
+    group.typical_service_us = -1.0
+    state.members.pop(member.entry.member, None)
--- a/oatlink/rules/router.py
+++ b/oatlink/rules/router.py
@@ -4,7 +4,7 @@
 import random
 
 from oatlink import interface as api
-from oatlink.router_state import NEVER, Book, Group
+from oatlink.router_state import NEVER, Group, RouterState
 from oatlink.rules import (
     arrivals,
     checks,
@@ -23,82 +23,83 @@
     """Decides for one gateway."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.book = book = Book(settings, random.Random(settings.seed), reads.choose)
-        parameters.configure(book, settings)
-        book.answer_us = book.target_us
-        book.worth = (sum(rule.worth for rule in settings.classes) or 1.0) / len(settings.classes)
+        self.state = state = RouterState(settings, random.Random(settings.seed), reads.choose_member)
+        parameters.configure(state, settings)
+        state.average_service_us = state.target_service_us
+        state.average_worth = (sum(rule.worth for rule in settings.classes) or 1.0) / len(settings.classes)
 
     def configure(self, settings: api.Settings) -> None:
         """Go by these settings from now on. What came before keeps its class, also where that is no more."""
-        parameters.configure(self.book, settings)
+        parameters.configure(self.state, settings)
 
-    def handle(self, event: api.Event, now_us: int, more: bool = False) -> list[api.Action]:
-        """Return what an event calls for. With `more`, what waits is placed after the instant's last."""
-        book = self.book
-        book.now, book.do, book.more = now_us, [], more
-        if now_us > book.timer_us + 2 * book.tick_us:  # Threat: this router stood still, not the members
-            book.stalled_us = now_us
+    def handle(self, event: api.Event, now_us: int, more_follow: bool = False) -> list[api.Action]:
+        """Return what an event calls for. With `more_follow`, what waits is sent after the instant's last."""
+        state = self.state
+        state.now_us, state.actions, state.more_follow = now_us, [], more_follow
+        if now_us > state.timer_us + 2 * state.tick_us:  # Threat: this router stood still, not the members
+            state.stalled_us = now_us
         match event:
             case api.Arrival():
-                arrivals.arrive(book, event)
+                arrivals.handle_arrival(state, event)
             case api.AttemptEnded():
-                outcomes.ended(book, event)
+                outcomes.handle_attempt(state, event)
             case api.TimerFired():
-                book.timer_us = NEVER if now_us >= book.timer_us else book.timer_us
+                state.timer_us = NEVER if now_us >= state.timer_us else state.timer_us
             case api.Checked():
-                outcomes.checked(book, event)
+                outcomes.handle_check(state, event)
             case api.Departure():
-                queueing.forget(book, event.request, has_left=True)
+                queueing.forget(state, event.request, has_left=True)
             case api.Roster():
-                roster.listed(book, event)
+                roster.apply_roster(state, event)
             case api.Start():
-                roster.start(book)
-        if book.unsettled and not more:
-            unsettled, book.unsettled = book.unsettled, {}
+                roster.start(state)
+        if state.deferred_groups and not more_follow:
+            unsettled, state.deferred_groups = state.deferred_groups, {}
             for group_id in unsettled:
-                dispatch.pump(book, book.groups[group_id])
-        _look_at_due(book)
-        return book.do
+                dispatch.dispatch_pending(state, state.groups[group_id])
+        _sweep_due_groups(state)
+        return state.actions
 
     def may_write(self, request_id: str, index: int, now_us: int) -> bool:
         """Whether an attempt may still be written: what it was sent by is looked at again. No change."""
-        book, request = self.book, self.book.requests.get(request_id)
+        state, request = self.state, self.state.requests.get(request_id)
         if request is None:
             return False
         attempt = request.attempts[index]
-        member, was, book.now = book.members.get(attempt.member), book.now, now_us
-        may = member is not None and sending.may_write(book, request, member, attempt.sent_us)
-        book.now = was  # a replay does not ask, and must go on from the same state
+        member, was, state.now_us = state.members.get(attempt.member), state.now_us, now_us
+        may = member is not None and sending.may_write(state, request, member, attempt.sent_us)
+        state.now_us = was  # a replay does not ask, and must go on from the same state
         return may
 
 
-def _look_at_due(book: Book) -> None:
+def _sweep_due_groups(state: RouterState) -> None:
     """Look at the groups whose time has come; one timer for the next, none when nothing waits."""
-    while book.due and book.due[0][0] <= book.now:
-        at_us, group_id = heapq.heappop(book.due)
-        group = book.groups[group_id]
-        if group.due_us == at_us:
-            group.due_us = NEVER
-            _look(book, group)
-    if book.now >= book.ask_at_us:
-        roster.ask(book)
-    at_us = min(book.due[0][0] if book.due else NEVER, book.ask_at_us)
-    if at_us < book.timer_us:
-        book.timer_us = at_us
-        book.do.append(api.SetTimer("due", at_us))
+    while state.due_sweeps and state.due_sweeps[0][0] <= state.now_us:
+        at_us, group_id = heapq.heappop(state.due_sweeps)
+        group = state.groups[group_id]
+        if group.sweep_due_us == at_us:
+            group.sweep_due_us = NEVER
+            _sweep_group(state, group)
+    if state.now_us >= state.roster_request_us:
+        roster.request_roster(state)
+    at_us = min(state.due_sweeps[0][0] if state.due_sweeps else NEVER, state.roster_request_us)
+    if at_us < state.timer_us:
+        state.timer_us = at_us
+        state.actions.append(api.SetTimer("due", at_us))
 
 
-def _look(book: Book, group: Group) -> None:
+def _sweep_group(state: RouterState, group: Group) -> None:
     """What waits in a group: silent members, requests past their time, room for the held."""
-    holds = book.holds[group.id]
-    if holds.held and group.primary is None and book.now - group.checked_us >= parameters.HOLD_CHECK_US:
-        checks.check_all(book, group)
+    holds = state.pending[group.id]
+    since_check_us = state.now_us - group.checked_us
+    if holds.entries and group.primary is None and since_check_us >= parameters.PENDING_CHECK_US:
+        checks.check_all(state, group)
     for member in list(group.members.values()):
-        if book.now >= checks.silent_at(book, group, member):
-            checks.check(book, member)
-    for request in holds.over(book.now, service_time.reserve_us(book, group)):
-        if any(one.out for one in request.attempts):
-            holds.pop(request.id)
+        if state.now_us >= checks.overdue_at(state, group, member):
+            checks.check(state, member)
+    for request in holds.ended(state.now_us, service_time.reserve_us(state, group)):
+        if any(one.is_outstanding for one in request.attempts):
+            holds.remove(request.id)
         else:
-            queueing.give_up(book, request)
-    dispatch.pump(book, group)
+            queueing.give_up(state, request)
+    dispatch.dispatch_pending(state, group)
--- a/tests/fleet/test_rules_of_fleet.py
+++ b/tests/fleet/test_rules_of_fleet.py
@@ -73,12 +73,12 @@
     driver = Driver(peers=200, fall_us=2_000_000)
     driver.ready()
     driver.roster(member(2, started_us=driver.now), kind=api.RosterKind.CHANGES)
-    book = driver.router.book
+    book = driver.router.state
     group = book.groups[1]
-    group.known_us, group.lost_us = 0, 2_000_000
+    group.primary_known_us, group.primary_lost_us = 0, 2_000_000
     driver.arrive("post")
     request = next(iter(book.requests.values()))
-    request.tied = True
+    request.is_primary_only = True
     assert cold.within_budget(book, book.members[2], 1.0, request) is False
 
 
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -10,7 +10,7 @@
 from oatlink.core.positions import Positions
 from oatlink.gateway import links
 from oatlink.gateway.server import Gateway
-from oatlink.router_state import Book, Member, Request
+from oatlink.router_state import Member, Request, RouterState
 from oatlink.rules import cold, reads, sessions
 
 count = 0
@@ -60,29 +60,29 @@
 
 def cold_spared() -> None:
     """The youngest member gets every read, whatever it can bear."""
-    whole = reads.choose
+    whole = reads.choose_member
 
-    def choose(book: Book, request: Request) -> Member | None:
-        group = book.groups[request.group]
+    def choose(state: RouterState, request: Request) -> Member | None:
+        group = state.groups[request.group]
         young = [one for one in group.members.values() if one.started_us and one.role is api.Role.REPLICA]
-        if request.rule.freshness is api.Freshness.WRITE or not young:
-            return whole(book, request)
+        if request.request_class.freshness is api.Freshness.WRITE or not young:
+            return whole(state, request)
         return max(young, key=lambda one: one.started_us)
 
-    reads.choose = choose
+    reads.choose_member = choose
     cold.within_budget = lambda *_: True
 
 
 def own_writes_seen() -> None:
     """A session's write that got no answer binds nobody."""
-    whole = sessions.ended
+    whole = sessions.settle_write
 
-    def ended(book: Book, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
+    def ended(state: RouterState, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
         if is_over:
-            book.session_writes.drop(write)
-        whole(book, write, position_us, is_over)
+            state.open_session_writes.remove(write)
+        whole(state, write, position_us, is_over)
 
-    sessions.ended = ended
+    sessions.settle_write = ended
 
 
 def no_stale_read() -> None:
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -84,11 +84,11 @@
 
     def session_of(self, request: str) -> str:
         """The session of a request that the router still has."""
-        return self.driver.router.book.requests[request].session or ""
+        return self.driver.router.state.requests[request].session or ""
 
     def kind_of(self, request: str) -> str:
         """The class of a request that the router still has."""
-        return self.driver.router.book.requests[request].rule.name
+        return self.driver.router.state.requests[request].request_class.name
 
     def write_out(self, attempt: OpenAttempt) -> None:
         """A connection is there: the attempt is looked at again and written, or taken back."""
@@ -102,13 +102,13 @@
             self.reads_written += 1
             self.must_see_all(session, member)
         else:
-            settled_us = router.book.requests[attempt.send.request].settled_us
+            settled_us = router.state.requests[attempt.send.request].settled_by_us
             attempt.write = SentWrite(session, member, now, settled_us)
             self.writes.append(attempt.write)
 
     def must_see_all(self, session: str, member: int) -> None:
         """What the session has written and is committed by now is at the server that its read goes to."""
-        if self.driver.router.book.groups[1].primary == member:
+        if self.driver.router.state.groups[1].primary == member:
             return
         for write in self.writes:
             if write.session == session and write.committed_us is not None:
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -70,7 +70,7 @@
     began = driver.now
     driver.now += 1_200_000
     (again,) = sends(driver.ended(first, Outcome.ERROR, duration=1_200_000))
-    end = began + POST.repeat_window_us - driver.router.book.margin_us
+    end = began + POST.repeat_window_us - driver.router.state.margin_us
     driver.now = end - 1 if written_in_time else end
     assert may(driver, again, attempt=1) == written_in_time
     if not written_in_time:
@@ -81,7 +81,7 @@
 def test_a_replica_grows_too_old_for_a_read_while_its_connection_is_dialled(driver: Driver) -> None:
     """Threat: a bound counts from the last byte of the send. What was fresh enough when chosen is stale then."""
     (send,) = sends(driver.arrive("view"))
-    old = driver.router.book.members[send.member].position_us
+    old = driver.router.state.members[send.member].position_us
     driver.now = old + VIEW.staleness_us
     assert may(driver, send)
     driver.now += 1
@@ -96,7 +96,7 @@
     assert may(driver, send)
     driver.now += 20_000
     driver.checked(2, Role.PRIMARY)
-    assert not may(driver, send) and driver.router.book.groups[1].primary == 2
+    assert not may(driver, send) and driver.router.state.groups[1].primary == 2
     (again,) = sends(driver.ended(send, Outcome.WITHDRAWN, duration=0))
     assert again.member == 2 and may(driver, again, attempt=1)
 
@@ -112,18 +112,18 @@
 def test_the_look_at_the_write_changes_nothing(driver: Driver) -> None:
     """Threat: a replay does not ask. What an operator is shown, by the time of the last event, would differ."""
     (send,) = sends(driver.arrive("post", expires=3_000_000))
-    before = driver.router.book.now
+    before = driver.router.state.now_us
     assert driver.router.may_write(send.request, 0, before + 1_000)
-    assert driver.router.book.now == before
+    assert driver.router.state.now_us == before
 
 
 def test_a_withdrawn_attempt_says_nothing_of_its_server(driver: Driver) -> None:
-    before = replace(driver.router.book.members[1])
+    before = replace(driver.router.state.members[1])
     (send,) = sends(driver.arrive("post", expires=3_000_000))
     driver.ended(send, Outcome.WITHDRAWN, duration=0)
-    after = driver.router.book.members[1]
-    unchanged = (before.room, before.refused, before.full_until_us, Role.PRIMARY)
-    assert (after.room, after.refused, after.full_until_us, after.role) == unchanged
+    after = driver.router.state.members[1]
+    unchanged = (before.concurrency_limit, before.refused_connection_count, before.paused_until_us, Role.PRIMARY)
+    assert (after.concurrency_limit, after.refused_connection_count, after.paused_until_us, after.role) == unchanged
     assert not Outcome.WITHDRAWN.may_have_run
 
 
@@ -137,16 +137,16 @@
     one.roster(member(1), member(2), member(3))
     one.checked(1, Role.PRIMARY)
     one.roster(member(2), member(3))
-    assert 1 in one.router.book.members and sends(one.arrive("post", expires=3_000_000))
+    assert 1 in one.router.state.members and sends(one.arrive("post", expires=3_000_000))
     one.roster(member(1, listing=Listing.TERMINATING), kind=RosterKind.CHANGES)
     one.roster(member(2), member(3))
-    assert 1 not in one.router.book.members, "dropped while it drains: bound"
+    assert 1 not in one.router.state.members, "dropped while it drains: bound"
 
 
 def test_other_settings_bring_other_tenants_and_their_shares() -> None:
     router = Router(replace(SETTINGS, tenant_rates=(("old", 10.0), ("both", 10.0))))
     router.configure(replace(SETTINGS, tenant_rates=(("both", 40.0), ("new", 20.0))))
-    assert {one: share[0] for one, share in router.book.shares.items()} == {"both": 20.0, "new": 10.0}
+    assert {one: share[0] for one, share in router.state.tenant_budgets.items()} == {"both": 20.0, "new": 10.0}
 
 
 # ---- The book of open requests ----
@@ -252,7 +252,7 @@
 def test_a_zone_without_a_name_and_tenants_with_long_or_equal_ones_are_taken(tmp_path: Path) -> None:
     tenants = [{"Name": name, "AllowancePerS": 5.0} for name in ("", "t" * 100_000, "same", "same")]
     found = read(tmp_path, OPTIONS | {"Zone": "", "Tenants": tenants})
-    assert len(Router(found.settings).book.shares) == 3
+    assert len(Router(found.settings).state.tenant_budgets) == 3
 
 
 @pytest.mark.parametrize("names", [("view", "view"), ("view", "")])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -277,7 +277,7 @@
     old = boxes["r"].member
     rig.give(met("r", info("replica", 20, run="r-again", uptime=0), rig.now))
     assert boxes["r"].member != old and boxes["r"].started_us > 0
-    members = rig.engine.router.book.members
+    members = rig.engine.router.state.members
     assert old not in members and members[boxes["r"].member].position_us < 0
 
 
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -10,8 +10,8 @@
 
 from oatlink import interface as api
 from oatlink.interface import Outcome, Role
-from oatlink.pending import Holds, Row
-from oatlink.router_state import Book
+from oatlink.pending import PendingQueue, PendingRequests
+from oatlink.router_state import RouterState
 from oatlink.rules import Router, concurrency, dispatch, queueing, sending
 from oatlink.state import Group, Member, Request
 from tests.conftest import ANY, CHECK, OWN, POST, SETTINGS, START_US, SUBMIT, VIEW, Driver, member, sends
@@ -23,21 +23,21 @@
 
 @given(st.lists(st.tuples(st.sampled_from("pda"), st.integers(0, 400), st.integers(-5, 5)), max_size=80))
 def test_a_row_finds_what_going_through_it_would(steps: list[tuple[str, int, int]]) -> None:
-    row, model = Row(), dict[int, int]()
+    row, model = PendingQueue(), dict[int, int]()
     for what, number, need in steps:
         one = request(number if what != "a" else max([0, *model]) + number)
         if what == "d":
-            row.drop(one)
-            model.pop(one.number, None)
+            row.remove(one)
+            model.pop(one.arrival_number, None)
         else:
-            row.put(one, need)
-            model[one.number] = need
+            row.add(one, need)
+            model[one.arrival_number] = need
         for bound in range(-6, 7):
             least = min((n for n, needs in model.items() if needs <= bound), default=None)
             most = max((n for n, needs in model.items() if needs > bound), default=None)
             oldest, newest = row.oldest(bound), row.newest(bound)
-            assert (oldest.number if oldest else None) == least
-            assert (newest.number if newest else None) == most
+            assert (oldest.arrival_number if oldest else None) == least
+            assert (newest.arrival_number if newest else None) == most
 
 
 @given(
@@ -47,39 +47,41 @@
 def test_ends_come_when_counting_them_all_says_so(
     made: list[tuple[int, int, int, int]], looks: list[tuple[int, int]]
 ) -> None:
-    holds, model = Holds(), dict[str, tuple[int, int, int]]()
+    holds, model = PendingRequests(), dict[str, tuple[int, int, int]]()
     for number, (half, length, last, _) in enumerate(made):
         one = request(number)
-        holds.put(one, ("k", 1.0, False, (), False, 0.0), 0)
-        holds.ends_at(one, half, half + length, last)
+        holds.add(one, ("k", 1.0, False, (), False, 0.0), 0)
+        holds.set_ends(one, half, half + length, last)
         model[one.id] = half, half + length, last
     now = 0
     for passed, usual in looks:
         now += passed
         due = [name for name, (half, end, last) in model.items() if now >= max(half, end - usual) or now >= last]
-        found = [one.id for one in holds.over(now, usual)]
+        found = [one.id for one in holds.ended(now, usual)]
         assert found == sorted(due, key=lambda name: int(name[1:]))
         for name in found:
-            holds.pop(name)
+            holds.remove(name)
             del model[name]
     assert len(holds) == len(model)
 
 
-def plain_pump(book: Book, group: Group) -> None:
+def plain_pump(book: RouterState, group: Group) -> None:
     """The model: every held request is tried, the most urgent first.
 
     But a current read that finds no member keeps the later ones of its class back, as it always has: where members
     check reads themselves, a later one could still be sent to a member that will turn it away.
     """
     kept_back = set()
-    held = [one for one, _ in book.holds[group.id].held.values()]
-    if any(concurrency.has_room(book, one, 1.0) for one in group.members.values()):
-        for one in sorted(held, key=lambda one: (queueing.urgency(book, one), queueing.kind_of(book, one), one.number)):
-            found = book.choose(book, one) if queueing.kind_of(book, one) not in kept_back else None
+    held = [one for one, _ in book.pending[group.id].entries.values()]
+    if any(concurrency.has_capacity(book, one, 1.0) for one in group.members.values()):
+        for one in sorted(
+            held, key=lambda one: (queueing.urgency(book, one), queueing.queue_key(book, one), one.arrival_number)
+        ):
+            found = book.choose_member(book, one) if queueing.queue_key(book, one) not in kept_back else None
             if found is not None:
                 sending.send(book, one, found)
-            elif one.rule.freshness is api.Freshness.LATEST:
-                kept_back.add(queueing.kind_of(book, one))
+            elif one.request_class.freshness is api.Freshness.LATEST:
+                kept_back.add(queueing.queue_key(book, one))
 
 
 class Compared:
@@ -88,20 +90,22 @@
     pumps = sent = most = 0
 
     def __init__(self) -> None:
-        self.whole = dispatch.pump
+        self.whole = dispatch.dispatch_pending
 
-    def pump(self, book: Book, group: Group) -> None:
-        if book.more:
+    def pump(self, book: RouterState, group: Group) -> None:
+        if book.more_follow:
             return self.whole(book, group)
         model = deepcopy(book)
-        model.do = []
+        model.actions = []
         plain_pump(model, model.groups[group.id])
-        before = len(book.do)
-        held = len(book.holds[group.id])
+        before = len(book.actions)
+        held = len(book.pending[group.id])
         self.whole(book, group)
-        mine = sends(book.do[before:])
-        assert mine == sends(model.do)
-        checks = [[one for one in done if isinstance(one, api.Check)] for done in (book.do[before:], model.do)]
+        mine = sends(book.actions[before:])
+        assert mine == sends(model.actions)
+        checks = [
+            [one for one in done if isinstance(one, api.Check)] for done in (book.actions[before:], model.actions)
+        ]
         assert bool(checks[0]) == bool(checks[1])
         self.pumps += 1
         self.sent += len(mine)
@@ -174,7 +178,7 @@
 
 def test_the_indexed_pump_sends_what_the_plain_one_sends_in_the_same_order(monkeypatch: pytest.MonkeyPatch) -> None:
     compared = Compared()
-    monkeypatch.setattr(dispatch, "pump", compared.pump)
+    monkeypatch.setattr(dispatch, "dispatch_pending", compared.pump)
     for seed in range(4):
         play(seed, 160)
         play(seed, 160, members_check_reads=True)
@@ -185,21 +189,21 @@
 def test_a_thousand_held_session_reads_cost_a_pump_few_choices(monkeypatch: object) -> None:
     """The failure: each answer tried every held read of a session, 8 ms at 300 held."""
     driver = Driver(router_remembers_sessions=True).ready()
-    driver.router.book.groups[1].members[1].room = 1.0
+    driver.router.state.groups[1].members[1].concurrency_limit = 1.0
     for number in range(1_000):
         session = f"s{number}"
-        driver.router.book.remember(session, driver.now + 1)  # no replica has it yet
+        driver.router.state.record_session_write(session, driver.now + 1)  # no replica has it yet
         driver.arrive("own", session=session)
-    assert len(driver.router.book.holds[1]) > 900
+    assert len(driver.router.state.pending[1]) > 900
     tried = 0
-    book = driver.router.book
-    choose = book.choose
+    book = driver.router.state
+    choose = book.choose_member
 
-    def counted(book: Book, one: Request) -> Member | None:
+    def counted(book: RouterState, one: Request) -> Member | None:
         nonlocal tried
         tried += 1
         return choose(book, one)
 
-    book.choose = counted
-    dispatch.pump(book, book.groups[1])
+    book.choose_member = counted
+    dispatch.dispatch_pending(book, book.groups[1])
     assert tried < 10
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -14,7 +14,7 @@
 from oatlink.gateway.clock import CLIENTS_A_TURN, Marks, patience
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
-from oatlink.router_state import Book, Group
+from oatlink.router_state import Group, RouterState
 from oatlink.rules import dispatch
 from oatlink.standins.box import Work
 from tests.gateways import Served, Wire, given_to, served
@@ -108,7 +108,7 @@
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     member = rig.engine._boxes["p"].member
-    rig.engine.router.book.members[member].room = 2.0
+    rig.engine.router.state.members[member].concurrency_limit = 2.0
     for number in range(3, 9):
         rig.give(m.Opened(number))
     for number in range(3, 9):
@@ -116,13 +116,13 @@
     assert len(rig.sent) == 3  # two out, the rest held
     first, second = rig.sent[1:]
     pumped = []
-    pump = dispatch.pump
+    pump = dispatch.dispatch_pending
 
-    def noted(book: Book, group: Group) -> None:
-        pumped.append(book.more)
+    def noted(book: RouterState, group: Group) -> None:
+        pumped.append(book.more_follow)
         pump(book, group)
 
-    monkeypatch.setattr(dispatch, "pump", noted)
+    monkeypatch.setattr(dispatch, "dispatch_pending", noted)
     for send, more in ((first, True), (second, False)):
         rig.give(m.Ended(send.request, send.attempt, send.box, "reply", 500, rig.now, [b"+OK\r\n"], b"", more))
         assert len(rig.sent) == (3 if more else 5)
@@ -132,7 +132,7 @@
 def test_announced_replies_that_do_not_come_are_settled_by_a_tick() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("GET", KEY)))
-    rig.engine.router.book.members[rig.engine._boxes["p"].member].room = 1.0
+    rig.engine.router.state.members[rig.engine._boxes["p"].member].concurrency_limit = 1.0
     first = sent(rig.ask("SET", PLAIN, 1))
     assert rig.ask("SET", f"{{{PLAIN}}}2", 1, client=2) is None
     rig.give(m.Ended(first.request, first.attempt, first.box, "reply", 500, rig.now, [b"+OK\r\n"], b"", True))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -187,13 +187,13 @@
         for turn in range(2):
             gateway, port = started(settings)
             wire = await Wire.open(port)
-            assert ("teller@0" in gateway.engine.router.book.sessions) is bool(turn)
+            assert ("teller@0" in gateway.engine.router.state.session_positions) is bool(turn)
             await wire.ask("CLIENT", "SETNAME", "teller")
             assert await wire.ask("SET", "v:1", 1) == resp.Simple(b"OK")
             await gateway.stop()
         path.write_bytes(path.read_bytes()[:-9])  # half-written: the gateway starts all the same
         gateway = Gateway(settings)
-        assert not gateway.engine.router.book.sessions
+        assert not gateway.engine.router.state.session_positions
         await gateway.stop()
 
     asyncio.run(once())
--- a/tests/test_random_news.py
+++ b/tests/test_random_news.py
@@ -173,5 +173,5 @@
         watch.step()
     watch.pass_time(6_000_000)
     router = watch.driver.router
-    assert not watch.open and not router.book.requests
-    assert len(router.book.members) <= 12 and len(router.book.due) < 50
+    assert not watch.open and not router.state.requests
+    assert len(router.state.members) <= 12 and len(router.state.due_sweeps) < 50
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -174,8 +174,8 @@
     done = subprocess.run([sys.executable, "-m", "oatlink", "replay", str(path)], capture_output=True, text=True)
     assert done.returncode == 0 and "cut off inside a frame" in done.stderr
     # A guard is changed: the replay must find it and name the request.
-    monkeypatch.setattr(checks, "in_doubt", lambda *_: False)
-    monkeypatch.setattr(concurrency, "has_room", lambda book, member, share, *_: len(member.out) < 1)
+    monkeypatch.setattr(checks, "is_in_doubt", lambda *_: False)
+    monkeypatch.setattr(concurrency, "has_capacity", lambda book, member, share, *_: len(member.outstanding) < 1)
     recording = Recording(files[1].read_bytes())
     found = replay(recording.header, recording.entries())
     assert found.differences > 0 and found.first is not None and found.first.request > 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -265,10 +265,10 @@
     driver = Driver().ready()
     for duration, cut in ((60_000, False), (1_900_000, True)):
         send = one(driver.arrive("any"))
-        room = driver.router.book.members[send.member].room
+        room = driver.router.state.members[send.member].concurrency_limit
         driver.wait(duration)
         driver.ended(send, Outcome.LATE, duration=duration)
-        assert (driver.router.book.members[send.member].room < room) is cut
+        assert (driver.router.state.members[send.member].concurrency_limit < room) is cut
 
 
 def test_latest_read_goes_to_the_primary(driver: Driver) -> None:
@@ -303,7 +303,7 @@
     assert not driver.router.may_write(send.request, 0, driver.now), "nothing is sent for it any more"
     done = driver.ended(send, outcome, over=True, answer=api.Report(driver.now, Role.PRIMARY))
     assert not any(isinstance(each, api.Send | api.Fail | api.Refuse) for each in done)
-    assert not driver.router.book.requests
+    assert not driver.router.state.requests
     if outcome is Outcome.SERVED:
         assert one(driver.arrive("own", session="s")).member == 1
         assert one(driver.arrive("own", session="other")).member in (2, 3)
@@ -458,7 +458,7 @@
     for _ in range(100):
         for send in sends(driver.arrive("any")):
             driver.ended(send, Outcome.SERVED)
-    assert not driver.router.book.requests
+    assert not driver.router.state.requests
 
 
 def test_answers_outweigh_failed_checks(driver: Driver) -> None:
@@ -506,10 +506,10 @@
 def test_times_across_the_routers_own_stall_blame_no_member(driver: Driver) -> None:
     """Found at full size: routers that stand still and then find everything at once."""
     send = one(driver.arrive("submit"))
-    before = driver.router.book.members[1].room
+    before = driver.router.state.members[1].concurrency_limit
     driver.now += 2_000_000
     driver.ended(send, Outcome.LATE, duration=2_000_000)
-    assert driver.router.book.members[1].room == before and sends(driver.arrive("submit"))
+    assert driver.router.state.members[1].concurrency_limit == before and sends(driver.arrive("submit"))
 
 
 def test_a_router_with_nothing_to_do_sets_no_timer(driver: Driver) -> None:
@@ -524,7 +524,7 @@
         driver.arrive("any")
         for check in of(api.Check, driver.wait(100_000)):
             checks += check.member == 2
-        if driver.router.book.members[2].check_sent_us is not None or not checks:
+        if driver.router.state.members[2].check_sent_us is not None or not checks:
             driver.check_failed(2)
     assert checks <= 12
 
@@ -604,13 +604,13 @@
 
 def test_the_one_place_that_sends_asks_every_guard(driver: Driver) -> None:
     """The guards hold by themselves, whatever has chosen the member."""
-    book = driver.router.book
+    book = driver.router.state
     send = one(driver.arrive("any"))
     request, target = book.requests[send.request], book.members[2]
     assert sending.may_send(book, request, target)
-    target.drained = True
+    target.is_draining = True
     assert not sending.may_send(book, request, target)
-    target.drained = False
+    target.is_draining = False
     request.group = 2
     assert not sending.may_send(book, request, target)
     request.group = 1
--- a/tests/test_session_model.py
+++ b/tests/test_session_model.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 
 from oatlink.interface import Outcome
-from oatlink.router_state import Book, Request
+from oatlink.router_state import Request, RouterState
 from oatlink.rules import queueing, sending, sessions
 from tests.session_world import MEMBERS, SESSIONS, OpenAttempt, World
 
@@ -136,73 +136,76 @@
 
 
 def _needs_as_known_at_arrival(patch: pytest.MonkeyPatch) -> None:
-    needed_us, first = sessions.needed_us, dict[int, tuple[Request, int]]()  # requests are kept, for their identity
+    needed_us = sessions.min_position_us
+    first = dict[int, tuple[Request, int]]()  # requests are kept, for their identity
 
-    def kept(book: Book, request: Request, by_us: int) -> int:
+    def kept(book: RouterState, request: Request, by_us: int) -> int:
         return first.setdefault(id(request), (request, needed_us(book, request, by_us)))[1]
 
-    patch.setattr(sessions, "needed_us", kept)
+    patch.setattr(sessions, "min_position_us", kept)
 
 
 def _open_writes_bind_nobody(patch: pytest.MonkeyPatch) -> None:
-    needed_us = sessions.needed_us
+    needed_us = sessions.min_position_us
 
-    def without(book: Book, request: Request, by_us: int) -> int:
-        followed, book.session_writes = book.session_writes, type(book.session_writes)()
+    def without(book: RouterState, request: Request, by_us: int) -> int:
+        followed, book.open_session_writes = book.open_session_writes, type(book.open_session_writes)()
         needed = needed_us(book, request, by_us)
-        book.session_writes = followed
+        book.open_session_writes = followed
         return needed
 
-    patch.setattr(sessions, "needed_us", without)
+    patch.setattr(sessions, "min_position_us", without)
 
 
 def _unanswered_writes_bind_nobody(patch: pytest.MonkeyPatch) -> None:
-    ended = sessions.ended
+    ended = sessions.settle_write
 
-    def forgets(book: Book, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
+    def forgets(book: RouterState, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
         if is_over:
-            book.session_writes.drop(write)
+            book.open_session_writes.remove(write)
         ended(book, write, position_us, is_over)
 
-    patch.setattr(sessions, "ended", forgets)
+    patch.setattr(sessions, "settle_write", forgets)
 
 
 def _unanswered_writes_bind_at_their_end(patch: pytest.MonkeyPatch) -> None:
-    ended = sessions.ended
+    ended = sessions.settle_write
 
-    def too_early(book: Book, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
-        ended(book, write, book.now if is_over and position_us is None and write.may_have_run else position_us, is_over)
+    def too_early(book: RouterState, write: Request, position_us: int | None = None, is_over: bool = False) -> None:
+        ended(
+            book, write, book.now_us if is_over and position_us is None and write.may_have_run else position_us, is_over
+        )
 
-    patch.setattr(sessions, "ended", too_early)
+    patch.setattr(sessions, "settle_write", too_early)
 
 
 def _writes_of_clients_that_left_bind_nobody(patch: pytest.MonkeyPatch) -> None:
     forget = queueing.forget
 
-    def drops(book: Book, request_id: str, has_left: bool = False) -> None:
+    def drops(book: RouterState, request_id: str, has_left: bool = False) -> None:
         request = book.requests.get(request_id)
         if has_left and request is not None:
-            book.session_writes.drop(request)
+            book.open_session_writes.remove(request)
         forget(book, request_id)
 
     patch.setattr(queueing, "forget", drops)
 
 
 def _forgotten_sessions_bind_nobody(patch: pytest.MonkeyPatch) -> None:
-    remember = Book.remember
+    remember = RouterState.record_session_write
 
-    def drops(book: Book, session: str, position_us: int) -> None:
+    def drops(book: RouterState, session: str, position_us: int) -> None:
         remember(book, session, position_us)
-        book.forgotten_us = -1
+        book.forgotten_position_us = -1
 
-    patch.setattr(Book, "remember", drops)
+    patch.setattr(RouterState, "record_session_write", drops)
 
 
 def _no_look_before_the_write(patch: pytest.MonkeyPatch) -> None:
     may_write = sending.may_write
 
-    def blind(book: Book, request: Request, member: object, sent_us: int) -> bool:
-        return sent_us < book.now or may_write(book, request, member, sent_us)  # type: ignore[arg-type]
+    def blind(book: RouterState, request: Request, member: object, sent_us: int) -> bool:
+        return sent_us < book.now_us or may_write(book, request, member, sent_us)  # type: ignore[arg-type]
 
     patch.setattr(sending, "may_write", blind)
 
--- a/tests/test_session_reads.py
+++ b/tests/test_session_reads.py
@@ -4,7 +4,7 @@
 
 from oatlink import interface as api
 from oatlink.interface import Outcome, Role
-from oatlink.pending import Row
+from oatlink.pending import PendingQueue
 from oatlink.state import Request
 from tests.conftest import SUBMIT, Driver, sends
 
@@ -72,12 +72,12 @@
     """A read that waited for a free server went to a replica that had not got its session's newer write."""
     driver = remembering()
     write = sent(driver.arrive("submit", session="s"))
-    group = driver.router.book.groups[1]
+    group = driver.router.state.groups[1]
     for replica in (2, 3):
-        group.members[replica].full_until_us = driver.now + 10_000
-    group.members[PRIMARY].room = 1.0
+        group.members[replica].paused_until_us = driver.now + 10_000
+    group.members[PRIMARY].concurrency_limit = 1.0
     assert not sends(driver.arrive("own", session="s")) and not sends(driver.arrive("own", session="other"))
-    group.members[PRIMARY].full_until_us = driver.now + 200_000
+    group.members[PRIMARY].paused_until_us = driver.now + 200_000
     driver.ended(write, Outcome.SERVED, answer=api.Report(driver.now, Role.PRIMARY))
     done = driver.wait(100_000)
     assert [send.request for send in sends(done) if send.member in (2, 3)] == ["r4"], "only the other session's"
@@ -86,21 +86,21 @@
 def test_a_write_moves_only_its_own_sessions_pending_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     driver = remembering()
     write = sent(driver.arrive("submit", session="s"))
-    book = driver.router.book
-    book.groups[1].members[PRIMARY].room = 1.0
+    book = driver.router.state
+    book.groups[1].members[PRIMARY].concurrency_limit = 1.0
     for number in range(10_000):
         session = "s" if number % 5_000 == 0 else f"other {number}"
-        book.remember(session, driver.now + 1)  # no replica has it yet
+        book.record_session_write(session, driver.now + 1)  # no replica has it yet
         driver.arrive("own", session=session)
-    assert len(book.holds[1]) > 9_900
+    assert len(book.pending[1]) > 9_900
     moved: list[str | None] = []
-    put = Row.put
+    put = PendingQueue.add
 
-    def counted(row: Row, request: Request, need: int) -> None:
+    def counted(row: PendingQueue, request: Request, need: int) -> None:
         moved.append(request.session)
         put(row, request, need)
 
-    monkeypatch.setattr(Row, "put", counted)
+    monkeypatch.setattr(PendingQueue, "add", counted)
     driver.ended(write, Outcome.SERVED, answer=api.Report(driver.now + 2, Role.PRIMARY))
     assert moved.count("s") >= 2 and len(moved) < 10
 
@@ -111,7 +111,7 @@
     driver.skip(1_000)
     driver.ended(write, Outcome.FULL)
     assert read_by(driver, "s") != PRIMARY
-    assert not driver.router.book.session_writes.by_session and not driver.router.book.sessions
+    assert not driver.router.state.open_session_writes.by_session and not driver.router.state.session_positions
 
 
 def test_an_unanswered_write_binds_until_a_replica_stands_where_it_must_have_ended() -> None:
@@ -121,7 +121,7 @@
     driver.skip(1_000_000)
     driver.ended(write, Outcome.LATE)
     settled_us = driver.now + SUBMIT.deadline_us
-    assert driver.router.book.sessions == {"s": settled_us}
+    assert driver.router.state.session_positions == {"s": settled_us}
     driver.skip(SUBMIT.deadline_us - 10_000)
     driver.checked(PRIMARY, Role.PRIMARY)
     driver.checked(2, Role.REPLICA)
@@ -136,4 +136,4 @@
     write = sent(driver.arrive("submit", session="s"))
     driver.skip(10_000)
     driver.ended(write, Outcome.SERVED)
-    assert driver.router.book.sessions == {"s": driver.now}
+    assert driver.router.state.session_positions == {"s": driver.now}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -150,13 +150,13 @@
     async def scene() -> None:
         with socket.create_server(("127.0.0.1", 0)) as sock:
             gateway = Gateway(read(tmp_path), sock)
-            book = gateway._router.book
+            book = gateway._router.state
             for _ in range(9):
                 gateway._told(None)
-            assert book.ask_at_us - book.now > config.TOLD_US / 8, "long by now"
+            assert book.roster_request_us - book.now_us > config.TOLD_US / 8, "long by now"
             gateway._apply(replace(gateway._config, discovery=("127.0.0.1", 9)))
             gateway._told(None)
-            assert book.ask_at_us - book.now <= 1.5 * config.TOLD_US / 32
+            assert book.roster_request_us - book.now_us <= 1.5 * config.TOLD_US / 32
             gateway._discovery.close()
 
     play(scene())
@@ -243,7 +243,7 @@
                     report = api.Report(self.now_us, api.Role.PRIMARY if action.member == 1 else api.Role.REPLICA)
                     self.do(api.Checked(action.member, Outcome.SERVED, 1_000, report))
                 case api.Send():
-                    request = self.router.book.requests[action.request]
+                    request = self.router.state.requests[action.request]
                     number, over = len(request.attempts) - 1, self.outcome is Outcome.SERVED
                     self.sent += 1
                     self.do(api.AttemptEnded(action.request, number, action.member, self.outcome, 10_000, over, None))
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -38,7 +38,7 @@
 
     def __init__(self, read: config.Config, seed: int, ends: list[str], answer_s: float, back_s: float) -> None:
         self.router, self.draw = Router(read.settings), random.Random(seed)
-        self.router.book.random.seed(seed)
+        self.router.state.random.seed(seed)
         self.ends, self.answer_s, self.back_s = ends, answer_s, back_s
         self.loop = asyncio.get_running_loop()
         self.known: asyncio.Future[float] = self.loop.create_future()
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -14,7 +14,7 @@
 from oatlink.core.snapshot import restore, take
 from oatlink.core.ways import MOST_DIALS
 from oatlink.interface import Role
-from oatlink.member_status import belief as belief_of
+from oatlink.member_status import member_status
 from oatlink.protocols.resp import command
 from oatlink.settings import SettingsError, load_text
 from tests.test_engine import KEY, PLAIN, TEMPLATE, Rig, info, sent
@@ -102,16 +102,16 @@
     told: list[api.Checked] = []
     handle = one.engine.router.handle
 
-    def noted(event: api.Event, now_us: int, more: bool = False) -> list[api.Action]:
+    def noted(event: api.Event, now_us: int, more_follow: bool = False) -> list[api.Action]:
         if isinstance(event, api.Checked) and event.member == before:
             told.append(event)
-        return handle(event, now_us, more)
+        return handle(event, now_us, more_follow)
 
     one.engine.router.handle = noted  # type: ignore[method-assign]
     one.engine._boxes["p"].check_out = True  # as the Router asks for it
     one.give(m.Inspected())
     assert [event.outcome for event in told] == [api.Outcome.SERVED]
-    belief = belief_of(one.engine.router, before)
+    belief = member_status(one.engine.router, before)
     assert belief is not None and belief.role is Role.PRIMARY
     assert state(one, PU) is State.FAILED and state(one, P) is State.GOOD
     assert sent(one.ask("SET", PLAIN, 1)).address == P
