--- a/tests/fleet/test_rules_of_fleet.py
+++ b/tests/fleet/test_rules_of_fleet.py
@@ -12,7 +12,7 @@
 
 
 def doubted(driver: Driver, number: int, at_us: int, until_us: int) -> list[api.Action]:
-    return driver.roster(member(number, doubt=(at_us, until_us)), kind=api.RosterKind.CHANGES)
+    return driver.roster(member(number, suspicion=(at_us, until_us)), kind=api.RosterKind.CHANGES)
 
 
 def share_of(driver: Driver, number: int, reads: int = 20) -> int:
@@ -61,9 +61,9 @@
 @pytest.mark.parametrize("name", ["any", "view", "own"])
 def test_a_position_that_is_needed_keeps_older_replicas_out(driver: Driver, name: str) -> None:
     driver.now += 200_000
-    (send,) = sends(driver.arrive(name, needs_us=driver.now - 200_000))
+    (send,) = sends(driver.arrive(name, min_position_us=driver.now - 200_000))
     assert send.member in (2, 3)
-    asked = driver.arrive(name, needs_us=driver.now - 199_999)
+    asked = driver.arrive(name, min_position_us=driver.now - 199_999)
     assert all(one.member == 1 for one in sends(asked))
     late = [one for number in (2, 3) for one in sends(driver.checked(number, Role.REPLICA, age=199_998))]
     assert [one.member for one in sends(asked) + late][0] in (1, 2, 3) and len(sends(asked) + late) == 1
