--- a/oatlink/core/stored_names.py
+++ b/oatlink/core/stored_names.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from oatlink import holds, state
 from oatlink import interface as api
-from oatlink.book import Book
+from oatlink import pending, state
 from oatlink.core import addresses, messages, overload, positions, reports, sessions, shared
+from oatlink.router_state import RouterState
 from oatlink.settings import model, parts
 
 RECORDS: dict[str, tuple[type, tuple[str, ...]]] = {
@@ -25,30 +25,30 @@
         (
             "member",
             "sent_us",
-            "out",
+            "is_outstanding",
         ),
     ),
     "oatlink.state.Request": (
         state.Request,
         (
             "id",
-            "rule",
+            "request_class",
             "group",
             "arrived_us",
             "expires_us",
             "session",
-            "need_us",
+            "min_position_us",
             "worth",
-            "number",
+            "arrival_number",
             "attempts",
-            "tried",
+            "tried_members",
             "may_have_run_us",
-            "copied",
-            "failed",
-            "asked",
-            "tied",
-            "draw",
-            "settled_us",
+            "has_copy",
+            "has_failed",
+            "check_count",
+            "is_primary_only",
+            "admission_draw",
+            "settled_by_us",
         ),
     ),
     "oatlink.state.SessionRequests": (state.SessionRequests, ("by_session",)),
@@ -56,9 +56,9 @@
         state.Member,
         (
             "entry",
-            "turn",
+            "round_robin_position",
             "tokens",
-            "room",
+            "concurrency_limit",
             "check_cost_us",
             "role",
             "role_us",
@@ -66,20 +66,20 @@
             "lag_us",
             "heard_us",
             "answered_us",
-            "drained",
+            "is_draining",
             "was_terminating",
             "check_sent_us",
             "checked_us",
-            "broken_us",
-            "failed_checks",
-            "refused",
-            "out",
-            "duration_us",
-            "cut_us",
-            "full_until_us",
+            "connection_broken_us",
+            "failed_check_count",
+            "refused_connection_count",
+            "outstanding",
+            "average_service_us",
+            "limit_reduced_us",
+            "paused_until_us",
             "started_us",
-            "rate",
-            "rate_us",
+            "answer_rate",
+            "answer_rate_us",
             "tokens_us",
         ),
     ),
@@ -89,35 +89,35 @@
             "id",
             "members",
             "primary",
-            "arrived",
-            "answer_us",
-            "usual_us",
-            "share",
-            "let_us",
+            "arrival_count",
+            "average_service_us",
+            "typical_service_us",
+            "admission_ratio",
+            "admitted_us",
             "checked_us",
-            "lost_us",
-            "known_us",
-            "due_us",
+            "primary_lost_us",
+            "primary_known_us",
+            "sweep_due_us",
         ),
     ),
     "oatlink.holds.Row": (
-        holds.Row,
+        pending.PendingQueue,
         (
-            "first",
+            "first_number",
             "size",
-            "low",
-            "high",
-            "held",
+            "min_positions",
+            "max_positions",
+            "requests",
         ),
     ),
     "oatlink.holds.Holds": (
-        holds.Holds,
+        pending.PendingRequests,
         (
-            "held",
-            "rows",
-            "halves",
-            "ends",
-            "lasts",
+            "entries",
+            "queues",
+            "earliest_ends",
+            "soft_ends",
+            "hard_ends",
             "session_reads",
         ),
     ),
@@ -131,7 +131,7 @@
             "listing",
             "primary",
             "started_us",
-            "doubt",
+            "suspicion",
         ),
     ),
     "oatlink.interface.RequestClass": (
@@ -459,42 +459,42 @@
 """What an engine is made of and not what it remembers: made anew from the settings, and not written."""
 
 ROUTER: dict[str, str] = {
-    "now": "now",
-    "more": "more",
+    "now": "now_us",
+    "more": "more_follow",
     "classes": "classes",
-    "target_us": "target_us",
-    "bound_us": "bound_us",
+    "target_us": "target_service_us",
+    "bound_us": "staleness_bound_us",
     "tick_us": "tick_us",
     "margin_us": "margin_us",
     "heartbeat_us": "heartbeat_us",
     "members": "members",
     "groups": "groups",
     "requests": "requests",
-    "holds": "holds",
-    "unsettled": "unsettled",
-    "due": "due",
+    "holds": "pending",
+    "unsettled": "deferred_groups",
+    "due": "due_sweeps",
     "timer_us": "timer_us",
     "stalled_us": "stalled_us",
-    "ask_at_us": "ask_at_us",
-    "ask_wait_us": "ask_wait_us",
-    "answer_us": "answer_us",
-    "turn": "turn",
-    "shown": "shown",
-    "shown_us": "shown_us",
-    "arrived": "arrived",
-    "tied": "tied",
-    "answered": "answered",
-    "worth": "worth",
-    "shares": "shares",
-    "lend": "lend",
-    "lent_us": "lent_us",
-    "sessions": "sessions",
-    "forgotten_us": "forgotten_us",
-    "session_writes": "session_writes",
+    "ask_at_us": "roster_request_us",
+    "ask_wait_us": "roster_retry_wait_us",
+    "answer_us": "average_service_us",
+    "turn": "round_robin_position",
+    "shown": "warm_rate",
+    "shown_us": "warm_rate_us",
+    "arrived": "arrival_count",
+    "tied": "primary_only_share",
+    "answered": "answers_per_arrival",
+    "worth": "average_worth",
+    "shares": "tenant_budgets",
+    "lend": "spill_ratio",
+    "lent_us": "spilled_us",
+    "sessions": "session_positions",
+    "forgotten_us": "forgotten_position_us",
+    "session_writes": "open_session_writes",
 }
 """Outer name of an attribute of the router's state: its name in the code, in the order in which they are written."""
 
-ROUTER_MADE_ANEW = frozenset(("settings", "random", "choose", "do"))
+ROUTER_MADE_ANEW = frozenset(("settings", "random", "choose_member", "actions"))
 """What a router's state is made of: made anew from the settings, and not written here (`random` is by itself)."""
 
 
@@ -529,7 +529,7 @@
             _check_names(name, attributes_of(positions.Positions()), attributes)
         elif attributes != _positional(record):
             raise TypeError(f"{name}: {__name__} has the attributes {attributes}, the code {_positional(record)}")
-    _check_names("the router's state", _positional(Book), ROUTER.values(), ROUTER_MADE_ANEW)
+    _check_names("the router's state", _positional(RouterState), ROUTER.values(), ROUTER_MADE_ANEW)
 
 
 def _positional(record: type) -> tuple[str, ...]:
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 
 from oatlink import interface as api
-from oatlink.beliefs import belief as belief_of
 from oatlink.gateway.clock import TurnClock, now_us
 from oatlink.interface import Outcome, Report, RosterKind
+from oatlink.member_status import member_status
 from oatlink.platform import discovery as disco
 from oatlink.platform import requests as req
 from oatlink.platform import signals
@@ -140,11 +140,13 @@
         members = []
         for pool in self._servers.active:
             number = pool.number
-            belief = belief_of(self._router, number)
-            if belief is not None:
-                role = "P" if belief.primary else belief.role.value[0]
-                doubt = "?" if belief.in_doubt else ""
-                members.append(f"{self._numbers.name_of(number)}:{role}{doubt} {belief.out}/{belief.room:.1f}")
+            status = member_status(self._router, number)
+            if status is not None:
+                role = "P" if status.is_primary else status.role.value[0]
+                doubt = "?" if status.is_in_doubt else ""
+                members.append(
+                    f"{self._numbers.name_of(number)}:{role}{doubt} {status.outstanding}/{status.concurrency_limit:.1f}"
+                )
         LOG.info(
             "state: %s; requests %d, clients %d (%d idle), to servers %d; %s, %d more",
             self._answers.take_summary(),
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -70,7 +70,7 @@
     began = driver.now
     driver.now += 1_200_000
     (again,) = sends(driver.ended(first, Outcome.ERROR, duration=1_200_000))
-    end = began + POST.repeat_window_us - driver.router.book.margin_us
+    end = began + POST.repeat_window_us - driver.router.state.margin_us
     driver.now = end - 1 if is_in_time else end
     assert may_write(driver, again, attempt=1) == is_in_time
     if not is_in_time:
@@ -81,7 +81,7 @@
 def test_a_replica_grows_too_old_for_a_read_while_its_connection_is_dialled(driver: Driver) -> None:
     """Staleness counts from the last byte of the send: a replica fresh enough when chosen may be stale by then."""
     (send,) = sends(driver.arrive("view"))
-    position_us = driver.router.book.members[send.member].position_us
+    position_us = driver.router.state.members[send.member].position_us
     driver.now = position_us + VIEW.staleness_us
     assert may_write(driver, send)
     driver.now += 1
@@ -96,7 +96,7 @@
     assert may_write(driver, send)
     driver.now += 20_000
     driver.checked(2, Role.PRIMARY)
-    assert not may_write(driver, send) and driver.router.book.groups[1].primary == 2
+    assert not may_write(driver, send) and driver.router.state.groups[1].primary == 2
     (again,) = sends(driver.ended(send, Outcome.WITHDRAWN, duration=0))
     assert again.member == 2 and may_write(driver, again, attempt=1)
 
@@ -112,18 +112,18 @@
 def test_the_check_at_the_write_changes_nothing(driver: Driver) -> None:
     """A replay does not make this check. If it changed the time of the last event, operators would see other values."""
     (send,) = sends(driver.arrive("post", expires=3_000_000))
-    before = driver.router.book.now
+    before = driver.router.state.now_us
     assert driver.router.may_write(send.request, 0, before + 1_000)
-    assert driver.router.book.now == before
+    assert driver.router.state.now_us == before
 
 
 def test_a_withdrawn_attempt_does_not_change_what_is_known_of_its_server(driver: Driver) -> None:
-    before = replace(driver.router.book.members[1])
+    before = replace(driver.router.state.members[1])
     (send,) = sends(driver.arrive("post", expires=3_000_000))
     driver.ended(send, Outcome.WITHDRAWN, duration=0)
-    after = driver.router.book.members[1]
-    unchanged = (before.room, before.refused, before.full_until_us, Role.PRIMARY)
-    assert (after.room, after.refused, after.full_until_us, after.role) == unchanged
+    after = driver.router.state.members[1]
+    unchanged = (before.concurrency_limit, before.refused_connection_count, before.paused_until_us, Role.PRIMARY)
+    assert (after.concurrency_limit, after.refused_connection_count, after.paused_until_us, after.role) == unchanged
     assert not Outcome.WITHDRAWN.may_have_run
 
 
@@ -137,23 +137,23 @@
     driver.roster(member(1), member(2), member(3))
     driver.checked(1, Role.PRIMARY)
     driver.roster(member(2), member(3))
-    assert 1 in driver.router.book.members and sends(driver.arrive("post", expires=3_000_000))
+    assert 1 in driver.router.state.members and sends(driver.arrive("post", expires=3_000_000))
     driver.roster(member(1, listing=Listing.TERMINATING), kind=RosterKind.CHANGES)
     driver.roster(member(2), member(3))
-    assert 1 not in driver.router.book.members, "dropped while it drains: sending has to stop"
+    assert 1 not in driver.router.state.members, "dropped while it drains: sending has to stop"
 
 
 def test_new_settings_replace_the_tenants_and_their_shares() -> None:
     router = Router(replace(SETTINGS, tenant_rates=(("old", 10.0), ("both", 10.0))))
     router.configure(replace(SETTINGS, tenant_rates=(("both", 40.0), ("new", 20.0))))
-    assert {tenant: share[0] for tenant, share in router.book.shares.items()} == {"both": 20.0, "new": 10.0}
+    assert {tenant: share[0] for tenant, share in router.state.tenant_budgets.items()} == {"both": 20.0, "new": 10.0}
 
 
 # ---- Open requests ----
 
 
 class ManualHarness(RequestsHarness):
-    """Requests with a Router that knows a primary and two replicas; the test itself turn_clock attempts as written."""
+    """Requests with a Router that knows a primary and two replicas; the test itself marks attempts as written."""
 
     def __init__(self) -> None:
         super().__init__(1, Router(SETTINGS))
@@ -252,7 +252,7 @@
 def test_a_zone_without_a_name_and_tenants_with_long_or_equal_ones_are_taken(tmp_path: Path) -> None:
     tenants = [{"Name": name, "AllowancePerS": 5.0} for name in ("", "t" * 100_000, "same", "same")]
     loaded = load_config(tmp_path, OPTIONS | {"Zone": "", "Tenants": tenants})
-    assert len(Router(loaded.settings).book.shares) == 3
+    assert len(Router(loaded.settings).state.tenant_budgets) == 3
 
 
 @pytest.mark.parametrize("names", [("view", "view"), ("view", "")])
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -152,13 +152,13 @@
     async def check() -> None:
         with socket.create_server(("127.0.0.1", 0)) as sock:
             gateway = Gateway(load_config(tmp_path), sock)
-            book = gateway._router.book
+            state = gateway._router.state
             for _ in range(9):
                 gateway._on_news(None)
-            assert book.ask_at_us - book.now > config.NOTIFIED_US / 8, "the pause has grown"
+            assert state.roster_request_us - state.now_us > config.NOTIFIED_US / 8, "the pause has grown"
             gateway._apply(replace(gateway._config, discovery=("127.0.0.1", 9)))
             gateway._on_news(None)
-            assert book.ask_at_us - book.now <= 1.5 * config.NOTIFIED_US / 32
+            assert state.roster_request_us - state.now_us <= 1.5 * config.NOTIFIED_US / 32
             gateway._discovery.close()
 
     run_scenario(check())
@@ -245,7 +245,7 @@
                     report = api.Report(self.now_us, api.Role.PRIMARY if action.member == 1 else api.Role.REPLICA)
                     self.handle(api.Checked(action.member, Outcome.SERVED, 1_000, report))
                 case api.Send():
-                    request = self.router.book.requests[action.request]
+                    request = self.router.state.requests[action.request]
                     number, is_over = len(request.attempts) - 1, self.outcome is Outcome.SERVED
                     self.sent_count += 1
                     self.handle(
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -38,7 +38,7 @@
 
     def __init__(self, loaded: config.Config, seed: int, ends: list[str], answer_s: float, back_s: float) -> None:
         self.router, self.draw = Router(loaded.settings), random.Random(seed)
-        self.router.book.random.seed(seed)
+        self.router.state.random.seed(seed)
         self.ends, self.answer_s, self.back_s = ends, answer_s, back_s
         self.loop = asyncio.get_running_loop()
         self.known_at_s: asyncio.Future[float] = self.loop.create_future()
