--- a/benchmarks/scale/roles/machines.py
+++ b/benchmarks/scale/roles/machines.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.row import Row
 from oatlink.fleet.limits.shards import SHARDS
 from oatlink.fleet.messages import MOST_VALUE
-from oatlink.fleet.shell.door import MOST_UNPROVED
+from oatlink.fleet.shell.listener import MOST_UNPROVED
 
 LEASES_PER_S = SHARDS * 3 / 2 + 3 / 3  # each renewed three times a term: 2 s for limits, 3 s for versions
 LOOK_S = 4 / 3  # between two looks at a lease that is astray
@@ -47,7 +47,7 @@
         False,
         "the oldest go, and dial again within 2 s",
         "only relays dial; theirs are few",
-        "the bound is the code's own: fleet.shell.door.MOST_UNPROVED",
+        "the bound is the code's own: fleet.shell.listener.MOST_UNPROVED",
         after=lambda s, k: control.relays(s),
     ),
     Row(
--- a/oatlink/fleet/shell/addresses.py
+++ b/oatlink/fleet/shell/addresses.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from oatlink.fleet.shell.door import is_dialled
+from oatlink.fleet.shell.listener import is_dialled
 from oatlink.settings.fleet import Fleet
 
 
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -15,10 +15,10 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.control.station import Station
 from oatlink.fleet.messages import control as c
-from oatlink.fleet.shell.keeping import Keeping
-from oatlink.fleet.shell.scopes_kept import ScopesKept, found_in
+from oatlink.fleet.shell.control_commands import mistake_in, read
+from oatlink.fleet.shell.keeper_store import KeeperStore
+from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
 from oatlink.fleet.shell.transport import Transport
-from oatlink.fleet.shell.words import mistake_in, read
 from oatlink.gateway.clock import now_us
 from oatlink.settings.fleet import Fleet
 
@@ -57,8 +57,8 @@
         unlisted = MOST_READERS if self._is_source else MOST_CHILDREN
         told = self._heard, note, self._seed, self._failed, unlisted
         self._transport = Transport(fleet, self._incarnation, *told)
-        self._keeping = Keeping(fleet, self._said, note)
-        self._kept: ScopesKept | None = None  # a source's
+        self._store = KeeperStore(fleet, self._said, note)
+        self._kept: ScopeRecords | None = None  # a source's
         self._others = frozenset(one.name for one in fleet.control.sources) - {fleet.node}
         self._station: Station | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -88,9 +88,9 @@
             self._note("fleet off", f"{self._fleet.own.address}: {error.strerror}; another process may be this node")
             return
         if self._is_source:
-            self._keeping.open()
-            self._kept = ScopesKept(self._keeping.records)
-        keeper = self._keeping.keeper(self._seed) if self._fleet.own.keeper else None
+            self._store.open()
+            self._kept = ScopeRecords(self._store.records)
+        keeper = self._store.keeper(self._seed) if self._fleet.own.keeper else None
         self._station = Station(self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper)
         self._restore(self._station)
         self._transport.start()
@@ -98,7 +98,7 @@
 
     def _restore(self, station: Station) -> None:
         try:
-            for head, entries in found_in(self._keeping.records):
+            for head, entries in found_in(self._store.records):
                 station.restore(head, entries, now_us())
         except (msgspec.MsgspecError, ValueError) as error:
             self._note("control", f"what was on disk is not restored: {error}")
@@ -110,9 +110,9 @@
             self._station = None
         if self._timer is not None:
             self._timer.cancel()
-        self._keeping.stop()
+        self._store.stop()
         await self._transport.close()
-        await self._keeping.close()
+        await self._store.close()
         for future in self._tickets.values():
             future.cancel()
 
@@ -166,7 +166,7 @@
             return [("node", "off")]
         dropped = dict(self.counters) | {f"dropped_{name}": n for name, n in self._station.dropped.items()}
         links = ("links", " ".join(f"{name}={n}" for name, n in sorted(dropped.items())))
-        return [("node", self._fleet.node), *self._keeping.rows(self._station.rows(now_us())), links]
+        return [("node", self._fleet.node), *self._store.rows(self._station.rows(now_us())), links]
 
     # ---- Between station and sockets ----
 
@@ -194,16 +194,16 @@
         """Carry out, in order."""
         for one in effects:
             if isinstance(one, f.Tell) and self._kept and one.to in self._others and isinstance(one.message, HAVE):
-                self._keeping.keep(f.Keep((), (one,)))
+                self._store.keep(f.Keep((), (one,)))
             elif isinstance(one, f.Tell):
                 self._transport.send(one.to, one.message)
             elif isinstance(one, f.Keep):
-                self._keeping.keep(one)
+                self._store.keep(one)
             elif isinstance(one, c.Known):
                 self._know(one)
             elif isinstance(one, c.InForce):
                 if self._kept is not None:
-                    self._keeping.store(self._kept.rows(one))
+                    self._store.store(self._kept.rows(one))
                 self._in_force(one)
             elif isinstance(one, f.Note):
                 self._note(one.event, one.text)
--- a/oatlink/fleet/shell/inbound.py
+++ b/oatlink/fleet/shell/inbound.py
@@ -9,17 +9,17 @@
 from typing import cast
 
 from oatlink.fleet import envelope
-from oatlink.fleet.shell.ear import Ear, Porter
+from oatlink.fleet.shell.inbound_context import ConnectionOwner, InboundContext
 
 
-class Incoming(asyncio.Protocol):
+class InboundConnection(asyncio.Protocol):
     """One accepted connection. Closing is idempotent."""
 
-    def __init__(self, door: Porter, ear: Ear) -> None:
-        self.door, self.ear = door, ear
+    def __init__(self, owner: ConnectionOwner, context: InboundContext) -> None:
+        self.owner, self.context = owner, context
         self.name, self.incarnation, self.address = "", 0, ""
         self.nonce = secrets.token_bytes(envelope.NONCE)
-        self.heard = ear.ticks
+        self.heard = context.ticks
         self._seal: envelope.Seal | None = None
         self._reader = envelope.Reader(envelope.MOST_GREETING)
         self._taken = -1  # number of the newest frame
@@ -33,41 +33,41 @@
         if self._closed:
             self._transport.abort()
         else:
-            self._transport.write(envelope.challenge(self.nonce, self.ear.node, self.ear.fleet))
+            self._transport.write(envelope.challenge(self.nonce, self.context.node, self.context.fleet))
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
-        self.ear.counters["bytes_in"] += len(data)
+        self.context.counters["bytes_in"] += len(data)
         self._reader.feed(data)
         while not self._closed and (frame := self._reader.take()) is not None:
             self._frame(frame)
         if self._reader.broken and not self._closed:
-            self.ear.counters["dropped_long"] += 1
+            self.context.counters["dropped_long"] += 1
             self.close()
 
     def _frame(self, frame: bytes) -> None:
         if self._seal is None:
-            self._seal = self.door.prove(self, frame)
+            self._seal = self.owner.prove(self, frame)
             if self._seal is None:
                 self.close()
                 return
-            self._reader.most = self.ear.most_bytes
-            self._taken, self.heard = 0, self.ear.ticks
+            self._reader.most = self.context.most_bytes
+            self._taken, self.heard = 0, self.context.ticks
             return
         found = self._seal.opened(frame)
         if found is None:
-            self.ear.counters["dropped_tag"] += 1
+            self.context.counters["dropped_tag"] += 1
             self.close()
         elif found[0] <= self._taken:
-            self.ear.counters["dropped_replay"] += 1
+            self.context.counters["dropped_replay"] += 1
         elif found[0] > self._taken + 1:
             # What is missing will not come: begin anew, rather than have its place taken later.
-            self.ear.counters["dropped_gap"] += 1
+            self.context.counters["dropped_gap"] += 1
             self.close()
         else:
-            self._taken, self.heard = found[0], self.ear.ticks
-            self.ear.counters["received"] += 1
-            self.ear.take(self.name, found[1])
+            self._taken, self.heard = found[0], self.context.ticks
+            self.context.counters["received"] += 1
+            self.context.take(self.name, found[1])
 
     def acknowledge(self) -> None:
         """Tell the sender what has come, unless it has not even read what it was told before."""
@@ -85,11 +85,11 @@
     def connection_lost(self, error: Exception | None) -> None:
         """See `asyncio.Protocol`."""
         self._closed = True
-        self.door.gone(self)
+        self.owner.gone(self)
 
     def close(self) -> None:
         """Hear nothing more on this connection, at once."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
-        self.door.gone(self)
+        self.owner.gone(self)
--- a/oatlink/fleet/shell/ear.py
+++ b/oatlink/fleet/shell/inbound_context.py
@@ -7,7 +7,7 @@
 from oatlink.fleet import envelope
 
 
-class Ear:
+class InboundContext:
     """What all incoming links of a node share; `take` is told of each message: sender and body."""
 
     def __init__(
@@ -17,7 +17,7 @@
         self.ticks = 0  # time here is counted in them: a process that stood still takes nobody for silent
 
 
-class Caller(Protocol):
+class PeerConnection(Protocol):
     """A connection, as it is judged: who it says it is once that is proved, and when it was last heard."""
 
     name: str
@@ -35,13 +35,13 @@
         ...
 
 
-class Porter(Protocol):
+class ConnectionOwner(Protocol):
     """Who lets a connection in, and wants to know of its end."""
 
-    def prove(self, one: Caller, frame: bytes) -> envelope.Seal | None:
+    def prove(self, one: PeerConnection, frame: bytes) -> envelope.Seal | None:
         """Frame 0 has come: the sender's seal, or None where it is not to be heard."""
         ...
 
-    def gone(self, one: Caller) -> None:
+    def gone(self, one: PeerConnection) -> None:
         """A connection has ended."""
         ...
--- a/oatlink/fleet/shell/keeping.py
+++ b/oatlink/fleet/shell/keeper_store.py
@@ -17,7 +17,7 @@
 from oatlink.settings.fleet import Fleet
 
 
-class Keeping:
+class KeeperStore:
     """One keeper's file in use. `said` is told each `Tell` of a `Keep` once that is on disk; `note` writes a line."""
 
     def __init__(self, fleet: Fleet, said: Callable[[f.Tell], None], note: Callable[[str, str], None]) -> None:
--- a/oatlink/fleet/shell/door.py
+++ b/oatlink/fleet/shell/listener.py
@@ -1,6 +1,6 @@
 """The door of a node's own port: who may knock, how many, and who is heard.
 
-What may live here: which connections are accepted, proved, refused and closed. What they say goes to `Door.take`.
+What may live here: which connections are accepted, proved, refused and closed. What they say goes to `Listener.take`.
 
 Threats: a flood of connections that say nothing (few are held, the oldest goes first, and each has a short time); two
 processes under one name, which would both be believed; a name that nobody listed (refused, or with `unlisted` heard
@@ -13,8 +13,8 @@
 
 from oatlink.fleet import envelope
 from oatlink.fleet.messages import VERSION
-from oatlink.fleet.shell.ear import Caller, Ear
-from oatlink.fleet.shell.inbound import Incoming
+from oatlink.fleet.shell.inbound import InboundConnection
+from oatlink.fleet.shell.inbound_context import InboundContext, PeerConnection
 from oatlink.settings.parts import address_fits
 
 MOST_UNPROVED = 64
@@ -34,7 +34,7 @@
     return fits and address_fits(address)
 
 
-class Door:
+class Listener:
     """What all accepted connections of a node share, and the door they come through.
 
     `say` writes a line: event, peer, text. `unlisted`: how many names that are not among `peers` are heard at once.
@@ -42,16 +42,16 @@
 
     def __init__(
         self,
-        ear: Ear,
+        context: InboundContext,
         peers: frozenset[str],
         keys: tuple[bytes, ...],
         say: Callable[[str, str, str], None],
         unlisted: int = 0,
     ) -> None:
-        self.ear, self.peers, self.keys, self.say, self.unlisted = ear, peers, keys, say, unlisted
+        self.context, self.peers, self.keys, self.say, self.unlisted = context, peers, keys, say, unlisted
         self._alive_ticks = ALIVE_UNLISTED_TICKS if unlisted else ALIVE_TICKS
-        self._unproved: dict[Caller, None] = {}
-        self._proved: dict[str, list[Caller]] = {}
+        self._unproved: dict[PeerConnection, None] = {}
+        self._proved: dict[str, list[PeerConnection]] = {}
         self._strange = 0  # proved names that are not among the peers
         self._listening: list[socket.socket] = []
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -81,17 +81,17 @@
                 self._loop.call_later(0.1, self._again, listening)
                 return
             sock.setblocking(False)
-            self.ear.counters["accepted"] += 1
-            one = Incoming(self, self.ear)
+            self.context.counters["accepted"] += 1
+            one = InboundConnection(self, self.context)
             self._unproved[one] = None
             if len(self._unproved) > MOST_UNPROVED:
-                self.ear.counters["dropped_crowd"] += 1
+                self.context.counters["dropped_crowd"] += 1
                 next(iter(self._unproved)).close()
             task = self._loop.create_task(self._connect(one, sock))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, one: Incoming, sock: socket.socket) -> None:
+    async def _connect(self, one: InboundConnection, sock: socket.socket) -> None:
         assert self._loop is not None
         try:
             await self._loop.connect_accepted_socket(lambda: one, sock)
@@ -117,18 +117,18 @@
 
     def tick(self) -> None:
         """A quarter of a second has passed."""
-        self.ear.ticks += 1
-        for one in [one for one in self._unproved if self.ear.ticks - one.heard > PROVE_TICKS]:
-            self.ear.counters["dropped_unproved"] += 1
+        self.context.ticks += 1
+        for one in [one for one in self._unproved if self.context.ticks - one.heard > PROVE_TICKS]:
+            self.context.counters["dropped_unproved"] += 1
             one.close()
         for some in list(self._proved.values()):
             for one in list(some):
-                if self.ear.ticks - one.heard > SILENT_TICKS:
+                if self.context.ticks - one.heard > SILENT_TICKS:
                     one.close()
                 else:
                     one.acknowledge()
 
-    def prove(self, one: Caller, frame: bytes) -> envelope.Seal | None:
+    def prove(self, one: PeerConnection, frame: bytes) -> envelope.Seal | None:
         """Frame 0 has come: the sender's seal, or None where it is not to be heard."""
         hello = envelope.read_hello(frame)
         if hello is None:
@@ -139,30 +139,30 @@
         if hello.version > VERSION:
             self.refuse("dropped_version", known, f"version {hello.version}, this node knows {VERSION}")
             return None
-        if not known and not (self.unlisted and hello.node != self.ear.node and 0 < len(hello.node) <= MOST_NAME):
+        if not known and not (self.unlisted and hello.node != self.context.node and 0 < len(hello.node) <= MOST_NAME):
             self.refuse("dropped_name", known, "a name that is not in fleet.nodes")
             return None
         seals = (envelope.Seal(key, one.nonce, hello.node, hello.incarnation) for key in self.keys)
         seal = next((seal for seal in seals if seal.opened(frame) is not None), None)
         if seal is None:
             self.refuse("dropped_tag", known, "no key of ours")
-        elif hello.fleet != self.ear.fleet:
+        elif hello.fleet != self.context.fleet:
             self.refuse("dropped_fleet", known, "its settings' fleet part differs from ours")
-        elif hello.to != self.ear.node:
+        elif hello.to != self.context.node:
             # Threat: a node in between that passes on what was meant for another.
             self.refuse("dropped_misled", known, f"it meant {hello.to[:64]!r}")
         elif self._admit(one, hello):
             return seal
         return None
 
-    def _admit(self, one: Caller, hello: envelope.Hello) -> bool:
+    def _admit(self, one: PeerConnection, hello: envelope.Hello) -> bool:
         """Whether this process is the one that has its name."""
         peers = self._proved.get(hello.node, [])
         if not peers and hello.node not in self.peers and self._strange >= self.unlisted:
             self.refuse("dropped_full", "", f"{self._strange} names beside those in the settings are heard already")
             return False
         others = [other for other in peers if other.incarnation != hello.incarnation]
-        if any(self.ear.ticks - other.heard <= self._alive_ticks for other in others):
+        if any(self.context.ticks - other.heard <= self._alive_ticks for other in others):
             self.refuse("dropped_twice", hello.node, "another process has this name, and is alive")
             return False
         for other in others:  # their process is gone, or silent: from now on this one has the name
@@ -185,11 +185,11 @@
 
     def refuse(self, counter: str, peer: str = "", text: str = "") -> None:
         """Count it, and say it where there is something to say."""
-        self.ear.counters[counter] += 1
+        self.context.counters[counter] += 1
         if text:
             self.say("fleet peer refused", peer, text)
 
-    def gone(self, one: Caller) -> None:
+    def gone(self, one: PeerConnection) -> None:
         """A connection has ended."""
         self._unproved.pop(one, None)
         peers = self._proved.get(one.name, [])
--- a/oatlink/fleet/shell/node.py
+++ b/oatlink/fleet/shell/node.py
@@ -10,8 +10,8 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.gate import Alone, AnyNews
 from oatlink.fleet.node import Node
-from oatlink.fleet.shell.errands import Primary, ask_marker, run_step
-from oatlink.fleet.shell.keeping import Keeping
+from oatlink.fleet.shell.keeper_store import KeeperStore
+from oatlink.fleet.shell.plan_steps import Primary, ask_marker, run_step
 from oatlink.fleet.shell.transport import Transport
 from oatlink.gateway.clock import now_us
 from oatlink.settings.fleet import Fleet
@@ -43,7 +43,7 @@
         self._incarnation = int.from_bytes(os.urandom(6), "big")
         self._seed = seed ^ self._incarnation
         self._transport = Transport(fleet, self._incarnation, self._heard, note, self._seed)
-        self._keeping = Keeping(fleet, self._said, note)
+        self._store = KeeperStore(fleet, self._said, note)
         self._node: Node | None = None
         self._errands: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
@@ -71,7 +71,7 @@
             self._tell(Alone())
             return
         if self._fleet.own.keeper:
-            self._keeping.open()
+            self._store.open()
         self._node = Node(
             self._fleet,
             self._members,
@@ -79,7 +79,7 @@
             self._incarnation,
             self._seed,
             now_us(),
-            self._keeping.keeper(self._seed) if self._fleet.own.keeper else None,
+            self._store.keeper(self._seed) if self._fleet.own.keeper else None,
         )
         self._transport.start()
         self._looked()
@@ -99,9 +99,9 @@
             self._node = None
         for task in self._errands:
             task.cancel()
-        self._keeping.stop()
+        self._store.stop()
         await self._transport.close()
-        await self._keeping.close()
+        await self._store.close()
         for future in self._tickets.values():
             future.cancel()
 
@@ -151,7 +151,7 @@
             return [("node", "off")]
         up = [one.name for one in self._fleet.nodes if self._transport.up(one.name)]
         links = [("links up", " ".join(up)), ("links", " ".join(f"{k}={v}" for k, v in sorted(self.counters.items())))]
-        return self._keeping.rows(self._node.rows(now_us())) + links
+        return self._store.rows(self._node.rows(now_us())) + links
 
     # ---- Between node and sockets ----
 
@@ -178,7 +178,7 @@
             if isinstance(one, f.Tell):
                 self._transport.send(one.to, one.message)
             elif isinstance(one, f.Keep):
-                self._keeping.keep(one)
+                self._store.keep(one)
             elif isinstance(one, f.Tuned):
                 self._tell(one.news)  # type: ignore[arg-type]
             elif isinstance(one, f.Note):
--- a/oatlink/fleet/shell/outbound.py
+++ b/oatlink/fleet/shell/outbound.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections import deque
 
-from oatlink.fleet.shell.dialled import BATCH, Dialled, Mouth
+from oatlink.fleet.shell.outbound_connection import BATCH, OutboundConnection, OutboundContext
 
 MOST_QUEUED = 256  # messages
 MOST_QUEUED_BYTES = 1 << 20
@@ -19,12 +19,12 @@
 SHORTEST_S, LONGEST_S = 0.05, 2.0  # of a wait before dialling again
 
 
-class Outgoing:
+class OutboundLink:
     """The way to one peer."""
 
-    def __init__(self, mouth: Mouth, peer: str, address: str) -> None:
-        self.mouth, self.peer, self.address = mouth, peer, address
-        self.dialled: Dialled | None = None
+    def __init__(self, context: OutboundContext, peer: str, address: str) -> None:
+        self.context, self.peer, self.address = context, peer, address
+        self.dialled: OutboundConnection | None = None
         self._queue: deque[tuple[int, bytes]] = deque()  # tick, body
         self._queued = 0  # bytes
         self._fails = 0
@@ -50,13 +50,13 @@
     def send(self, body: bytes) -> None:
         """Say this as soon as may be, or never. Never blocks."""
         if self._closed:
-            self.mouth.counters["dropped_closed"] += 1
+            self.context.counters["dropped_closed"] += 1
             return
-        self._queue.append((self.mouth.ticks, body))
+        self._queue.append((self.context.ticks, body))
         self._queued += len(body)
         while len(self._queue) > MOST_QUEUED or self._queued > MOST_QUEUED_BYTES:
             self._take()
-            self.mouth.counters["dropped_queue"] += 1
+            self.context.counters["dropped_queue"] += 1
         if self.up and not self._flushing:
             # Once for all that is said in this turn.
             self._flushing = True
@@ -86,13 +86,13 @@
                 body = self._take()
                 batch.append(body)
                 size += len(body)
-            self.mouth.counters["sent"] += len(batch)
+            self.context.counters["sent"] += len(batch)
             self.dialled.write(batch)
 
     def _forget(self) -> None:
-        while self._queue and self.mouth.ticks - self._queue[0][0] > STALE_TICKS:
+        while self._queue and self.context.ticks - self._queue[0][0] > STALE_TICKS:
             self._take()
-            self.mouth.counters["dropped_stale"] += 1
+            self.context.counters["dropped_stale"] += 1
 
     async def _dial(self) -> None:
         """Dial until there is a connection, or nothing to say any more."""
@@ -100,27 +100,27 @@
             while self._queue and not self._closed:
                 if self._fails:
                     longest = min(LONGEST_S, SHORTEST_S * 2 ** min(self._fails, 10))
-                    await asyncio.sleep(self.mouth.draws.uniform(SHORTEST_S, longest))
+                    await asyncio.sleep(self.context.draws.uniform(SHORTEST_S, longest))
                     self._forget()
                     if not self._queue:
                         return
                 self._fails += 1  # until something is acknowledged
-                self.mouth.counters["dialled"] += 1
+                self.context.counters["dialled"] += 1
                 self.dialled = await self._connect()
                 if self.dialled is not None:
                     self.flush()
                     return
-                self.mouth.counters["dials_failed"] += 1
-                self.mouth.failed(self.peer)
+                self.context.counters["dials_failed"] += 1
+                self.context.failed(self.peer)
         finally:
             self._task = None
             self._dial_soon()
 
-    async def _connect(self) -> Dialled | None:
+    async def _connect(self) -> OutboundConnection | None:
         """One try: a connection on which the Hello is written, or None."""
         loop = asyncio.get_running_loop()
         host, _, port = self.address.rpartition(":")
-        one = Dialled(self)
+        one = OutboundConnection(self)
         try:
             async with asyncio.timeout(DIAL_S):
                 await loop.create_connection(lambda: one, host.strip("[]"), int(port))
@@ -138,12 +138,12 @@
         """The peer has taken something."""
         self._fails = 0
 
-    def lost(self, one: Dialled) -> None:
+    def lost(self, one: OutboundConnection) -> None:
         """A connection has ended."""
         if self.dialled is one:
             self.dialled = None
             if not one.idled and not self._closed:
-                self.mouth.failed(self.peer)
+                self.context.failed(self.peer)
             self._dial_soon()
 
     def tick(self) -> None:
--- a/oatlink/fleet/shell/dialled.py
+++ b/oatlink/fleet/shell/outbound_connection.py
@@ -17,7 +17,7 @@
 IDLE_TICKS = 120  # nothing was said: 30 s
 
 
-class Mouth:
+class OutboundContext:
     """What all outgoing links of a node share. `say` writes a line: event, peer, text; `failed` is told a peer."""
 
     def __init__(
@@ -38,10 +38,10 @@
         self.ticks = 0
 
 
-class Way(Protocol):
+class ConnectionOwner(Protocol):
     """Whose connection it is, and what it is told."""
 
-    mouth: Mouth
+    context: OutboundContext
     peer: str
     address: str
 
@@ -53,16 +53,16 @@
         """There is room for more."""
         ...
 
-    def lost(self, one: "Dialled") -> None:
+    def lost(self, one: "OutboundConnection") -> None:
         """The connection has ended."""
         ...
 
 
-class Dialled(asyncio.Protocol):
+class OutboundConnection(asyncio.Protocol):
     """One connection that was dialled. Closing is idempotent."""
 
-    def __init__(self, way: Way) -> None:
-        self.way, self.mouth = way, way.mouth
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self.owner, self.context = owner, owner.context
         self.greeted: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._reader = envelope.Reader(envelope.MOST_GREETING)
         self._seal: envelope.Seal | None = None
@@ -99,35 +99,35 @@
                 continue
             number = envelope.read_ack(frame)
             if number is None or not self._acked <= number <= self._sent:
-                self.mouth.counters["dropped_ack"] += 1
+                self.context.counters["dropped_ack"] += 1
                 self.close()
                 return
             if number > self._acked:
                 self._acked, self._silent = number, 0
-                self.way.acknowledged()
+                self.owner.acknowledged()
         if self._reader.broken:
             self.close()
 
     def _greet(self, frame: bytes) -> None:
         met = envelope.read_challenge(frame)
-        peer = self.way.peer
+        peer = self.owner.peer
         if met is None:
             self._refuse("not a node of a fleet")
         elif met.node != peer:
-            self._refuse(f"{self.way.address} is {met.node[:64]!r}")
-        elif met.fleet != self.mouth.fleet:
+            self._refuse(f"{self.owner.address} is {met.node[:64]!r}")
+        elif met.fleet != self.context.fleet:
             self._refuse("its settings' fleet part differs from ours")
         else:
-            mouth = self.mouth
-            self._seal = envelope.Seal(mouth.key, met.nonce, mouth.node, mouth.incarnation)
-            hello = envelope.Hello(VERSION, mouth.node, mouth.incarnation, mouth.fleet, peer, mouth.address)
+            context = self.context
+            self._seal = envelope.Seal(context.key, met.nonce, context.node, context.incarnation)
+            hello = envelope.Hello(VERSION, context.node, context.incarnation, context.fleet, peer, context.address)
             self.write([envelope.encode(hello)])
             if not self.greeted.done():
                 self.greeted.set_result(True)
 
     def _refuse(self, text: str) -> None:
-        self.mouth.counters["dropped_challenge"] += 1
-        self.mouth.say("fleet peer not as expected", self.way.peer, text)
+        self.context.counters["dropped_challenge"] += 1
+        self.context.say("fleet peer not as expected", self.owner.peer, text)
         self.close()
 
     def write(self, bodies: list[bytes]) -> None:
@@ -139,7 +139,7 @@
             frames.append(self._seal.seal(self._sent, body))
         data = b"".join(frames)
         self._quiet = 0
-        self.mouth.counters["bytes_out"] += len(data)
+        self.context.counters["bytes_out"] += len(data)
         self._transport.write(data)
 
     def tick(self) -> None:
@@ -148,10 +148,10 @@
         self._quiet += 1
         self._silent = self._silent + 1 if self._sent > self._acked else 0
         if self._silent > SILENT_TICKS:
-            self.mouth.counters["half_open"] += 1
+            self.context.counters["half_open"] += 1
             self.close()
         elif self._quiet > IDLE_TICKS:
-            self.mouth.counters["idle"] += 1
+            self.context.counters["idle"] += 1
             self.idled = True
             self.close()
 
@@ -167,7 +167,7 @@
     def resume_writing(self) -> None:
         """See `asyncio.Protocol`."""
         self._paused = False
-        self.way.flush()
+        self.owner.flush()
 
     def connection_lost(self, error: Exception | None) -> None:
         """See `asyncio.Protocol`."""
@@ -182,4 +182,4 @@
             self.greeted.set_result(False)
         if self._transport is not None:
             self._transport.abort()
-        self.way.lost(self)
+        self.owner.lost(self)
--- a/oatlink/fleet/shell/errands.py
+++ b/oatlink/fleet/shell/plan_steps.py
@@ -26,22 +26,22 @@
     password: str = ""
 
 
-class ErrandError(Exception):
+class StepError(Exception):
     """The server said no; the text is its word."""
 
 
 class Talk:
-    """A conversation with one primary, a question at a time. Raises `ErrandError`, or the stream's errors."""
+    """A conversation with one primary, a question at a time. Raises `StepError`, or the stream's errors."""
 
     def __init__(self, ask: Callable[..., Awaitable[Value]]) -> None:
         self.ask = ask
 
     async def place(self) -> BoxReport:
-        """What the server says of itself; `ErrandError` unless it is a primary."""
+        """What the server says of itself; `StepError` unless it is a primary."""
         found = await self.ask("INFO", "replication")
         report = parse_info(found) if isinstance(found, bytes) else BoxReport()
         if report.role != "primary" or not report.replid or report.offset < 0:
-            raise ErrandError("not a primary")
+            raise StepError("not a primary")
         return report
 
     async def run(self, step: RunStep) -> tuple[str, str, int]:
@@ -79,7 +79,7 @@
             return False
         for item in found.items:
             if isinstance(item, Error):
-                raise ErrandError(item.text.decode("utf-8", "replace"))
+                raise StepError(item.text.decode("utf-8", "replace"))
         return True
 
     async def marked(self) -> tuple[int, str, int]:
@@ -102,7 +102,7 @@
             reader.feed(await stream.read_bytes(65_536, partial=True))
         value = decode(frame)
         if isinstance(value, Error):
-            raise ErrandError(value.text.decode("utf-8", "replace"))
+            raise StepError(value.text.decode("utf-8", "replace"))
         return value
 
     try:
@@ -127,7 +127,7 @@
 
     try:
         return await _talk(primary, STEP_S, do)  # type: ignore[return-value]
-    except ErrandError:
+    except StepError:
         return "failed", "", -1
     except (DialError, StreamClosedError, ProtocolError, TimeoutError, OSError):
         return ("unknown" if sent else "failed"), "", -1
@@ -139,5 +139,5 @@
         return -1, "", -1
     try:
         return await _talk(primary, ASK_S, lambda talk: talk.marked())  # type: ignore[return-value]
-    except (ErrandError, DialError, StreamClosedError, ProtocolError, TimeoutError, OSError):
+    except (StepError, DialError, StreamClosedError, ProtocolError, TimeoutError, OSError):
         return -1, "", -1
--- a/oatlink/fleet/shell/scopes_kept.py
+++ b/oatlink/fleet/shell/scope_records.py
@@ -18,7 +18,7 @@
 Records = Mapping[tuple[str, str], bytes]
 
 
-class ScopesKept:
+class ScopeRecords:
     """Which keys of each scope are on disk, or on their way there."""
 
     def __init__(self, records: Records) -> None:
--- a/oatlink/fleet/shell/transport.py
+++ b/oatlink/fleet/shell/transport.py
@@ -3,7 +3,7 @@
 What may live here: what all links of a node share, from its port to its counters. It decides nothing: a message that
 is lost, late or doubled is the cores' matter.
 
-A link is simplex, so that a one-way cut is just that. All queues are bounded, and all times of links are counted in
+A link is simplex, so that a one-link cut is just that. All queues are bounded, and all times of links are counted in
 ticks of a quarter second: a process that stood still takes no link for dead because of it.
 """
 
@@ -19,11 +19,11 @@
 from oatlink.fleet import envelope
 from oatlink.fleet.messages import AnyMessage, Message
 from oatlink.fleet.shell.addresses import Addresses
-from oatlink.fleet.shell.dialled import Mouth
-from oatlink.fleet.shell.door import Door, is_dialled
-from oatlink.fleet.shell.ear import Ear
+from oatlink.fleet.shell.inbound_context import InboundContext
 from oatlink.fleet.shell.keys import read_keys
-from oatlink.fleet.shell.outbound import Outgoing
+from oatlink.fleet.shell.listener import Listener, is_dialled
+from oatlink.fleet.shell.outbound import OutboundLink
+from oatlink.fleet.shell.outbound_connection import OutboundContext
 from oatlink.settings.fleet import Fleet, fleet_hash
 
 TICK_S = 0.25
@@ -59,14 +59,16 @@
         self._on_message, self._note = on_message, note
         self._addresses = Addresses(fleet, unlisted, self._greeted, self._retire, self.counters)
         self._on_fail, self._unlisted = on_fail, unlisted
-        self._retired: list[Outgoing] = []  # ways that still have something to say, and get nothing new
+        self._retired: list[OutboundLink] = []  # links that still have something to say, and get nothing new
         keys, same = read_keys(fleet.key_files), fleet_hash(fleet)
         draws = random.Random(f"{seed} {fleet.node}")
         own = self._address if unlisted and is_dialled(self._address) else ""
-        self._mouth = Mouth(fleet.node, incarnation, same, keys[0], self._say, self.counters, draws, self._failed, own)
-        ear = Ear(fleet.node, same, self._most, self._heard, self.counters)
-        self._door = Door(ear, frozenset(self._addresses.listed), keys, self._say, unlisted)
-        self._ways: dict[str, Outgoing] = {}
+        self._outbound = OutboundContext(
+            fleet.node, incarnation, same, keys[0], self._say, self.counters, draws, self._failed, own
+        )
+        inbound = InboundContext(fleet.node, same, self._most, self._heard, self.counters)
+        self._listener = Listener(inbound, frozenset(self._addresses.listed), keys, self._say, unlisted)
+        self._links: dict[str, OutboundLink] = {}
         self._sockets: list[socket.socket] = []
         self._loop: asyncio.AbstractEventLoop | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -84,21 +86,21 @@
     def start(self) -> None:
         """Listen, and send what is asked for from now on; in the running loop."""
         self._loop = asyncio.get_running_loop()
-        self._door.listen(self._sockets)
+        self._listener.listen(self._sockets)
         self._timer = self._loop.call_later(TICK_S, self._tick)
 
     def _tick(self) -> None:
         assert self._loop is not None
         self._timer = self._loop.call_later(TICK_S, self._tick)
-        self._mouth.ticks += 1
-        self._door.tick()
-        for way in self._ways.values():
-            way.tick()
-        for way in list(self._retired):
-            way.tick()
-            if way.settled:
-                self._retired.remove(way)
-                way.close()
+        self._outbound.ticks += 1
+        self._listener.tick()
+        for link in self._links.values():
+            link.tick()
+        for link in list(self._retired):
+            link.tick()
+            if link.settled:
+                self._retired.remove(link)
+                link.close()
 
     # ---- Who is known ----
 
@@ -112,11 +114,11 @@
         self._addresses.forget(name)
 
     def _greeted(self, name: str) -> str:
-        return self._door.address_of(name)
+        return self._listener.address_of(name)
 
     def _retire(self, name: str) -> None:
-        if (way := self._ways.pop(name, None)) is not None:
-            self._retired.append(way)
+        if (link := self._links.pop(name, None)) is not None:
+            self._retired.append(link)
             while len(self._retired) > self._unlisted:
                 self._retired.pop(0).close()
 
@@ -152,14 +154,14 @@
             self.counters["dropped_long"] += 1
             self._say("fleet message too long", to, f"{type(message).__name__}: {len(body)} bytes")
             return
-        way = self._ways.get(to)
-        if way is None:
-            way = self._ways[to] = Outgoing(self._mouth, to, address)
-        way.send(body)
+        link = self._links.get(to)
+        if link is None:
+            link = self._links[to] = OutboundLink(self._outbound, to, address)
+        link.send(body)
 
     def up(self, to: str) -> bool:
         """Whether something sent to this node now is written at once; False for a name not listed."""
-        return to == self._node or (to in self._ways and self._ways[to].up)
+        return to == self._node or (to in self._links and self._links[to].up)
 
     def _own(self, message: Message) -> None:
         if not self._closed:
@@ -183,7 +185,7 @@
 
     def _say(self, event: str, peer: str, text: str) -> None:
         """A line, once a minute for each event and peer; peers here have proved their names or are nobody."""
-        ticks = self._mouth.ticks
+        ticks = self._outbound.ticks
         if ticks - self._said.get((event, peer), -MINUTE_TICKS) >= MINUTE_TICKS:
             if len(self._said) >= MOST_SAID:  # names that come and go
                 self._said.clear()
@@ -199,17 +201,17 @@
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        ways = [*self._ways.values(), *self._retired]
+        links = [*self._links.values(), *self._retired]
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FLUSH_S):
-                while left := [one for one in ways if not one.empty or one.dialled is not None]:
+                while left := [one for one in links if not one.empty or one.dialled is not None]:
                     for one in left:
                         one.flush()
                         if one.empty:
                             one.finish()
                     await asyncio.sleep(0.005)
-        for one in ways:
+        for one in links:
             one.close()
-        self._door.close()
+        self._listener.close()
         for sock in self._sockets:
             sock.close()
--- a/oatlink/gateway/fleet.py
+++ b/oatlink/gateway/fleet.py
@@ -12,8 +12,8 @@
 from oatlink.fleet.gate import AnyNews
 from oatlink.fleet.messages.control import InForce
 from oatlink.fleet.shell.control import ControlNode
-from oatlink.fleet.shell.errands import Primary
 from oatlink.fleet.shell.node import FleetNode
+from oatlink.fleet.shell.plan_steps import Primary
 from oatlink.gateway.server import Gateway
 from oatlink.settings.load import SettingsError, evaluate
 from oatlink.settings.model import Settings
--- a/oatlink/lab/scale/nodes.py
+++ b/oatlink/lab/scale/nodes.py
@@ -22,7 +22,7 @@
 from oatlink.lab.scale.tally import Tally
 from oatlink.settings.fleet import Fleet, FleetNode
 
-IDLE_US = 30_250_000  # a link without a word is closed then (fleet/shell/dialled.py, `IDLE_TICKS`)
+IDLE_US = 30_250_000  # a link without a word is closed then (fleet/shell/outbound_connection.py, `IDLE_TICKS`)
 SPREAD_US = 300_000
 LEAST_TICK_US = 1_000
 
--- a/oatlink/lab/scale/scenarios/twins.py
+++ b/oatlink/lab/scale/scenarios/twins.py
@@ -10,9 +10,9 @@
 from oatlink.fleet import envelope
 from oatlink.fleet import messages as f
 from oatlink.fleet.membership.view import View
-from oatlink.fleet.shell import door as doors
-from oatlink.fleet.shell.ear import Ear
-from oatlink.fleet.shell.inbound import Incoming
+from oatlink.fleet.shell import listener
+from oatlink.fleet.shell.inbound import InboundConnection
+from oatlink.fleet.shell.inbound_context import InboundContext
 from oatlink.lab.fleetsim.time import Timeline
 from oatlink.lab.scale.judge import Finding
 from oatlink.lab.scale.lines import at
@@ -35,23 +35,23 @@
             """Nobody reads it."""
 
         self.heard: list[bytes] = []
-        self.ear = Ear(name, HASH, 1 << 16, lambda _, body: self.heard.append(body), Counter())
-        self.door = doors.Door(self.ear, peers, (KEY,), say)
+        self.context = InboundContext(name, HASH, 1 << 16, lambda _, body: self.heard.append(body), Counter())
+        self.listener = listener.Listener(self.context, peers, (KEY,), say)
         self.lives: set[int] = set()
-        self.links: dict[int, tuple[Incoming, int]] = {}
+        self.links: dict[int, tuple[InboundConnection, int]] = {}
 
     def takes(self, name: str, incarnation: int, now_us: int) -> bool:
         """A frame of one of the twins: whether it is heard."""
-        self.ear.ticks = now_us // TICK_US
+        self.context.ticks = now_us // TICK_US
         link = self.links.get(incarnation)
         if link is None or now_us - link[1] >= IDLE_US:
-            one = Incoming(self.door, self.ear)
-            hello = envelope.Hello(f.VERSION, name, incarnation, HASH, self.ear.node)
+            one = InboundConnection(self.listener, self.context)
+            hello = envelope.Hello(f.VERSION, name, incarnation, HASH, self.context.node)
             frame = envelope.Seal(KEY, one.nonce, name, incarnation).seal(0, envelope.encode(hello))
-            if self.door.prove(one, frame[envelope.HEAD :]) is None:
+            if self.listener.prove(one, frame[envelope.HEAD :]) is None:
                 return False
             link = one, now_us
-        link[0].heard = self.ear.ticks
+        link[0].heard = self.context.ticks
         self.links[incarnation] = link[0], now_us
         self.lives.add(incarnation)
         return True
@@ -96,8 +96,9 @@
             f"both are heard: {said[0] - len(refused)} of {said[0]} messages in {seconds} s, {both} nodes took both"
         )
         found.notes.append(
-            f"two are told apart by a door that hears both within 3 s ({at(doors.Door._admit)}), and a node speaks to "
-            f"three drawn from all each 2 s ({at(View.tick, 'sample(there')}): the larger the fleet, the rarer"
+            f"two are told apart by a door that hears both within 3 s ({at(listener.Listener._admit)}), and a node "
+            f"speaks to three drawn from all each 2 s ({at(View.tick, 'sample(there')}): "
+            "the larger the fleet, the rarer"
         )
     disturbed(order, found, "twin")
     return found
--- a/tests/fleet/control/test_shell.py
+++ b/tests/fleet/control/test_shell.py
@@ -11,10 +11,10 @@
 from oatlink.fleet.control.station import Station
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell.control import ControlNode
+from oatlink.fleet.shell.control_commands import SPOKEN, mistake_in
 from oatlink.fleet.shell.history import Row
 from oatlink.fleet.shell.journal import COMPACT_BYTES, Journal, Records
-from oatlink.fleet.shell.scopes_kept import ScopesKept, found_in
-from oatlink.fleet.shell.words import SPOKEN, mistake_in
+from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
 from oatlink.settings.fleet import Control, Fleet, FleetNode
 from tests.fleet.life_world import SECRET
 
@@ -30,17 +30,17 @@
 
 def test_what_a_source_keeps_is_what_was_in_force() -> None:
     records: Records = {}
-    kept = ScopesKept(records)
+    kept = ScopeRecords(records)
     put(records, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
     put(records, kept.rows(version(2, ("a", b""), ("c", b"2"))))
     assert found_in(records) == [(c.Head("all", 0, 2), {"b": b"1", "c": b"2"})]
-    put(records, ScopesKept(records).rows(version(9, ("d", b"9"), whole=True)))
+    put(records, ScopeRecords(records).rows(version(9, ("d", b"9"), whole=True)))
     assert found_in(records) == [(c.Head("all", 0, 9), {"d": b"9"})]
 
 
 def test_half_a_version_on_disk_is_none() -> None:
     before: Records = {}
-    kept = ScopesKept(before)
+    kept = ScopeRecords(before)
     put(before, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
     rows = kept.rows(version(2, ("a", b"2"), ("b", b"2")))
     for whole in range(1, len(rows)):
--- a/tests/fleet/life_sabotage.py
+++ b/tests/fleet/life_sabotage.py
@@ -61,9 +61,9 @@
 
 def versions() -> None:
     """A peer's version is not looked at."""
-    from oatlink.fleet.shell import door
+    from oatlink.fleet.shell import listener
 
-    door.__dict__["VERSION"] = 99
+    listener.__dict__["VERSION"] = 99
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -24,7 +24,7 @@
 from oatlink.fleet.shell.history import Row
 from oatlink.fleet.shell.journal import Journal, kept_in, row_of, row_of_standing, standing_in
 from oatlink.fleet.shell.keys import read_keys
-from oatlink.fleet.shell.scopes_kept import ScopesKept, found_in
+from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
 from oatlink.fleet.versions import marker, plan, state
 
 DATA = Path(__file__).parent.parent / "data" / "fleet"
@@ -312,7 +312,7 @@
     """What a source writes while four versions are agreed: each slot's register as its keeper has it, and the scope."""
     registers: dict[str, tuple[int, bytes]] = {}
     commits: list[list[Row]] = []
-    kept = ScopesKept({})
+    kept = ScopeRecords({})
 
     def moved(head: c.Head, entries: tuple[c.Entry, ...], is_whole: bool, _: int) -> list[m.Effect]:
         commits.append(kept.rows(c.InForce(head, entries, is_whole)))
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -17,7 +17,7 @@
 
 from oatlink.fleet import envelope
 from oatlink.fleet import messages as m
-from oatlink.fleet.shell import dialled, door, inbound, outbound, transport
+from oatlink.fleet.shell import inbound, listener, outbound, outbound_connection, transport
 from oatlink.fleet.shell.keys import FleetError, read_keys
 from oatlink.fleet.shell.transport import Transport
 from oatlink.lab.embedded import port_of, reserve
@@ -122,7 +122,7 @@
 
 
 @scene(placed)
-async def test_messages_arrive_once_and_in_order_both_ways_and_to_oneself(place: Place) -> None:
+async def test_messages_arrive_once_and_in_order_both_links_and_to_oneself(place: Place) -> None:
     a, b = place.node("a").start(), place.node("b").start()
     a.say("b", *range(200))
     b.say("a", 7)
@@ -141,7 +141,7 @@
     a.say("b", 201)
     await until(lambda: ("a", 201) in b.heard)
     assert b.counters["faults"] == 2 and len(b.lines) == 1 and b.counters["accepted"] == 1
-    await until(lambda: a.transport._ways["b"]._fails == 0)  # acknowledged: were it lost, it is dialled at once
+    await until(lambda: a.transport._links["b"]._fails == 0)  # acknowledged: were it lost, it is dialled at once
     with pytest.raises(OSError):
         place.node("a").transport.bind()
 
@@ -269,13 +269,13 @@
         link.duplicate = 1.0
         a = place.node("a", routes=routes).start()
 
-        def again(conn: inbound.Incoming, frame: bytes) -> None:
+        def again(conn: inbound.InboundConnection, frame: bytes) -> None:
             if conn._seal is not None:
                 conn._taken = int.from_bytes(frame[:8], "big") - 1
             taken(conn, frame)
 
-        taken = inbound.Incoming._frame
-        monkeypatch.setattr(inbound.Incoming, "_frame", again)
+        taken = inbound.InboundConnection._frame
+        monkeypatch.setattr(inbound.InboundConnection, "_frame", again)
         b.start()
         a.say("b", 1)
         await until(lambda: b.heard == [("a", 1)] * 2)
@@ -337,10 +337,10 @@
             one.connect_ex(("127.0.0.1", place.port("b")))
             if number % 50 == 0:
                 await asyncio.sleep(0)
-                assert len(b.transport._door._unproved) <= door.MOST_UNPROVED
+                assert len(b.transport._listener._unproved) <= listener.MOST_UNPROVED
         await reaches(a, "b", b, 1)
         await until(lambda: b.counters["accepted"] > 2_000)
-        assert b.counters["dropped_crowd"] >= 2_000 - door.MOST_UNPROVED
+        assert b.counters["dropped_crowd"] >= 2_000 - listener.MOST_UNPROVED
     finally:
         for one in socks:
             one.close()
@@ -364,7 +364,7 @@
     for one in more:
         one.writer.write(one.frames(place.fleet, 1))
     await until(lambda: len(b.heard) == 8)
-    assert len(b.transport._door._proved["c"]) == door.MOST_A_PEER
+    assert len(b.transport._listener._proved["c"]) == listener.MOST_A_PEER
 
 
 @contextlib.asynccontextmanager
@@ -395,8 +395,8 @@
         while a.counters["half_open"] < 2 or a.counters["dropped_queue"] < 100:
             for _ in range(100):
                 a.transport.send("c", big)
-            way = a.transport._ways["c"]
-            assert len(way._queue) <= outbound.MOST_QUEUED and way._queued <= outbound.MOST_QUEUED_BYTES
+            link = a.transport._links["c"]
+            assert len(link._queue) <= outbound.MOST_QUEUED and link._queued <= outbound.MOST_QUEUED_BYTES
             await asyncio.sleep(0.002)
         await reaches(a, "b", b, 1)
 
@@ -424,10 +424,10 @@
 async def test_a_link_with_nothing_to_say_is_closed_and_opened_again(
     place: Place, hurry: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(dialled, "IDLE_TICKS", 12)
+    monkeypatch.setattr(outbound_connection, "IDLE_TICKS", 12)
     a, b = place.node("a").start(), place.node("b").start()
     await reaches(a, "b", b, 1)
-    await until(lambda: a.counters["idle"] == 1 and not b.transport._door._proved)
+    await until(lambda: a.counters["idle"] == 1 and not b.transport._listener._proved)
     await reaches(a, "b", b, 2)
 
 
