--- a/benchmarks/scale/roles/machines.py
+++ b/benchmarks/scale/roles/machines.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.roles.fleet import ASKS_PER_S, tenant_bytes
 from benchmarks.scale.row import Row
 from oatlink.fleet.limits.shards import SHARDS
-from oatlink.fleet.messages import MOST_VALUE
+from oatlink.fleet.messages import MAX_VALUE_BYTES
 from oatlink.fleet.shell.listener import MOST_UNPROVED
 
 LEASES_PER_S = SHARDS * 3 / 2 + 3 / 3  # each renewed three times a term: 2 s for limits, 3 s for versions
@@ -156,7 +156,7 @@
         "bytes",
         "a + b · M/G",
         lambda s, k: k.line("layouts", "state_bytes", s.groups),
-        float(MOST_VALUE),
+        float(MAX_VALUE_BYTES),
         True,
         "one register for all groups",
         "a register a group, or by ranges of them",
--- a/benchmarks/scale/slopes/grants.py
+++ b/benchmarks/scale/slopes/grants.py
@@ -5,7 +5,7 @@
 
 from benchmarks.scale.measure import Measurement, Values
 from benchmarks.scale.wire import wire_us
-from oatlink.fleet.envelope import HEAD, LEAST, encode
+from oatlink.fleet.envelope import LENGTH_BYTES, MIN_FRAME_BYTES, encode
 from oatlink.fleet.limits.asking import ASK_US
 from oatlink.fleet.limits.home import Home
 from oatlink.fleet.limits.shards import shard_of
@@ -47,10 +47,10 @@
         for node, some in effects:  # one answer to each
             for one in some:
                 assert isinstance(one, Tell) and isinstance(one.message, Grants)
-                given_bytes = HEAD + LEAST + len(encode(one.message))
+                given_bytes = LENGTH_BYTES + MIN_FRAME_BYTES + len(encode(one.message))
                 for grant in one.message.grants:
                     serials[node, grant.name] = grant.serial
-        asked_bytes = HEAD + LEAST + len(encode(wants[0][1]))
+        asked_bytes = LENGTH_BYTES + MIN_FRAME_BYTES + len(encode(wants[0][1]))
     question, answer = wants[0][1], effects[0][1][0]
     assert isinstance(answer, Tell) and isinstance(answer.message, Grants)
     middle = sorted(took[2:])[(ROUNDS - 2) // 2]
--- a/benchmarks/scale/slopes/layouts.py
+++ b/benchmarks/scale/slopes/layouts.py
@@ -3,8 +3,8 @@
 import time
 
 from benchmarks.scale.measure import Measurement, Values
-from oatlink.fleet.envelope import HEAD, LEAST, encode
-from oatlink.fleet.messages import MOST_VALUE, Adopt, Adopted
+from oatlink.fleet.envelope import LENGTH_BYTES, MIN_FRAME_BYTES, encode
+from oatlink.fleet.messages import MAX_VALUE_BYTES, Adopt, Adopted
 from oatlink.fleet.versions import state as states
 from oatlink.fleet.versions.asking import ASK_US
 from oatlink.fleet.versions.ledger import Ledger
@@ -20,7 +20,7 @@
     state = states.State(1, (1, 2), 2, "moved", 2, "f" * 16, shards, 3, dict.fromkeys(banks, states.Shard((step,), 1)))
     ledger = Ledger(0.001, 3_000_000, TERM_US)
     ledger.began(0)
-    size = HEAD + LEAST + len(encode(Adopt(1 << 40, 3, (), 1 << 40, 1 << 40)))
+    size = LENGTH_BYTES + MIN_FRAME_BYTES + len(encode(Adopt(1 << 40, 3, (), 1 << 40, 1 << 40)))
     began = time.process_time()
     for at in range(TURNS):
         ledger.heard(f"gw-{at:05}", 1, 0, (), at)
@@ -30,8 +30,8 @@
     took = time.process_time() - began
     return {
         "state_bytes": states.longest(state, banks, 2),
-        "state_share": states.longest(state, banks, 2) / MOST_VALUE,
-        "answer_bytes": HEAD + LEAST + len(body),
+        "state_share": states.longest(state, banks, 2) / MAX_VALUE_BYTES,
+        "answer_bytes": LENGTH_BYTES + MIN_FRAME_BYTES + len(body),
         "ask_bytes": size,
         "us_per_answer": 1e6 * took / TURNS,
         "asks_per_s_a_node": 1e6 / ASK_US,
--- a/benchmarks/scale/slopes/view.py
+++ b/benchmarks/scale/slopes/view.py
@@ -5,7 +5,7 @@
 import tracemalloc
 
 from benchmarks.scale.measure import Measurement, Values
-from oatlink.fleet.envelope import HEAD, LEAST, encode
+from oatlink.fleet.envelope import LENGTH_BYTES, MIN_FRAME_BYTES, encode
 from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, MOST_WORDS, View, patience_us
 from oatlink.fleet.messages import Alive, Tell
 
@@ -34,7 +34,7 @@
         began = time.process_time()
         view.alive(now)  # asked for at each tick of the verdicts' part
         alives.append(time.process_time() - began)
-        sizes += [HEAD + LEAST + len(encode(one.message)) for one in effects if isinstance(one, Tell)]
+        sizes += [LENGTH_BYTES + MIN_FRAME_BYTES + len(encode(one.message)) for one in effects if isinstance(one, Tell)]
     middle = TURNS // 2
     return {
         "tick_ms": 1000 * sorted(ticks)[middle],
--- a/oatlink/fleet/control/bounds.py
+++ b/oatlink/fleet/control/bounds.py
@@ -11,7 +11,7 @@
 
 MOST_NAME = 128  # bytes of a process's name
 MOST_ADDRESS = 256  # bytes
-MOST_MESSAGE = PAGE_BYTES + c.MOST_ENTRY  # bytes of entries in one word
+MOST_MESSAGE = PAGE_BYTES + c.MAX_ENTRY_VALUE_BYTES  # bytes of entries in one word
 MOST_DELTAS = 256  # in one word
 MOST_READERS = 65_536  # below one child: 18 times the size
 MOST_WAIT_MS = 600_000
@@ -35,7 +35,7 @@
 
 def is_scope(text: str) -> bool:
     """Whether a scope may have this name."""
-    if len(text) > c.MOST_SCOPE or not text.isascii() or not text.isprintable() or " " in text:
+    if len(text) > c.MAX_SCOPE_NAME_BYTES or not text.isascii() or not text.isprintable() or " " in text:
         return False
     kind, *parts = text.split("/")
     return text == "all" or (len(parts) == _PARTS.get(kind, -1) and all(parts))
@@ -43,7 +43,7 @@
 
 def are_heads(heads: tuple[c.Head, ...]) -> bool:
     """Whether these are heads of different scopes, no more than a reader may take."""
-    if len(heads) > c.MOST_SCOPES or len({one.scope for one in heads}) != len(heads):
+    if len(heads) > c.MAX_SCOPES_PER_READER or len({one.scope for one in heads}) != len(heads):
         return False
     return all(is_scope(one.scope) and in_range(one.epoch, one.version) for one in heads)
 
@@ -52,9 +52,11 @@
     """Threat: a child that asks for so much that its upstream holds it in its stead."""
     if not one.heads or not are_heads(one.heads) or not in_range(one.incarnation, one.mark):
         return False
-    if len(one.resume) > c.MOST_SCOPES or len(one.address.encode("utf-8", "replace")) > MOST_ADDRESS:
+    if len(one.resume) > c.MAX_SCOPES_PER_READER or len(one.address.encode("utf-8", "replace")) > MOST_ADDRESS:
         return False
-    return all(in_range(r[1], r[2]) and len(r[3].encode("utf-8", "replace")) <= c.MOST_ENTRY_KEY for r in one.resume)
+    return all(
+        in_range(r[1], r[2]) and len(r[3].encode("utf-8", "replace")) <= c.MAX_ENTRY_KEY_BYTES for r in one.resume
+    )
 
 
 def is_changes(one: c.Changes) -> bool:
@@ -81,7 +83,11 @@
 
 def is_report(one: c.Report) -> bool:
     """Threat: sums that no tree can have, which would hide a laggard or invent one."""
-    if len(one.lags) > c.MOST_SCOPES or len(one.alive) > c.MOST_CHILDREN or not in_range(one.mark, one.incarnation):
+    if (
+        len(one.lags) > c.MAX_SCOPES_PER_READER
+        or len(one.alive) > c.MAX_REPORTED_CHILDREN
+        or not in_range(one.mark, one.incarnation)
+    ):
         return False
     if not 0 <= one.children <= MOST_READERS or not all(is_name(name) and in_range(born) for name, born in one.alive):
         return False
@@ -91,4 +97,4 @@
 def _is_lag(one: c.Lag) -> bool:
     if not 0 <= one.behind <= one.readers <= MOST_READERS or not 0 <= one.least <= one.head.version:
         return False
-    return len(one.named) <= min(c.MOST_NAMED, one.behind) and all(map(is_name, one.named))
+    return len(one.named) <= min(c.MAX_NAMED_LAGGARDS, one.behind) and all(map(is_name, one.named))
--- a/oatlink/fleet/control/checks.py
+++ b/oatlink/fleet/control/checks.py
@@ -7,7 +7,7 @@
 from oatlink.fleet.control.bounds import is_scope
 from oatlink.fleet.control.scopes import ALL, is_names, key_of
 from oatlink.fleet.control.table import are_sound
-from oatlink.fleet.messages.control import MOST_CHANGE, MOST_ENTRY, MOST_ENTRY_KEY, Entry
+from oatlink.fleet.messages.control import MAX_CHANGE_BYTES, MAX_ENTRY_KEY_BYTES, MAX_ENTRY_VALUE_BYTES, Entry
 
 Entries = Mapping[str, bytes]
 Checker = Callable[[str, Entries, tuple[Entry, ...]], str]  # scope, its entries now, the change: '' or the mistake
@@ -35,13 +35,15 @@
         return "a change without entries"
     for one in entries:
         if not are_sound((one,)):
-            return f"{one.key[:64]!r}: a key has 1 to {MOST_ENTRY_KEY} bytes, a value {MOST_ENTRY} at most"
+            return (
+                f"{one.key[:64]!r}: a key has 1 to {MAX_ENTRY_KEY_BYTES} bytes, a value {MAX_ENTRY_VALUE_BYTES} at most"
+            )
         if not one.key.isprintable():
             return f"{one.key[:64]!r}: a key is printable"
     if len({one.key for one in entries}) < len(entries):
         return "a key twice in one change"
     size = len(_encoder.encode(entries))
-    return f"a change of {size} bytes, {MOST_CHANGE} at most" if size > MOST_CHANGE else ""
+    return f"a change of {size} bytes, {MAX_CHANGE_BYTES} at most" if size > MAX_CHANGE_BYTES else ""
 
 
 def mistake_of_base(base: int, version: int) -> str:
--- a/oatlink/fleet/control/logs.py
+++ b/oatlink/fleet/control/logs.py
@@ -210,7 +210,7 @@
         """Another source's question: the next part of what it lacks, and no memory of it."""
         words: list[Message] = []
         resume = {scope: (epoch, first, after) for scope, epoch, first, after in asked.resume}
-        for head in asked.heads[: c.MOST_SCOPES]:
+        for head in asked.heads[: c.MAX_SCOPES_PER_READER]:
             table = self.tables.get(head.scope)
             if table is None or (head.epoch, head.version) >= (table.head.epoch, table.head.version):
                 continue
--- a/oatlink/fleet/control/members.py
+++ b/oatlink/fleet/control/members.py
@@ -3,7 +3,7 @@
 What may live here: what waits to become a change, and whether a name may be given. The change itself is the log's: it
 is made for one version, and where another source was faster it is made anew from the state then.
 
-- Joins of `GATHER_US` become one change, of `MOST_CHANGE` bytes at most; a zone has one under way.
+- Joins of `GATHER_US` become one change, of `MAX_CHANGE_BYTES` bytes at most; a zone has one under way.
 - **Two under one name.** The name stays with its process while that was heard of within `ALIVE_US`, by a report, its
   own join or any other source's word; the second is refused. After that a higher incarnation takes it, if most sources
   are heard here, for one alone may be cut off from whoever hears the first. A lower incarnation never takes a name.
@@ -22,7 +22,7 @@
 from oatlink.fleet.control.scopes import names_of
 from oatlink.fleet.control.seats import as_relay, order
 from oatlink.fleet.messages import NEVER_US
-from oatlink.fleet.messages.control import MOST_CHANGE, MOST_ENTRY_KEY, Entry, Join
+from oatlink.fleet.messages.control import MAX_CHANGE_BYTES, MAX_ENTRY_KEY_BYTES, Entry, Join
 
 GATHER_US = 200_000
 GOING = 10  # names a second and zone
@@ -141,8 +141,8 @@
         """The change that follows from the state now, and who is refused by it. Nothing: there is nothing to offer."""
         zone, waiting = self.names.zone(scope), self._waiting[scope]
         refused: dict[str, tuple[int, str]] = {}
-        found: dict[str, Entry] = {name: Entry(name) for name in list(zone.stale)[: MOST_CHANGE // 256]}
-        left = MOST_CHANGE - MARGIN - sum(len(name.encode()) + 8 for name in found)
+        found: dict[str, Entry] = {name: Entry(name) for name in list(zone.stale)[: MAX_CHANGE_BYTES // 256]}
+        left = MAX_CHANGE_BYTES - MARGIN - sum(len(name.encode()) + 8 for name in found)
         relays = {name: serves for name, serves in zone.relays.items() if self.names.is_alive(name, now_us)}
         size = len(zone)
         for name in order(self._seed, "", waiting.wishes):
@@ -235,7 +235,7 @@
 def _is_sound(name: str, join: Join) -> bool:
     """Threat: a name or an address that no entry holds, a place for more than there are."""
     return (
-        0 < len(name.encode("utf-8", "replace")) <= MOST_ENTRY_KEY
+        0 < len(name.encode("utf-8", "replace")) <= MAX_ENTRY_KEY_BYTES
         and name.isprintable()
         and 0 < len(join.address.encode("utf-8", "replace")) <= MOST_ADDRESS
         and 0 <= join.relays <= MOST_SERVES
--- a/oatlink/fleet/control/reader.py
+++ b/oatlink/fleet/control/reader.py
@@ -27,7 +27,8 @@
 class Reader:
     """One process. `place`: its name and where it listens; `relays`: how many others it may serve.
 
-    Times are microseconds of its own monotonic clock. Raises `ValueError` where it would take more than `MOST_SCOPES`.
+    Times are microseconds of its own monotonic clock. Raises `ValueError` where it would take more than
+    `MAX_SCOPES_PER_READER`.
     """
 
     def __init__(
@@ -44,8 +45,8 @@
         now_us: int,
     ) -> None:
         own = dict.fromkeys(("all", f"region/{region}", f"zone/{region}/{zone}", *(f"group/{one}" for one in groups)))
-        if len(own) > c.MOST_SCOPES:
-            raise ValueError(f"{len(own)} scopes, {c.MOST_SCOPES} at most")
+        if len(own) > c.MAX_SCOPES_PER_READER:
+            raise ValueError(f"{len(own)} scopes, {c.MAX_SCOPES_PER_READER} at most")
         self._place, self._incarnation, self._own = place, incarnation, tuple(own)
         self._size_key = f"scope/zone/{region}/{zone}"  # in `all`: how many processes the zone has, in digits
         self._tables = {scope: Table(scope) for scope in own}
@@ -194,7 +195,7 @@
         new = [one for one in scopes if one not in self._tables]
         keep = dict.fromkeys((*self._own, *scopes))
         unused = [one for one in self._tables if one not in keep and not self._downstream.feed.takes(one)]
-        over = len(self._tables) + len(new) - c.MOST_SCOPES
+        over = len(self._tables) + len(new) - c.MAX_SCOPES_PER_READER
         if over > len(unused) or any(one.startswith("names/") for one in new):  # names are for sources alone
             return False
         for one in unused[: max(0, over)]:
--- a/oatlink/fleet/control/scopes.py
+++ b/oatlink/fleet/control/scopes.py
@@ -6,7 +6,7 @@
 """
 
 from oatlink.fleet.control.bounds import is_scope
-from oatlink.fleet.messages.control import MOST_SCOPES
+from oatlink.fleet.messages.control import MAX_SCOPES_PER_READER
 
 ALL = "all"
 COUNTS = "readers/"  # keys in `all` that sources alone write
@@ -47,6 +47,6 @@
     for one in scopes:
         if not is_scope(one):
             raise ValueError(f"{one!r} is no scope")
-    if len(scopes) > MOST_SCOPES:
-        raise ValueError(f"{len(scopes)} scopes, {MOST_SCOPES} at most")
+    if len(scopes) > MAX_SCOPES_PER_READER:
+        raise ValueError(f"{len(scopes)} scopes, {MAX_SCOPES_PER_READER} at most")
     return tuple(scopes)
--- a/oatlink/fleet/control/slots.py
+++ b/oatlink/fleet/control/slots.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from oatlink.fleet.messages.control import MOST_SCOPE, Entry
+from oatlink.fleet.messages.control import MAX_SCOPE_NAME_BYTES, Entry
 
 SLOTS = 32  # a keeper has room for 4,096 registers: 100 scopes take 3,200 of them, at most 26 MB
 
@@ -29,7 +29,7 @@
 
 def scope_of_slot(key: str) -> str:
     """The scope of a register, empty if it is none of the stream's."""
-    return key[8:].rpartition("/")[0] if key.startswith("control/") and len(key) <= MOST_SCOPE + 16 else ""
+    return key[8:].rpartition("/")[0] if key.startswith("control/") and len(key) <= MAX_SCOPE_NAME_BYTES + 16 else ""
 
 
 def encoded(slot: Slot) -> bytes:
--- a/oatlink/fleet/control/sums.py
+++ b/oatlink/fleet/control/sums.py
@@ -15,7 +15,7 @@
 from oatlink.fleet.control.bounds import is_report
 from oatlink.fleet.control.table import Table
 from oatlink.fleet.messages.base import NEVER_US
-from oatlink.fleet.messages.control import MOST_CHILDREN, MOST_NAMED, Head, Lag, Report
+from oatlink.fleet.messages.control import MAX_NAMED_LAGGARDS, MAX_REPORTED_CHILDREN, Head, Lag, Report
 
 REPORT_US = 5_000_000
 LEAST_US = 1_000_000  # between two
@@ -117,7 +117,7 @@
             else:  # those behind its head may have ours; where they don't all, they all count
                 behind += lag.behind
                 least, who = min(least, lag.least), lag.named
-            named += [text for text in who if text not in named][: max(0, MOST_NAMED - len(named))]
+            named += [text for text in who if text not in named][: max(0, MAX_NAMED_LAGGARDS - len(named))]
         return Lag(head, readers, least, behind, tuple(named))
 
     @property
@@ -126,13 +126,13 @@
         return sum(1 + one.children for one in self._below.values())
 
     def alive(self) -> tuple[tuple[str, int], ...]:
-        """Names and incarnations below, the first `MOST_CHILDREN` of them."""
+        """Names and incarnations below, the first `MAX_REPORTED_CHILDREN` of them."""
         found: list[tuple[str, int]] = []
         for name, one in self._below.items():
             found += ((name, one.incarnation), *one.alive)
-            if len(found) >= MOST_CHILDREN:
+            if len(found) >= MAX_REPORTED_CHILDREN:
                 break
-        return tuple(found[:MOST_CHILDREN])
+        return tuple(found[:MAX_REPORTED_CHILDREN])
 
     # ---- Upward ----
 
--- a/oatlink/fleet/control/table.py
+++ b/oatlink/fleet/control/table.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from oatlink.fleet.messages.control import MOST_ENTRY, MOST_ENTRY_KEY, Delta, Entry, Head, Page
+from oatlink.fleet.messages.control import MAX_ENTRY_KEY_BYTES, MAX_ENTRY_VALUE_BYTES, Delta, Entry, Head, Page
 
 KEPT_BYTES = 262_144  # of changes kept for readers that are behind
 PAGE_BYTES = 8_192
@@ -29,7 +29,7 @@
 def are_sound(entries: Iterable[Entry]) -> bool:
     """Whether these keep within the bounds of an entry. Threat: a peer's word that no bound of ours would hold."""
     return all(
-        0 < len(one.key.encode("utf-8", "replace")) <= MOST_ENTRY_KEY and len(one.value) <= MOST_ENTRY
+        0 < len(one.key.encode("utf-8", "replace")) <= MAX_ENTRY_KEY_BYTES and len(one.value) <= MAX_ENTRY_VALUE_BYTES
         for one in entries
     )
 
--- a/oatlink/fleet/envelope.py
+++ b/oatlink/fleet/envelope.py
@@ -27,12 +27,12 @@
 from oatlink.fleet.messages import VERSION, AnyMessage
 
 MAGIC = b"OATFLEET"
-NONCE = 16
-TAG = 16
-HEAD = 4  # bytes of a length
-NUMBER = 8
-LEAST = NUMBER + TAG  # bytes of a frame without a body
-MOST_GREETING = 512  # bytes of a frame from somebody who has proved nothing, and of all that an acceptor writes
+NONCE_BYTES = 16
+TAG_BYTES = 16
+LENGTH_BYTES = 4  # bytes of a length
+NUMBER_BYTES = 8
+MIN_FRAME_BYTES = NUMBER_BYTES + TAG_BYTES  # bytes of a frame without a body
+MAX_GREETING_BYTES = 512  # bytes of a frame from somebody who has proved nothing, and of all that an acceptor writes
 
 _length = struct.Struct(">I")
 _number = struct.Struct(">Q")
@@ -79,14 +79,14 @@
         return None
 
 
-def framed(payload: bytes) -> bytes:
+def with_length(payload: bytes) -> bytes:
     """A payload behind its length."""
     return _length.pack(len(payload)) + payload
 
 
 def challenge(nonce: bytes, node: str, fleet: str) -> bytes:
     """What an acceptor writes first."""
-    return framed(_encoder.encode(Challenge(MAGIC, VERSION, nonce, node, fleet)))
+    return with_length(_encoder.encode(Challenge(MAGIC, VERSION, nonce, node, fleet)))
 
 
 def read_challenge(payload: bytes) -> Challenge | None:
@@ -95,28 +95,28 @@
         one = _challenges.decode(payload)
     except _BAD:
         return None
-    return one if one.magic == MAGIC and len(one.nonce) == NONCE else None
+    return one if one.magic == MAGIC and len(one.nonce) == NONCE_BYTES else None
 
 
 def read_hello(frame: bytes) -> Hello | None:
     """What frame 0 says, before it is proved; None where it says nothing."""
     try:
-        return _hellos.decode(frame[NUMBER:-TAG]) if frame[:NUMBER] == _number.pack(0) else None
+        return _hellos.decode(frame[NUMBER_BYTES:-TAG_BYTES]) if frame[:NUMBER_BYTES] == _number.pack(0) else None
     except _BAD:
         return None
 
 
 def ack(number: int) -> bytes:
     """What an acceptor writes of the newest frame that it has taken."""
-    return framed(_number.pack(number))
+    return with_length(_number.pack(number))
 
 
 def read_ack(payload: bytes) -> int | None:
     """The number in an ack, or None where this is none."""
-    return int(_number.unpack(payload)[0]) if len(payload) == NUMBER else None
+    return int(_number.unpack(payload)[0]) if len(payload) == NUMBER_BYTES else None
 
 
-def key_of(secret: bytes) -> bytes:
+def derive_key(secret: bytes) -> bytes:
     """The key that a secret of any length stands for."""
     return hashlib.blake2b(secret, digest_size=64, person=b"oatlink fleet 1").digest()
 
@@ -127,8 +127,8 @@
     def __init__(self, key: bytes, nonce: bytes, node: str, incarnation: int) -> None:
         name = node.encode("utf-8", "surrogatepass")
         # Each part has its length before it or is of fixed length, so that no two senders' texts can be the same.
-        self._base = hashlib.blake2b(key=key, digest_size=TAG)
-        self._base.update(nonce + framed(name) + framed(str(incarnation).encode()))
+        self._base = hashlib.blake2b(key=key, digest_size=TAG_BYTES)
+        self._base.update(nonce + with_length(name) + with_length(str(incarnation).encode()))
 
     def _tag(self, numbered: bytes) -> bytes:
         one = self._base.copy()
@@ -138,13 +138,13 @@
     def seal(self, number: int, body: bytes) -> bytes:
         """A whole frame, ready to be written."""
         numbered = _number.pack(number) + body
-        return framed(numbered + self._tag(numbered))
+        return with_length(numbered + self._tag(numbered))
 
     def opened(self, frame: bytes) -> tuple[int, bytes] | None:
         """The number and body of a frame without its length; None where the tag is not this sender's."""
-        if len(frame) < LEAST or not hmac.compare_digest(self._tag(frame[:-TAG]), frame[-TAG:]):
+        if len(frame) < MIN_FRAME_BYTES or not hmac.compare_digest(self._tag(frame[:-TAG_BYTES]), frame[-TAG_BYTES:]):
             return None
-        return int(_number.unpack_from(frame)[0]), frame[NUMBER:-TAG]
+        return int(_number.unpack_from(frame)[0]), frame[NUMBER_BYTES:-TAG_BYTES]
 
 
 class Reader:
@@ -168,7 +168,7 @@
 
     def take(self) -> bytes | None:
         """The next whole frame without its length; None until there is one."""
-        if len(self._held) < HEAD:
+        if len(self._held) < LENGTH_BYTES:
             return None
         length = int(_length.unpack_from(self._held)[0])
         if length > self.most:
@@ -176,8 +176,8 @@
             self.broken = True
             self._held.clear()
             return None
-        if len(self._held) - HEAD < length:
+        if len(self._held) - LENGTH_BYTES < length:
             return None
-        frame = bytes(self._held[HEAD : HEAD + length])
-        del self._held[: HEAD + length]
+        frame = bytes(self._held[LENGTH_BYTES : LENGTH_BYTES + length])
+        del self._held[: LENGTH_BYTES + length]
         return frame
--- a/oatlink/fleet/messages/__init__.py
+++ b/oatlink/fleet/messages/__init__.py
@@ -9,8 +9,8 @@
 """
 
 from oatlink.fleet.messages.base import (
-    MOST_KEY,
-    MOST_VALUE,
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
     NEVER_US,
     VERSION,
     Message,
@@ -116,8 +116,8 @@
     "Kept",
     "Look",
     "Looked",
-    "MOST_KEY",
-    "MOST_VALUE",
+    "MAX_KEY_BYTES",
+    "MAX_VALUE_BYTES",
     "Marker",
     "Message",
     "Met",
--- a/oatlink/fleet/messages/base.py
+++ b/oatlink/fleet/messages/base.py
@@ -4,8 +4,8 @@
 
 VERSION = 1
 NEVER_US = 2**62
-MOST_KEY = 128  # bytes of a register's name
-MOST_VALUE = 8_192  # bytes of a register's value
+MAX_KEY_BYTES = 128  # bytes of a register's name
+MAX_VALUE_BYTES = 8_192  # bytes of a register's value
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
--- a/oatlink/fleet/messages/control.py
+++ b/oatlink/fleet/messages/control.py
@@ -9,13 +9,13 @@
 from oatlink.fleet.messages.base import Message
 from oatlink.fleet.messages.effects import Effect
 
-MOST_ENTRY_KEY = 128  # bytes
-MOST_ENTRY = 4_096  # bytes of an entry's value
-MOST_CHANGE = 7_168  # bytes of one change, encoded: it has to fit a register beside its frame
-MOST_SCOPE = 64  # bytes of a scope's name
-MOST_SCOPES = 16  # that one reader takes
-MOST_NAMED = 8  # laggards told by name
-MOST_CHILDREN = 256  # told in one report
+MAX_ENTRY_KEY_BYTES = 128  # bytes
+MAX_ENTRY_VALUE_BYTES = 4_096  # bytes of an entry's value
+MAX_CHANGE_BYTES = 7_168  # bytes of one change, encoded: it has to fit a register beside its frame
+MAX_SCOPE_NAME_BYTES = 64  # bytes of a scope's name
+MAX_SCOPES_PER_READER = 16  # that one reader takes
+MAX_NAMED_LAGGARDS = 8  # laggards told by name
+MAX_REPORTED_CHILDREN = 256  # told in one report
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
--- a/oatlink/fleet/registers/ballots.py
+++ b/oatlink/fleet/registers/ballots.py
@@ -4,7 +4,7 @@
 and its incarnation is never used again, so no ballot is ever used for two tries, whatever was forgotten.
 """
 
-from oatlink.fleet.messages import MOST_KEY, MOST_VALUE, Ballot, Record
+from oatlink.fleet.messages import MAX_KEY_BYTES, MAX_VALUE_BYTES, Ballot, Record
 
 NOTHING = Ballot()
 MOST_COUNTER = 2**60  # threat: one wrong counter that leaves no room above it, for ever
@@ -26,7 +26,7 @@
     """Whether a keeper may be asked to hold this record."""
     return (
         0 <= record.fence <= MOST_FENCE
-        and len(record.value) <= MOST_VALUE
+        and len(record.value) <= MAX_VALUE_BYTES
         and len(record.writer) <= MOST_WRITER
         and len(record.writer.encode(errors="replace")) <= MOST_WRITER
     )
@@ -34,4 +34,4 @@
 
 def names(key: str) -> bool:
     """Whether this may be a register's name."""
-    return 0 < len(key) <= MOST_KEY and len(key.encode(errors="replace")) <= MOST_KEY
+    return 0 < len(key) <= MAX_KEY_BYTES and len(key.encode(errors="replace")) <= MAX_KEY_BYTES
--- a/oatlink/fleet/registers/proposer.py
+++ b/oatlink/fleet/registers/proposer.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from oatlink.fleet.messages import (
-    MOST_VALUE,
+    MAX_VALUE_BYTES,
     NEVER_US,
     Accept,
     Accepted,
@@ -62,7 +62,7 @@
         return self._ask(Attempt(ask, key, READ, b"", "", now_us, now_us + PATIENCE_US), now_us)
 
     def change(self, ask: int, key: str, fence: int, value: bytes, now_us: int) -> list[Effect]:
-        """See `Registers.change`; `value` has at most `MOST_VALUE` bytes."""
+        """See `Registers.change`; `value` has at most `MAX_VALUE_BYTES` bytes."""
         self._writers += 1
         writer = f"{self._node}/{self._incarnation}/{self._writers}"
         return self._ask(Attempt(ask, key, max(fence, 0), value, writer, now_us, now_us + PATIENCE_US), now_us)
@@ -108,7 +108,7 @@
     def _ask(self, one: Attempt, now_us: int) -> list[Effect]:
         line = self._lines.get(one.key)
         full = len(self._lines) >= MOST_LINES if line is None else len(line) >= MOST_WAITING
-        if full or not names(one.key) or len(one.value) > MOST_VALUE:
+        if full or not names(one.key) or len(one.value) > MAX_VALUE_BYTES:
             return [_answer(one, "unknown", Record())]
         if line is not None:
             line.append(one)
--- a/oatlink/fleet/registers/voting.py
+++ b/oatlink/fleet/registers/voting.py
@@ -9,7 +9,8 @@
 (an empty one, if need be), and never shows what a crash can take back. `Outbid` alone goes at once: it is no vote, a
 proposer only learns from it what to outbid.
 
-A keeper that has not begun (`recovery`) says nothing. Memory is bounded by `MOST_KEYS` registers of `MOST_VALUE` bytes.
+A keeper that has not begun (`recovery`) says nothing. Memory is bounded by `MOST_KEYS` registers of `MAX_VALUE_BYTES`
+bytes.
 """
 
 from collections.abc import Iterable
--- a/oatlink/fleet/shell/inbound.py
+++ b/oatlink/fleet/shell/inbound.py
@@ -18,10 +18,10 @@
     def __init__(self, owner: ConnectionOwner, context: InboundContext) -> None:
         self.owner, self.context = owner, context
         self.name, self.incarnation, self.address = "", 0, ""
-        self.nonce = secrets.token_bytes(envelope.NONCE)
+        self.nonce = secrets.token_bytes(envelope.NONCE_BYTES)
         self.heard = context.ticks
         self._seal: envelope.Seal | None = None
-        self._reader = envelope.Reader(envelope.MOST_GREETING)
+        self._reader = envelope.Reader(envelope.MAX_GREETING_BYTES)
         self._taken = -1  # number of the newest frame
         self._acked = -1
         self._transport: asyncio.Transport | None = None
--- a/oatlink/fleet/shell/keys.py
+++ b/oatlink/fleet/shell/keys.py
@@ -3,7 +3,7 @@
 import os
 import stat
 
-from oatlink.fleet.envelope import key_of
+from oatlink.fleet.envelope import derive_key
 
 LEAST, MOST = 32, 4_096  # bytes of a secret
 
@@ -14,7 +14,7 @@
 
 def read_keys(paths: tuple[str, ...]) -> tuple[bytes, ...]:
     """The key of each file, in order: the first signs, any may verify. Raises `FleetError`."""
-    return tuple(key_of(_secret(path)) for path in paths)
+    return tuple(derive_key(_secret(path)) for path in paths)
 
 
 def _secret(path: str) -> bytes:
--- a/oatlink/fleet/shell/outbound_connection.py
+++ b/oatlink/fleet/shell/outbound_connection.py
@@ -64,7 +64,7 @@
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner, self.context = owner, owner.context
         self.greeted: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._reader = envelope.Reader(envelope.MOST_GREETING)
+        self._reader = envelope.Reader(envelope.MAX_GREETING_BYTES)
         self._seal: envelope.Seal | None = None
         self._sent = -1  # number of the newest frame written
         self._acked = -1
--- a/oatlink/fleet/shell/transport.py
+++ b/oatlink/fleet/shell/transport.py
@@ -150,7 +150,7 @@
             self.counters["dropped_encode"] += 1
             self._say("fleet message not encoded", to, type(message).__name__)
             return
-        if len(body) + envelope.LEAST > self._most:
+        if len(body) + envelope.MIN_FRAME_BYTES > self._most:
             self.counters["dropped_long"] += 1
             self._say("fleet message too long", to, f"{type(message).__name__}: {len(body)} bytes")
             return
--- a/oatlink/fleet/versions/plan.py
+++ b/oatlink/fleet/versions/plan.py
@@ -1,7 +1,7 @@
 """What an operator proposes: the commands that take each shard from one version to the next, and what is refused.
 
 What may live here: the plan's form, its name (a hash), and every mistake that can be seen before anything runs. No
-I/O. The plan stands in one register, so its text is bounded by that (`MOST_VALUE`): a change of layout that needs
+I/O. The plan stands in one register, so its text is bounded by that (`MAX_VALUE_BYTES`): a change of layout that needs
 more commands is a script on the server, and the plan calls it.
 
 What nobody can check and the author promises: each step run twice is the same as run once; after `expand` both
@@ -15,7 +15,7 @@
 import xxhash
 from msgspec import Meta
 
-from oatlink.fleet.messages import MOST_VALUE
+from oatlink.fleet.messages import MAX_VALUE_BYTES
 from oatlink.fleet.versions import marker
 from oatlink.fleet.versions.state import State, longest
 
@@ -121,10 +121,10 @@
     if circle:
         yield f"shards: expected an order of banks, `after` goes round: {' after '.join(circle)}"
     size = len(encoded("back", name_of(plan), plan))
-    if size > MOST_VALUE:
-        yield f"top level: expected at most {MOST_VALUE} bytes as JSON, got {size}"
-    if longest(state, banks, plan.version) > MOST_VALUE:
-        yield f"shards: expected fewer banks: what is known of {len(banks)} does not fit {MOST_VALUE} bytes"
+    if size > MAX_VALUE_BYTES:
+        yield f"top level: expected at most {MAX_VALUE_BYTES} bytes as JSON, got {size}"
+    if longest(state, banks, plan.version) > MAX_VALUE_BYTES:
+        yield f"shards: expected fewer banks: what is known of {len(banks)} does not fit {MAX_VALUE_BYTES} bytes"
 
 
 def _check_command(path: str, command: tuple[str, ...]) -> Iterator[str]:
--- a/oatlink/lab/scale/scenarios/twins.py
+++ b/oatlink/lab/scale/scenarios/twins.py
@@ -24,7 +24,7 @@
 
 SECONDS, BRIEF_S = 120, 30
 TICK_US = 250_000
-KEY = envelope.key_of(b"hollow")
+KEY = envelope.derive_key(b"hollow")
 
 
 class Peer:
@@ -48,7 +48,7 @@
             one = InboundConnection(self.listener, self.context)
             hello = envelope.Hello(f.VERSION, name, incarnation, HASH, self.context.node)
             frame = envelope.Seal(KEY, one.nonce, name, incarnation).seal(0, envelope.encode(hello))
-            if self.listener.prove(one, frame[envelope.HEAD :]) is None:
+            if self.listener.prove(one, frame[envelope.LENGTH_BYTES :]) is None:
                 return False
             link = one, now_us
         link[0].heard = self.context.ticks
--- a/oatlink/lab/scale/wire.py
+++ b/oatlink/lab/scale/wire.py
@@ -8,7 +8,7 @@
 from oatlink.platform.servers.connection import CHECK
 from oatlink.protocols import pgwire as pg
 
-NONCE = bytes(envelope.NONCE)
+NONCE = bytes(envelope.NONCE_BYTES)
 HASH = "0" * 16  # a fleet's, in each greeting
 NAME = "gateway-0000"
 ACK = len(envelope.ack(0))
@@ -39,13 +39,13 @@
 
 def frame_bytes(message: messages.Message) -> int:
     """A frame of a node's connection to another: length, number, body, tag."""
-    return envelope.HEAD + envelope.NUMBER + len(envelope.encode(message)) + envelope.TAG
+    return envelope.LENGTH_BYTES + envelope.NUMBER_BYTES + len(envelope.encode(message)) + envelope.TAG_BYTES
 
 
 def hello_bytes(name: str = NAME) -> int:
     """What a dialler writes first, where names are as long as this one."""
     hello = envelope.Hello(VERSION, name, 1 << 47, HASH, name)
-    return envelope.HEAD + envelope.NUMBER + len(envelope.encode(hello)) + envelope.TAG
+    return envelope.LENGTH_BYTES + envelope.NUMBER_BYTES + len(envelope.encode(hello)) + envelope.TAG_BYTES
 
 
 def challenge_bytes() -> int:
--- a/tests/fleet/control/test_reader.py
+++ b/tests/fleet/control/test_reader.py
@@ -192,7 +192,7 @@
         relay.take(f"odd-{n}", c.Subscribe(1, (c.Head(f"group/none-{n}"),)))
         relay.take(f"odd-{n}", c.Leave(1))
         world.run(200 * MS)
-    assert relay.core._upstream.peer and len(relay.core._tables) <= c.MOST_SCOPES
+    assert relay.core._upstream.peer and len(relay.core._tables) <= c.MAX_SCOPES_PER_READER
     relay.take("odd", c.Subscribe(1, tuple(c.Head(f"group/many-{n}") for n in range(16))))
     assert "odd" not in relay.core._downstream  # more than it can take for anybody
     relay.take("odd", c.Subscribe(1, (c.Head("names/r/z"),)))
--- a/tests/fleet/life_strangers.py
+++ b/tests/fleet/life_strangers.py
@@ -13,7 +13,7 @@
 from oatlink.fleet.shell.transport import Transport
 from tests.fleet.life_world import SECRET, World
 
-KEY = envelope.key_of(SECRET)
+KEY = envelope.derive_key(SECRET)
 
 
 class Stranger:
--- a/tests/fleet/test_envelope.py
+++ b/tests/fleet/test_envelope.py
@@ -10,7 +10,7 @@
 from oatlink.fleet import envelope
 from oatlink.fleet import messages as m
 
-KEY, OTHER = envelope.key_of(b"k" * 32), envelope.key_of(b"o" * 32)
+KEY, OTHER = envelope.derive_key(b"k" * 32), envelope.derive_key(b"o" * 32)
 NONCE = bytes(range(16))
 MOST = 200
 
@@ -31,7 +31,7 @@
         while (frame := reader.take()) is not None:
             assert len(frame) <= most
             found.append(frame)
-        assert len(reader) < most + envelope.HEAD
+        assert len(reader) < most + envelope.LENGTH_BYTES
         assert not (reader.broken and len(reader))
     return found, reader
 
@@ -40,7 +40,7 @@
 def test_frames_come_out_as_they_went_in_and_noise_behind_them_costs_nothing(
     payloads: list[bytes], noise: bytes, seed: int
 ) -> None:
-    whole = b"".join(envelope.framed(one) for one in payloads)
+    whole = b"".join(envelope.with_length(one) for one in payloads)
     found, reader = read(pieces(whole, seed))
     assert found == payloads and len(reader) == 0 and not reader.broken
     assert read(pieces(whole + noise, seed))[0][: len(payloads)] == payloads
--- a/tests/fleet/test_life.py
+++ b/tests/fleet/test_life.py
@@ -227,14 +227,14 @@
     for junk in (rng.randbytes(65_536), b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n", b"\0" * 4_096):
         await (await Stranger.at(port)).send(junk).closed()
     for _ in range(20):
-        await (await Stranger.at(port)).send(envelope.framed(rng.randbytes(rng.randrange(512)))).closed()
+        await (await Stranger.at(port)).send(envelope.with_length(rng.randbytes(rng.randrange(512)))).closed()
     wrong = await Stranger.at(port)
-    await wrong.send(wrong.hello("g1", key=envelope.key_of(b"w" * 40))).closed()
+    await wrong.send(wrong.hello("g1", key=envelope.derive_key(b"w" * 40))).closed()
     assert len(tap.taken) > 1_000
     for _ in range(3):  # all that g1 has said to g0 so far, once more
         await (await Stranger.at(port)).send(bytes(tap.taken)).closed()
     liar = await Stranger.at(port)
-    liar.send(liar.hello("g3")).send(liar.frame(b"x" * 40)).send(envelope.framed(b"\0" * 8 + b"y" * 40))
+    liar.send(liar.hello("g3")).send(liar.frame(b"x" * 40)).send(envelope.with_length(b"\0" * 8 + b"y" * 40))
     await liar.closed()
     await slow
     mute = await asyncio.gather(*(asyncio.open_connection("127.0.0.1", port) for _ in range(2_000)))
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -101,7 +101,7 @@
 
 
 def test_a_scopes_longest_name_is_the_same_in_settings_and_words() -> None:
-    assert MOST_SCOPE == control.MOST_SCOPE
+    assert MOST_SCOPE == control.MAX_SCOPE_NAME_BYTES
 
 
 def test_files_of_today_greet_as_before() -> None:
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -29,7 +29,7 @@
 
 DATA = Path(__file__).parent.parent / "data" / "fleet"
 NONCE = bytes(range(16))
-KEY = envelope.key_of(b"k" * 32)
+KEY = envelope.derive_key(b"k" * 32)
 
 # Each value gives every field under its own name, and no two fields of a class the same value, so that two fields that
 # change places change the bytes.
@@ -239,10 +239,10 @@
     assert plan.wanted(stored["plan-register"].encode()) == plan.Wanted(word="go", name="0123456789abcdef", plan=PLAN)
     assert plan.wanted(stored["plan-register-without-plan"].encode()) == plan.Wanted("back", "0123456789abcdef")
     assert marker.shown(stored["marker-done"].encode()) == 5 and marker.shown(stored["marker-begun"].encode()) == 4
-    frame = bytes.fromhex(stored["hello-frame"])[envelope.HEAD :]
+    frame = bytes.fromhex(stored["hello-frame"])[envelope.LENGTH_BYTES :]
     assert envelope.read_hello(frame) == dict(PARTS)["Hello"]
-    assert envelope.read_challenge(bytes.fromhex(stored["challenge-frame"])[envelope.HEAD :]) is not None
-    assert envelope.read_ack(bytes.fromhex(stored["ack-frame"])[envelope.HEAD :]) == 7
+    assert envelope.read_challenge(bytes.fromhex(stored["challenge-frame"])[envelope.LENGTH_BYTES :]) is not None
+    assert envelope.read_ack(bytes.fromhex(stored["ack-frame"])[envelope.LENGTH_BYTES :]) == 7
     key_file = tmp_path / "key"
     key_file.write_bytes((DATA / "fleet.key").read_bytes())
     key_file.chmod(0o600)
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -204,7 +204,7 @@
 
     def frames(self, like: Fleet, *numbers: int, secret: bytes = SECRET, **changes: Any) -> bytes:
         """A Hello of `c` to `b`, and messages with these numbers."""
-        seal = envelope.Seal(envelope.key_of(secret), self.met.nonce, changes.get("node", "c"), 9)
+        seal = envelope.Seal(envelope.derive_key(secret), self.met.nonce, changes.get("node", "c"), 9)
         hello = envelope.Hello(1, "c", 9, fleet_hash(like), "b")
         bodies = [(0, msgspec.structs.replace(hello, **changes)), *((number, m.Alive(100)) for number in numbers)]
         return b"".join(seal.seal(number, envelope.encode(body)) for number, body in bodies)
@@ -409,7 +409,7 @@
     greeting, counter = {
         "ack": (good + envelope.ack(5), "dropped_ack"),
         "acks": (good + b"\xff" * 8, "dials_failed"),
-        "no ack": (good + envelope.framed(b"abc"), "dropped_ack"),
+        "no ack": (good + envelope.with_length(b"abc"), "dropped_ack"),
         "noise": (b"\0\0\0\5noise", "dropped_challenge"),
         "name": (envelope.challenge(bytes(16), "b", same), "dropped_challenge"),
         "fleet": (envelope.challenge(bytes(16), "c", "other"), "dropped_challenge"),
@@ -438,7 +438,7 @@
     good = tmp_path / "good"
     good.write_bytes(b"  " + b"x" * 32 + b"\n\n")
     good.chmod(0o600)
-    assert read_keys((str(good), str(good))) == (envelope.key_of(b"x" * 32),) * 2
+    assert read_keys((str(good), str(good))) == (envelope.derive_key(b"x" * 32),) * 2
     for content, mode, text in ((b"x" * 31, 0o600, "got 31"), (b"x" * 5_000, 0o600, "got"), (b"x" * 40, 0o640, "0640")):
         bad = tmp_path / "bad"
         bad.write_bytes(content)
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -10,7 +10,7 @@
 
 from oatlink.fleet import messages as f
 from oatlink.fleet.gate import Layout, Served
-from oatlink.fleet.messages import MOST_VALUE, NEVER_US, Marker, ShardOffer
+from oatlink.fleet.messages import MAX_VALUE_BYTES, NEVER_US, Marker, ShardOffer
 from oatlink.fleet.versions import marker, plan, state
 from oatlink.fleet.versions.asking import KEPT, MOST_TERM_US, Adopter
 from oatlink.fleet.versions.compatible import Place, applied
@@ -70,7 +70,10 @@
         (changed(undo=(("BLPOP", "k", "0"),)), "shards['a'].undo[0][0]: expected a command that may stand"),
         (changed(expand=((" EXEC",),)), "shards['a'].expand[0][0]: expected a command that may stand"),
         (changed(expand=(("DEL", marker.KEY),)), "shards['a'].expand[0]: expected to leave the key"),
-        (changed(expand=(("SET", "k", "v" * MOST_VALUE),)), f"top level: expected at most {MOST_VALUE} bytes"),
+        (
+            changed(expand=(("SET", "k", "v" * MAX_VALUE_BYTES),)),
+            f"top level: expected at most {MAX_VALUE_BYTES} bytes",
+        ),
     ],
 )
 def test_a_mistake_in_a_plan_is_one_line(wrong: plan.Plan, line: str) -> None:
