--- a/benchmarks/fleet/host.py
+++ b/benchmarks/fleet/host.py
@@ -82,12 +82,12 @@
 
     first_us: dict[str, int]
 
-    def _heard(self, sender: str, message: f.AnyMessage) -> None:
+    def _received(self, sender: str, message: f.AnyMessage) -> None:
         if isinstance(message, f.Gossip):
             now = now_us()
             for word in message.evidence:
                 self.first_us.setdefault(word.member, now)
-        super()._heard(sender, message)
+        super()._received(sender, message)
 
 
 def say(node: str, event: str, text: str) -> None:
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -1,8 +1,9 @@
-"""The one object that a process holds of the stream of control: sockets, the keeper's file and one timer.
+"""The control stream in a process: sockets, the keeper's file and one timer around the station.
 
-It decides nothing but what it is asked in words: what comes is handed to the station, what that asks for is carried out
-in order. Nothing is saved but at a source, in the keeper's file: its registers, and each version before another source
-is told that it is here. Threat: a slot that is written over while its version is on no disk, and all sources restarted.
+It decides nothing except how to read an operator's command: inputs are handed to the station, and the effects that the
+station returns are carried out in order. Only a source stores anything, in the keeper's file: its registers, and each
+version before another source is told that this one has it. Prevents a slot from being overwritten while its version is
+on no disk, which would lose the version if all sources restarted.
 """
 
 import asyncio
@@ -22,24 +23,24 @@
 from oatlink.gateway.clock import now_us
 from oatlink.settings.fleet import Fleet
 
-MOST_READERS = 4_096  # names beside the sources that a source hears at once, and knows
-MOST_CHILDREN = 512  # the same at a reader: its children, upstream, spare, and some who have just gone
-LEAST_WAIT_S, LONGEST_WAIT_S = 0.001, 60.0  # of the timer
-WORD_S = 35.0  # a source says after 30 s that a change's end is not known
-HAVE = (c.Beat, c.Committed)  # by which another source counts what is here
+MAX_SOURCE_PEERS = 4_096  # nodes other than the sources that a source knows, and accepts as senders, at once
+MAX_READER_PEERS = 512  # the same at a reader: its children, upstream, spare, and some that have just left
+MIN_WAIT_S, MAX_WAIT_S = 0.001, 60.0  # of the timer
+COMMAND_S = 35.0  # a source answers after 30 s that the outcome of a change is unknown
+POSSESSION_MESSAGES = (c.Beat, c.Committed)  # by which another source knows what this one has
 
 
 def new_incarnation() -> int:
-    """Above that of any process before, as far as the machine's calendar goes forward: milliseconds, and a draw.
+    """A number above that of any process before, as long as the system clock does not go back: milliseconds and a draw.
 
-    Threat: a calendar that was set back. The name's old process is then taken for the newer one, and this one is
-    refused until the old one counts as gone.
+    If the system clock was set back, the old process of this name counts as the newer one, and this process is refused
+    until the old one counts as gone.
     """
     return time.time_ns() // 1_000_000 << 16 | int.from_bytes(os.urandom(2), "big")
 
 
 class ControlNode:
-    """Takes part with `start`, leaves with `stop`. It stands in a gateway where `FleetNode` does without `control`."""
+    """Joins with `start`, leaves with `stop`. Used instead of `FleetNode` where the settings have `control`."""
 
     def __init__(
         self,
@@ -48,18 +49,18 @@
         note: Callable[[str, str], None],
         in_force: Callable[[c.InForce], None] = lambda _: None,
     ) -> None:
-        """`in_force` is told of each scope that moves. Reads the keys: raises `FleetError`."""
+        """Read the keys. `in_force` is called with each new version of a scope. Raises `FleetError`."""
         assert fleet.control is not None
         self._fleet, self._control, self._note, self._in_force = fleet, fleet.control, note, in_force
         self._incarnation = new_incarnation()
         self._seed = seed ^ self._incarnation
-        self._is_source = any(one.name == fleet.node for one in fleet.control.sources)
-        unlisted = MOST_READERS if self._is_source else MOST_CHILDREN
-        told = self._heard, note, self._seed, self._failed, unlisted
-        self._transport = Transport(fleet, self._incarnation, *told)
-        self._store = KeeperStore(fleet, self._said, note)
-        self._kept: ScopeRecords | None = None  # a source's
-        self._others = frozenset(one.name for one in fleet.control.sources) - {fleet.node}
+        sources = frozenset(source.name for source in fleet.control.sources)
+        self._is_source = fleet.node in sources
+        unlisted = MAX_SOURCE_PEERS if self._is_source else MAX_READER_PEERS
+        self._transport = Transport(fleet, self._incarnation, self._received, note, self._seed, self._failed, unlisted)
+        self._store = KeeperStore(fleet, self._send_stored, note)
+        self._scope_records: ScopeRecords | None = None  # only at a source
+        self._other_sources = sources - {fleet.node}
         self._station: Station | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[str]] = {}
@@ -67,20 +68,20 @@
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """What the links did and dropped, by reason."""
+        """What the links did, and what they dropped by reason."""
         return self._transport.counters
 
     @property
     def station(self) -> Station | None:
-        """The cores; None where this process does not take part."""
+        """The cores, None while this process does not take part."""
         return self._station
 
-    # ---- Life ----
+    # ---- Start and stop ----
 
     async def start(self) -> None:
-        """Open the port and the file, and take part.
+        """Open the port and the file, and join the stream.
 
-        Where the own address is taken, another process has this node's name: this one goes on without the stream.
+        If the address is in use, another process has the name of this node, and this one continues without the stream.
         """
         try:
             self._transport.bind()
@@ -89,7 +90,7 @@
             return
         if self._is_source:
             self._store.open()
-            self._kept = ScopeRecords(self._store.records)
+            self._scope_records = ScopeRecords(self._store.records)
         keeper = self._store.keeper(self._seed) if self._fleet.own.keeper else None
         self._station = Station(self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper)
         self._restore(self._station)
@@ -104,7 +105,7 @@
             self._note("control", f"what was on disk is not restored: {error}")
 
     async def stop(self) -> None:
-        """Say that this process leaves, and close."""
+        """Tell the peers that this process leaves, and close."""
         if self._station is not None:
             self._do(self._station.leave(now_us()))
             self._station = None
@@ -116,10 +117,10 @@
         for future in self._tickets.values():
             future.cancel()
 
-    # ---- What the gateway calls ----
+    # ---- Calls of the gateway ----
 
     def seek(self) -> None:
-        """See `FleetNode.seek`: nothing waits for the stream."""
+        """See `FleetNode.seek`. No request waits for the stream."""
 
     def listed(self, members: Mapping[str, str]) -> None:
         """See `FleetNode.listed`."""
@@ -131,20 +132,20 @@
         """See `FleetNode.failed_over`."""
 
     async def word(self, word: str, text: bytes = b"") -> str:
-        """An operator's word, and what to answer: one line, but for the status."""
+        """Carry out an operator's command, and return the reply: one line, except for the status."""
         if word != "control":
             return "no versions in the fleet's settings"
         if self._station is None:
             return "the fleet is off here"
-        asked = read(text)
-        if isinstance(asked, str):
-            return asked
-        if asked is None:
+        command = read(text)
+        if isinstance(command, str):
+            return command
+        if command is None:
             return "\n".join(f"{name}: {text}" for name, text in self.rows())
-        return await self.offer(asked.scope, asked.entries, asked.base)
+        return await self.offer(command.scope, command.entries, command.base)
 
     async def offer(self, scope: str, entries: tuple[c.Entry, ...], base: int = -1) -> str:
-        """Offer a change, made for version `base` (-1: any): what came of it, in one line."""
+        """Offer a change that was made for version `base` (-1: any), and return its outcome in one line."""
         if self._station is None:
             return "refused: the fleet is off here"
         self._last_ticket += 1
@@ -152,7 +153,7 @@
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._tickets[ticket] = future
         try:
-            async with asyncio.timeout(WORD_S):
+            async with asyncio.timeout(COMMAND_S):
                 self._do(self._station.offer(ticket, scope, entries, base, now_us()))
                 return await future
         except TimeoutError:
@@ -161,16 +162,16 @@
             self._tickets.pop(ticket, None)
 
     def rows(self) -> list[tuple[str, str]]:
-        """For operators."""
+        """Status rows for operators."""
         if self._station is None:
             return [("node", "off")]
-        dropped = dict(self.counters) | {f"dropped_{name}": n for name, n in self._station.dropped.items()}
-        links = ("links", " ".join(f"{name}={n}" for name, n in sorted(dropped.items())))
+        counts = dict(self.counters) | {f"dropped_{name}": count for name, count in self._station.dropped.items()}
+        links = ("links", " ".join(f"{name}={count}" for name, count in sorted(counts.items())))
         return [("node", self._fleet.node), *self._store.rows(self._station.rows(now_us())), links]
 
-    # ---- Between station and sockets ----
+    # ---- Inputs and effects of the station ----
 
-    def _heard(self, sender: str, message: f.AnyMessage) -> None:
+    def _received(self, sender: str, message: f.AnyMessage) -> None:
         if self._station is not None:
             self._do(self._station.receive(sender, message, now_us()))
 
@@ -178,12 +179,12 @@
         if self._station is not None:
             self._do(self._station.silent(peer, now_us()))
 
-    def _said(self, one: f.Tell) -> None:
-        """What waited for the keeper's file."""
-        if one.to == self._fleet.node:
-            self._heard(one.to, one.message)  # type: ignore[arg-type]
+    def _send_stored(self, tell: f.Tell) -> None:
+        """Send a message that waited for the keeper's file."""
+        if tell.to == self._fleet.node:
+            self._received(tell.to, tell.message)  # type: ignore[arg-type]
         else:
-            self._transport.send(one.to, one.message)
+            self._transport.send(tell.to, tell.message)
 
     def _tick(self) -> None:
         self._timer = None
@@ -191,28 +192,34 @@
             self._do(self._station.tick(now_us()))
 
     def _do(self, effects: list[f.Effect]) -> None:
-        """Carry out, in order."""
-        for one in effects:
-            if isinstance(one, f.Tell) and self._kept and one.to in self._others and isinstance(one.message, HAVE):
-                self._store.keep(f.Keep((), (one,)))
-            elif isinstance(one, f.Tell):
-                self._transport.send(one.to, one.message)
-            elif isinstance(one, f.Keep):
-                self._store.keep(one)
-            elif isinstance(one, c.Known):
-                self._know(one)
-            elif isinstance(one, c.InForce):
-                if self._kept is not None:
-                    self._store.store(self._kept.rows(one))
-                self._in_force(one)
-            elif isinstance(one, f.Note):
-                self._note(one.event, one.text)
-            elif isinstance(one, f.Replied):
-                future = self._tickets.get(one.ticket)
+        """Carry out effects, in order."""
+        for effect in effects:
+            if isinstance(effect, f.Tell):
+                if self._must_wait(effect):
+                    self._store.keep(f.Keep((), (effect,)))
+                else:
+                    self._transport.send(effect.to, effect.message)
+            elif isinstance(effect, f.Keep):
+                self._store.keep(effect)
+            elif isinstance(effect, c.Known):
+                self._know(effect)
+            elif isinstance(effect, c.InForce):
+                if self._scope_records is not None:
+                    self._store.store(self._scope_records.rows(effect))
+                self._in_force(effect)
+            elif isinstance(effect, f.Note):
+                self._note(effect.event, effect.text)
+            elif isinstance(effect, f.Replied):
+                future = self._tickets.get(effect.ticket)
                 if future is not None and not future.done():
-                    future.set_result(one.text)
+                    future.set_result(effect.text)
         self._set_timer()
 
+    def _must_wait(self, tell: f.Tell) -> bool:
+        """Whether the message tells another source what this one has, which must be on disk first."""
+        is_to_source = self._scope_records is not None and tell.to in self._other_sources
+        return is_to_source and isinstance(tell.message, POSSESSION_MESSAGES)
+
     def _know(self, known: c.Known) -> None:
         if known.forget:
             self._transport.forget(known.place.name)
@@ -225,5 +232,5 @@
             self._timer = None
         if self._station is not None:
             wait_s = (self._station.due_us - now_us()) / 1e6
-            wait_s = min(LONGEST_WAIT_S, max(LEAST_WAIT_S, wait_s))
+            wait_s = min(MAX_WAIT_S, max(MIN_WAIT_S, wait_s))
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
--- a/oatlink/fleet/shell/files.py
+++ b/oatlink/fleet/shell/files.py
@@ -1,8 +1,8 @@
-"""How the keeper's file comes about in its directory, and how it is found there.
+"""Creates a keeper's file in its directory, and opens an existing one.
 
-What may live here: the order of making, naming and syncing. A new file is whole and on disk before it has its name, so
-under that name there is never half a one. A directory belongs to one process at a time: it is locked, and not the file,
-because the file is at times replaced.
+The order of creating, renaming and syncing matters. A new file is complete and durable before it gets its name, so
+there is never an incomplete file under that name. A directory belongs to one process at a time. The lock is on the
+directory and not on the file, because the file is replaced from time to time.
 """
 
 import contextlib
@@ -17,55 +17,57 @@
 
 NAME, NEW = "keeper.journal", "keeper.journal.new"
 FIRST_SERIAL = 1
-MOST_BYTES = 1 << 30  # of a file that is read whole: far more than what is ever written
+MAX_FILE_BYTES = 1 << 30  # of a file, which is read as a whole: far more than is ever written
 
 
-def find(disk: Disk, place: str, node: str, life_if_new: int) -> tuple[int, int, History, bool]:
-    """Handles of a directory, locked, and of the file in it; what the file holds; whether it was made just now.
+def open_or_create(disk: Disk, directory: str, node: str, life_if_new: int) -> tuple[int, int, History, bool]:
+    """Lock the directory and open the file in it, creating both if they do not exist.
 
-    Raises `FleetError`.
+    Returns the handles of the directory and of the file, the content of the file, and whether the file is new. Raises
+    `FleetError`.
     """
-    path = os.path.join(place, NAME)
+    path = os.path.join(directory, NAME)
     with contextlib.ExitStack() as undo:
         try:
             with contextlib.suppress(FileExistsError):
-                os.mkdir(place, 0o700)
-            folder = os.open(place, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+                os.mkdir(directory, 0o700)
+            folder = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             undo.callback(os.close, folder)
             try:
                 fcntl.flock(folder, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                raise FleetError(f"{place}: expected a directory of its own, another process uses it") from None
+                raise FleetError(f"{directory}: expected a directory of its own, another process uses it") from None
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(os.path.join(place, NEW))  # a making that did not come to its end
+                os.unlink(os.path.join(directory, NEW))  # left by a process that ended while creating it
             is_new = not os.path.lexists(path)
             if is_new:
-                _sync_parent(disk, place)
-                os.close(make(disk, place, node, life_if_new, [])[0])
-                disk.rename(os.path.join(place, NEW), path)
-            disk.sync(folder)  # a process may have fallen between a rename and this
+                _sync_parent(disk, directory)
+                os.close(create(disk, directory, node, life_if_new, [])[0])
+                disk.rename(os.path.join(directory, NEW), path)
+            disk.sync(folder)  # a process may have crashed between a rename and this
             handle = os.open(path, os.O_RDWR | os.O_CLOEXEC)
             undo.callback(os.close, handle)
-            found = replay(_read(handle), node)
-            # What was whole but not answered for is taken, and the next answers may rest on it: mark it first.
-            disk.cut(handle, found.end)
+            history = replay(_read(handle), node)
+            # Complete records that were never promised are used too, and the next promises may depend on them: they get
+            # a mark first.
+            disk.cut(handle, history.end)
             disk.sync(handle)
-            found = msgspec.structs.replace(found, serial=found.serial + 1)
-            disk.write(handle, *mark(found.serial, found.end))
+            history = msgspec.structs.replace(history, serial=history.serial + 1)
+            disk.write(handle, *mark(history.serial, history.end))
             disk.sync(handle)
         except DamageError as damage:
             raise FleetError(f"{path}: {damage}; this keeper cannot vote") from None
         except OSError as error:
             raise FleetError(f"{path}: {error.strerror or error}") from None
         undo.pop_all()
-    return folder, handle, found, is_new
+    return folder, handle, history, is_new
 
 
-def make(disk: Disk, place: str, node: str, life: int, rows: list[Row]) -> tuple[int, int, int]:
-    """A whole file beside the one in use: its handle, its end, and the checksum of its last record."""
+def create(disk: Disk, directory: str, node: str, life: int, rows: list[Row]) -> tuple[int, int, int]:
+    """Create a complete file beside the one in use: its handle, its end, and the checksum of its last record."""
     data, chain = frames(rows, first_chain(node, life))
     end = BEGIN + len(data)
-    handle = disk.make(os.path.join(place, NEW))
+    handle = disk.make(os.path.join(directory, NEW))
     try:
         disk.write(handle, 0, head(node, life).ljust(BEGIN, b"\0"))
         disk.write(handle, BEGIN, data)
@@ -78,8 +80,8 @@
     return handle, end, chain
 
 
-def _sync_parent(disk: Disk, place: str) -> None:
-    parent = os.open(os.path.dirname(os.path.abspath(place)), os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def _sync_parent(disk: Disk, directory: str) -> None:
+    parent = os.open(os.path.dirname(os.path.abspath(directory)), os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         disk.sync(parent)
     finally:
@@ -87,8 +89,8 @@
 
 
 def _read(handle: int) -> bytes:
-    if os.fstat(handle).st_size > MOST_BYTES:
-        raise DamageError(f"expected at most {MOST_BYTES} bytes")
+    if os.fstat(handle).st_size > MAX_FILE_BYTES:
+        raise DamageError(f"expected at most {MAX_FILE_BYTES} bytes")
     parts = []
     while piece := os.read(handle, 1 << 20):
         parts.append(piece)
--- a/oatlink/fleet/shell/history.py
+++ b/oatlink/fleet/shell/history.py
@@ -1,23 +1,25 @@
-"""The form of the keeper's file, and what a file found on disk still proves. No I/O.
-
-The file: a block with magic, form, the node's name and `life` (a number drawn when the file was made); two blocks with
-marks; then records, only ever added, each chained to the one before by its checksum.
-
-A *mark* (serial, end) says that all up to `end` is on disk. It is written after the records before it are surely
-there, and nothing is answered before the mark is surely there too. Marks take turns in their two blocks, so that one
-half written leaves the other.
-
-Hence what `replay` can tell apart:
-- records before the newest mark were promised: anything wrong there, the last of them included, a file that ends too
-  early, or another node's file, is damage, and is refused;
-- records after it were never answered for: the whole ones are taken, from the first that is not whole on all is torn,
-  and cut off;
-- one mark that cannot be read was being written when the node fell, and the records it speaks of were on disk by then.
-  So all to the end of the file must be whole; where it is not, the file is refused. Two such marks are refused.
-
-What it cannot tell: a whole older copy of the file, put in its place, or a disk that says that it has written and has
-not, for the records and their mark alike (who holds a `life` and a fence of others may notice); and a mark damaged in
-the same way as the promised end was lost, at the bound of a record.
+"""The format of a keeper's file, and what can be recovered from a file found on disk. No I/O.
+
+A file consists of a block with magic, format, the node's name and its `life` (a random number drawn when the file is
+created), two blocks with marks, and then records. Records are only appended, and each is chained to the one before by
+its checksum.
+
+A *mark* (serial, end) states that everything up to `end` is on disk. It is written after the records before it are
+durable, and no message that depends on these records is sent before the mark is durable too. Marks alternate between
+their two blocks, so that a torn mark leaves the other one intact.
+
+From this `replay` can distinguish:
+- Records before the newest mark were promised to other nodes. Any error there, including the last record, a file that
+  ends too early and a file of another node, is damage, and the file is refused.
+- Records after it were never promised. Complete ones are used. From the first incomplete record on, the rest is torn
+  and is cut off.
+- A single unreadable mark was being written when the node crashed, and the records it covers were on disk by then. So
+  everything to the end of the file must be complete, otherwise the file is refused. Two unreadable marks are refused.
+
+It cannot detect an older complete copy of the file that was put in its place, nor a disk that reports a write as done
+when it is not, for the records and for their mark (other nodes that know a `life` and a fence may notice). Nor can it
+detect that a mark is damaged and the file has lost its promised end at the same time, exactly at the boundary of a
+record.
 """
 
 import struct
@@ -27,21 +29,21 @@
 
 MAGIC = b"OATKEEP\n"
 FORM = 1
-BLOCK = 4_096  # one that is half written leaves the others
-BEGIN = 3 * BLOCK  # where records begin
-MOST_RECORD = 1 << 20  # bytes
+BLOCK = 4_096  # bytes; a torn block leaves the others intact
+BEGIN = 3 * BLOCK  # offset of the first record
+MAX_RECORD_BYTES = 1 << 20
 
-_head = struct.Struct(">8sII")
-_mark = struct.Struct(">QQQ")  # serial, end, checksum of both
-_frame = struct.Struct(">IQ")  # length, checksum of the one before, the length and the record
+_head_format = struct.Struct(">8sII")
+_mark_format = struct.Struct(">QQQ")  # serial, end, checksum of both
+_frame_format = struct.Struct(">IQ")  # length, checksum over the previous checksum, the length and the record
 
 
 class DamageError(Exception):
-    """A file that must not be taken for what was promised; the text says what was expected."""
+    """The file may lack something that was promised. The text tells what was expected."""
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One record: the newest of a kind and key holds."""
+    """One record. The newest record of a kind and key replaces the older ones."""
 
     kind: str
     key: str
@@ -54,7 +56,7 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """What a file holds: the newest payload by kind and key, where its whole records end, and its newest mark."""
+    """The content of a file: the newest payload by kind and key, the end of its complete records, its newest mark."""
 
     life: int
     rows: dict[tuple[str, str], bytes]
@@ -63,28 +65,28 @@
     serial: int
 
 
-_rows = msgspec.msgpack.Decoder(Row)
-_owners = msgspec.msgpack.Decoder(_Owner)
+_row_decoder = msgspec.msgpack.Decoder(Row)
+_owner_decoder = msgspec.msgpack.Decoder(_Owner)
 
 
 def head(node: str, life: int) -> bytes:
-    """The first block."""
+    """The first block of a file."""
     owner = msgspec.msgpack.encode(_Owner(node, life))
-    block = (_head.pack(MAGIC, FORM, len(owner)) + owner).ljust(BLOCK - 8, b"\0")
+    block = (_head_format.pack(MAGIC, FORM, len(owner)) + owner).ljust(BLOCK - 8, b"\0")
     return block + struct.pack(">Q", xxhash.xxh64_intdigest(block))
 
 
 def first_chain(node: str, life: int) -> int:
-    """What the first record is chained to."""
+    """The checksum that the first record is chained to."""
     return int(xxhash.xxh64_intdigest(head(node, life)))
 
 
 def mark(serial: int, end: int) -> tuple[int, bytes]:
-    """Where a mark stands, and its bytes."""
-    return BLOCK * (1 + serial % 2), _mark.pack(serial, end, _sum_of_mark(serial, end))
+    """The offset of a mark, and its bytes."""
+    return BLOCK * (1 + serial % 2), _mark_format.pack(serial, end, _mark_checksum(serial, end))
 
 
-def _sum_of_mark(serial: int, end: int) -> int:
+def _mark_checksum(serial: int, end: int) -> int:
     return int(xxhash.xxh64_intdigest(struct.pack(">QQ", serial, end), seed=1))
 
 
@@ -93,44 +95,44 @@
     parts = []
     for row in rows:
         body = msgspec.msgpack.encode(row)
-        chain = _sum_of(body, chain)
-        parts.append(_frame.pack(len(body), chain) + body)
+        chain = _checksum(body, chain)
+        parts.append(_frame_format.pack(len(body), chain) + body)
     return b"".join(parts), chain
 
 
-def _sum_of(body: bytes | memoryview, chain: int) -> int:
-    one = xxhash.xxh64(struct.pack(">QI", chain, len(body)))
-    one.update(body)
-    return int(one.intdigest())
+def _checksum(body: bytes | memoryview, chain: int) -> int:
+    checksum = xxhash.xxh64(struct.pack(">QI", chain, len(body)))
+    checksum.update(body)
+    return int(checksum.intdigest())
 
 
 def replay(data: bytes, node: str) -> History:
-    """What a file's bytes prove. Raises `DamageError`."""
-    life = _life(data, node)
-    serial, promised, both = _newest_mark(data)
+    """The content that the bytes of a file prove. Raises `DamageError`."""
+    life = _life_of(data, node)
+    serial, promised, are_both_readable = _newest_mark(data)
     if len(data) < promised:
         raise DamageError(f"expected {promised} bytes that were promised, got {len(data)}")
     rows: dict[tuple[str, str], bytes] = {}
-    at, chain, view = BEGIN, first_chain(node, life), memoryview(data)
-    while (found := _next(view, at, chain)) is not None:
-        row, at, chain = found
+    offset, chain, view = BEGIN, first_chain(node, life), memoryview(data)
+    while (record := _next_record(view, offset, chain)) is not None:
+        row, offset, chain = record
         rows[row.kind, row.key] = row.payload
-    if at < promised:
-        raise DamageError(f"byte {at}: expected a record that was promised, got damage")
-    if not both and at < len(data):
-        raise DamageError(f"byte {at}: expected a record, as one of the two marks cannot be read")
-    return History(life, rows, at, chain, serial)
+    if offset < promised:
+        raise DamageError(f"byte {offset}: expected a record that was promised, got damage")
+    if not are_both_readable and offset < len(data):
+        raise DamageError(f"byte {offset}: expected a record, as one of the two marks cannot be read")
+    return History(life, rows, offset, chain, serial)
 
 
-def _life(data: bytes, node: str) -> int:
+def _life_of(data: bytes, node: str) -> int:
     block = data[:BLOCK]
     if len(block) < BLOCK or xxhash.xxh64_intdigest(block[:-8]) != struct.unpack(">Q", block[-8:])[0]:
         raise DamageError("expected a keeper's file, got a damaged one or one of a newer form")
-    magic, form, length = _head.unpack_from(block)
+    magic, form, length = _head_format.unpack_from(block)
     if magic != MAGIC or form != FORM:
         raise DamageError(f"expected a keeper's file of form {FORM}, got form {form}")
     try:
-        owner = _owners.decode(block[_head.size : _head.size + length])
+        owner = _owner_decoder.decode(block[_head_format.size : _head_format.size + length])
     except (msgspec.MsgspecError, ValueError):
         raise DamageError("expected a node's name, got damage") from None
     if owner.node != node:
@@ -139,28 +141,29 @@
 
 
 def _newest_mark(data: bytes) -> tuple[int, int, bool]:
-    """The serial and end of the newest mark, and whether both can be read."""
-    found = []
+    """The serial and end of the newest mark, and whether both marks can be read."""
+    marks = []
     for slot in (1, 2):
-        if len(data) >= BLOCK * slot + _mark.size:
-            serial, end, checksum = _mark.unpack_from(data, BLOCK * slot)
-            if checksum == _sum_of_mark(serial, end) and serial % 2 == slot - 1 and end >= BEGIN:
-                found.append((serial, end))
-    found.sort()
-    if not found or (len(found) == 2 and (found[0][0] + 1 != found[1][0] or found[0][1] > found[1][1])):
+        if len(data) >= BLOCK * slot + _mark_format.size:
+            serial, end, checksum = _mark_format.unpack_from(data, BLOCK * slot)
+            if checksum == _mark_checksum(serial, end) and serial % 2 == slot - 1 and end >= BEGIN:
+                marks.append((serial, end))
+    marks.sort()
+    if not marks or (len(marks) == 2 and (marks[0][0] + 1 != marks[1][0] or marks[0][1] > marks[1][1])):
         raise DamageError("expected two marks of what was promised, got damage")
-    return *found[-1], len(found) == 2
+    return *marks[-1], len(marks) == 2
 
 
-def _next(view: memoryview, at: int, chain: int) -> tuple[Row, int, int] | None:
-    """The record at a place, where the next one is, and its checksum; None where none is whole."""
-    if len(view) - at < _frame.size:
+def _next_record(view: memoryview, offset: int, chain: int) -> tuple[Row, int, int] | None:
+    """The record at an offset, the offset of the next one, and its checksum. None if no record there is complete."""
+    if len(view) - offset < _frame_format.size:
         return None
-    length, checksum = _frame.unpack_from(view, at)
-    body = view[at + _frame.size : at + _frame.size + length]
-    if length > MOST_RECORD or len(body) < length or _sum_of(body, chain) != checksum:
+    length, checksum = _frame_format.unpack_from(view, offset)
+    start = offset + _frame_format.size
+    body = view[start : start + length]
+    if length > MAX_RECORD_BYTES or len(body) < length or _checksum(body, chain) != checksum:
         return None
     try:
-        return _rows.decode(body), at + _frame.size + length, checksum
+        return _row_decoder.decode(body), start + length, checksum
     except (msgspec.MsgspecError, ValueError):
         return None
--- a/oatlink/fleet/shell/journal.py
+++ b/oatlink/fleet/shell/journal.py
@@ -1,16 +1,17 @@
-"""The keeper's file in use: what it must not forget, on disk before anything is answered for it.
+"""The journal of a keeper: what the keeper must not forget is on disk before any message that depends on it is sent.
 
-A record with an empty payload takes the one before it out; it goes itself when the file is made anew.
+A record with an empty payload deletes the one before it, and is dropped itself when the file is compacted.
 
-What may live here: the steps of a commit, who waits for which, and when the file is made anew. A process or a machine
-that falls after any step leaves a file that `history.replay` reads rightly; what is damage and what is torn, and what
-cannot be told apart, stands there.
+This module has the steps of a commit, who waits for which commit, and when the file is compacted. A process or machine
+that crashes after any step leaves a file that `history.replay` reads correctly. That module documents what is damage,
+what is a torn end, and what cannot be distinguished.
 
-A commit is: write the records, sync, write the mark, sync; only then is anybody told. Two syncs, because a mark on disk
-before its records would promise what is not there. One thread writes; what comes meanwhile shares the next commit.
+A commit writes the records, syncs, writes the mark and syncs again. Only then are those who wait notified. There are
+two syncs because a mark that reaches the disk before its records would promise records that are not there. One thread
+writes; records that are added meanwhile share the next commit.
 
-Once a write or a sync has failed nothing more is written: what the disk has then is not known (a second sync may say
-well and mean nothing). The keeper falls silent, and the gateway goes on.
+Once a write or a sync has failed nothing more is written, because it is not known then what the disk holds: a second
+sync may succeed without meaning anything. The keeper stops answering, and the gateway continues.
 """
 
 import asyncio
@@ -28,35 +29,36 @@
 from oatlink.fleet.shell.history import History, Row, frames, mark
 from oatlink.fleet.shell.keys import FleetError
 
-REGISTER = "register"  # the kind of a `Kept`
-STANDING = "standing"  # of the one `Standing`
-COMPACT_BYTES = 1 << 20
-COMPACT_TIMES = 4  # the size of what is live
-CLOSE_S = 1.0  # for a write under way at the end
+REGISTER = "register"  # kind of the records of a `Kept`
+STANDING = "standing"  # kind of the one record of the `Standing`
+COMPACT_BYTES = 1 << 20  # smaller files are not compacted
+COMPACT_FACTOR = 4  # compact when the file is this many times the size of its live records
+CLOSE_S = 1.0  # for a write in progress at the end
+ROW_OVERHEAD_BYTES = 24  # of a record in the file, beside its kind, key and payload
 
 Records = dict[tuple[str, str], bytes]
 
 
-def row_of(one: Kept) -> Row:
-    """A register as a record."""
-    return Row(REGISTER, one.key, msgspec.msgpack.encode(one))
+def row_of(register: Kept) -> Row:
+    """The record of a register."""
+    return Row(REGISTER, register.key, msgspec.msgpack.encode(register))
 
 
 def kept_in(records: Records) -> tuple[Kept, ...]:
-    """The registers among records. Raises `FleetError`."""
+    """The registers in a set of records. Raises `FleetError`."""
     try:
         return tuple(msgspec.msgpack.decode(body, type=Kept) for (kind, _), body in records.items() if kind == REGISTER)
     except (msgspec.MsgspecError, ValueError) as error:
         raise FleetError(f"{NAME}: expected registers that this version knows: {error}") from None
 
 
-def row_of_standing(one: Standing) -> Row:
-    """What the keeper is, as a record."""
-    return Row(STANDING, "", msgspec.msgpack.encode(one))
+def row_of_standing(standing: Standing) -> Row:
+    """The record of the state that a keeper stores about itself."""
+    return Row(STANDING, "", msgspec.msgpack.encode(standing))
 
 
 def standing_in(records: Records) -> Standing | None:
-    """What the keeper is among records; None where it never said so. Raises `FleetError`."""
+    """The keeper's state about itself in a set of records, None if it was never stored. Raises `FleetError`."""
     body = records.get((STANDING, ""))
     try:
         return None if body is None else msgspec.msgpack.decode(body, type=Standing)
@@ -64,54 +66,55 @@
         raise FleetError(f"{NAME}: expected a standing that this version knows: {error}") from None
 
 
-def _size(row: Row) -> int:
-    return 24 + len(row.kind) + len(row.key) + len(row.payload)
+def _row_bytes(row: Row) -> int:
+    return ROW_OVERHEAD_BYTES + len(row.kind) + len(row.key) + len(row.payload)
 
 
 class Journal:
-    """One keeper's file, open and locked. Its methods belong to the loop's thread."""
+    """The open and locked file of one keeper. Its methods are called on the thread of the event loop."""
 
-    def __init__(self, place: str, node: str, folder: int, handle: int, found: History, disk: Disk) -> None:
-        self.broken = ""  # why nothing can be committed any more
-        self._place, self._node, self._life = place, node, found.life
+    def __init__(self, directory: str, node: str, folder: int, handle: int, history: History, disk: Disk) -> None:
+        self.broken = ""  # why nothing can be committed any more; empty while it can
+        self._directory, self._node, self._life = directory, node, history.life
         self._folder, self._disk = folder, disk
         self._pool = ThreadPoolExecutor(1, "fleet-journal")
         self._pending: list[Row] = []
-        self._waiting: list[asyncio.Future[None]] = []  # for what is pending
+        self._waiting: list[asyncio.Future[None]] = []  # for the commit of what is pending
         self._task: asyncio.Task[None] | None = None
-        # What follows is the writing thread's, while it writes.
+        # The writing thread owns the following attributes while it writes.
         self._handle = handle
-        self._end, self._chain, self._serial = found.end, found.chain, found.serial
-        self._live = {key: Row(*key, payload) for key, payload in found.rows.items() if payload}
-        self._live_size = sum(_size(row) for row in self._live.values())
-        self._compact_at = COMPACT_BYTES
+        self._end, self._chain, self._serial = history.end, history.chain, history.serial
+        self._live = {key: Row(*key, payload) for key, payload in history.rows.items() if payload}
+        self._live_bytes = sum(_row_bytes(row) for row in self._live.values())
+        self._compact_at_bytes = COMPACT_BYTES
 
-    # ---- Beginning and end ----
+    # ---- Opening and closing ----
 
     @classmethod
     def open(
-        cls, place: str, node: str, life_if_new: int, disk: Disk | None = None
+        cls, directory: str, node: str, life_if_new: int, disk: Disk | None = None
     ) -> tuple["Journal", Records, int, bool]:
-        """The journal in a directory, its newest records, its life, and whether it was made just now.
+        """The journal in a directory, its newest records, its life, and whether it is new.
 
-        Blocks. `life_if_new` is under 2**63; the directory's parent must be there. Raises `FleetError`, one line, where
-        the file may lack what was promised: then this keeper must not vote.
+        Blocks. `life_if_new` is below 2**63, and the parent of the directory must exist. Raises `FleetError`, with one
+        line, if the file may lack something that was promised: this keeper must not vote then.
         """
         disk = disk or Disk()
-        folder, handle, found, is_new = files.find(disk, place, node, life_if_new)
-        return cls(place, node, folder, handle, found, disk), dict(found.rows), found.life, is_new
+        folder, handle, history, is_new = files.open_or_create(disk, directory, node, life_if_new)
+        journal = cls(directory, node, folder, handle, history, disk)
+        return journal, dict(history.rows), history.life, is_new
 
     async def close(self) -> None:
-        """End after the commit that is under way, or after `CLOSE_S` where the disk does not come back. Idempotent.
+        """Close after the commit in progress, or after `CLOSE_S` if the disk does not respond. Idempotent.
 
-        Where it does not, the interpreter will wait for the writing thread at its own end.
+        If it does not respond, the interpreter waits for the writing thread when it exits.
         """
         if self._task is not None:
             await asyncio.wait({self._task}, timeout=CLOSE_S)
-        stuck = self._task is not None
+        is_stuck = self._task is not None
         self._break("closed")
         self._pool.shutdown(wait=False)
-        if self._handle >= 0 and not stuck:  # what the thread still uses is left to the end of the process
+        if self._handle >= 0 and not is_stuck:  # handles that the thread still uses are closed when the process exits
             os.close(self._handle)
             os.close(self._folder)
             self._handle = -1
@@ -119,12 +122,12 @@
     # ---- Adding ----
 
     def append(self, rows: Iterable[Row]) -> None:
-        """Records for the next commit; the newest of a kind and key holds. A record is under 1 MiB."""
+        """Add records to the next commit. The newest record of a kind and key counts. A record is below 1 MiB."""
         if not self.broken:
             self._pending += rows
 
     async def commit(self) -> None:
-        """Return once all that was appended before is surely on disk. Raises `FleetError` where it may never be.
+        """Return once all that was appended before is durable. Raises `FleetError` if it may never be.
 
         Calls return in the order in which they were made.
         """
@@ -137,21 +140,21 @@
         await future
 
     async def _work(self) -> None:
-        """Commit after commit, while anybody waits for one."""
+        """Commit repeatedly, while anyone waits for a commit."""
         loop = asyncio.get_running_loop()
-        told: list[asyncio.Future[None]] = []
+        waiting: list[asyncio.Future[None]] = []
         try:
             while self._waiting:
                 rows, self._pending = self._pending, []
-                told, self._waiting = self._waiting, []
+                waiting, self._waiting = self._waiting, []
                 await loop.run_in_executor(self._pool, self._add, rows)
-                for future in told:
+                for future in waiting:
                     if not future.done():
                         future.set_result(None)
-                if self._end > max(self._compact_at, COMPACT_TIMES * self._live_size):
+                if self._end > max(self._compact_at_bytes, COMPACT_FACTOR * self._live_bytes):
                     await loop.run_in_executor(self._pool, self._compact)
         except BaseException as error:
-            self._waiting = told + self._waiting
+            self._waiting = waiting + self._waiting
             self._break(getattr(error, "strerror", None) or repr(error))
             if not isinstance(error, Exception):
                 raise
@@ -159,7 +162,7 @@
             self._task = None
 
     def _break(self, why: str) -> None:
-        self.broken = self.broken or f"{os.path.join(self._place, NAME)}: {why}; nothing more is kept here"
+        self.broken = self.broken or f"{os.path.join(self._directory, NAME)}: {why}; nothing more is kept here"
         for future in self._waiting:
             if not future.done():
                 future.set_exception(FleetError(self.broken))
@@ -179,28 +182,29 @@
         self._end, self._chain, self._serial = end, chain, serial
         for row in rows:
             old = self._live.pop((row.kind, row.key), None)
-            self._live_size -= _size(old) if old is not None else 0
+            self._live_bytes -= _row_bytes(old) if old is not None else 0
             if row.payload:
-                self._live_size += _size(row)
+                self._live_bytes += _row_bytes(row)
                 self._live[row.kind, row.key] = row
 
     def _compact(self) -> None:
-        """Make the file anew from what is live. Where that fails before the old one is gone, it goes on as it is."""
-        new = os.path.join(self._place, NEW)
+        """Replace the file with a new one of the live records. If creating that fails, the old one stays in use."""
+        new = os.path.join(self._directory, NEW)
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(new)
-            handle, end, chain = files.make(self._disk, self._place, self._node, self._life, list(self._live.values()))
+            rows = list(self._live.values())
+            handle, end, chain = files.create(self._disk, self._directory, self._node, self._life, rows)
         except OSError:
             with contextlib.suppress(OSError):
                 os.unlink(new)
-            self._compact_at = 2 * self._end
+            self._compact_at_bytes = 2 * self._end
             return
         try:
-            self._disk.rename(new, os.path.join(self._place, NAME))
+            self._disk.rename(new, os.path.join(self._directory, NAME))
             self._disk.sync(self._folder)
         finally:
             old, self._handle = self._handle, handle
             os.close(old)
         self._end, self._chain, self._serial = end, chain, files.FIRST_SERIAL
-        self._compact_at = COMPACT_BYTES
+        self._compact_at_bytes = COMPACT_BYTES
--- a/oatlink/fleet/shell/node.py
+++ b/oatlink/fleet/shell/node.py
@@ -1,6 +1,6 @@
-"""The one object that a gateway holds of its fleet: sockets, the keeper's file and the clock around `fleet.node.Node`.
+"""The fleet side of a gateway: sockets, the keeper's file and the clock around `fleet.node.Node`.
 
-It decides nothing: what comes is handed to the node, what the node asks for is carried out in order.
+It makes no decisions: inputs are handed to the node, and the effects that the node returns are carried out in order.
 """
 
 import asyncio
@@ -16,9 +16,12 @@
 from oatlink.gateway.clock import now_us
 from oatlink.settings.fleet import Fleet
 
-LOOK_S = 0.1  # how often the gate's demands are looked at
-LEAVE_S = 1.3  # at an orderly end: a grant's term and a round trip
-WORD_S = 8.0  # an operator waits so long at most
+POLL_S = 0.1  # how often the demands of the gate are read
+LEAVE_S = 1.3  # at an orderly shutdown: the term of a grant and a round trip
+LEAVE_POLL_S = 0.02
+RELEASE_S = 0.05  # for the last round trip of a release
+MIN_TIMER_US = 1_000
+COMMAND_S = 8.0  # how long an operator waits for an answer at most
 
 
 class FleetNode:
@@ -37,32 +40,35 @@
         primary: Callable[[str], Primary | None],
         note: Callable[[str, str], None],
     ) -> None:
-        """`demands`, `busy`, `primary` ask the gateway; `tell` hands it news. Reads the keys: raises `FleetError`."""
+        """Read the keys. Raises `FleetError`.
+
+        `demands`, `busy` and `primary` query the gateway, and `tell` gives it news.
+        """
         self._fleet, self._members, self._longest_us = fleet, members, longest_deadline_us
         self._demands, self._busy, self._tell, self._primary, self._note = demands, busy, tell, primary, note
         self._incarnation = int.from_bytes(os.urandom(6), "big")
         self._seed = seed ^ self._incarnation
-        self._transport = Transport(fleet, self._incarnation, self._heard, note, self._seed)
-        self._store = KeeperStore(fleet, self._said, note)
+        self._transport = Transport(fleet, self._incarnation, self._received, note, self._seed)
+        self._store = KeeperStore(fleet, self._send_stored, note)
         self._node: Node | None = None
-        self._errands: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._look: asyncio.TimerHandle | None = None
+        self._poll_timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[str]] = {}
         self._last_ticket = 0
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """What the links did and dropped, by reason."""
+        """What the links did, and what they dropped by reason."""
         return self._transport.counters
 
-    # ---- Life ----
+    # ---- Start and stop ----
 
     async def start(self) -> None:
-        """Open the port and the file, and take part.
+        """Open the port and the file, and join the fleet.
 
-        Where the own address is taken, another process has this node's name: the gateway serves without a share of
-        anything. Where the file cannot be used the node takes part and keeps nothing.
+        If the address is in use, another process has the name of this node, and the gateway serves without a share of
+        any limit. If the file cannot be used, the node takes part but does not act as a keeper.
         """
         try:
             self._transport.bind()
@@ -82,22 +88,22 @@
             self._store.keeper(self._seed) if self._fleet.own.keeper else None,
         )
         self._transport.start()
-        self._looked()
+        self._poll()
 
     async def stop(self) -> None:
-        """Give back what is held, for `LEAVE_S` at most, and close."""
-        for timer in (self._look, self._timer):
+        """Return grants and leases, for `LEAVE_S` at most, and close."""
+        for timer in (self._poll_timer, self._timer):
             if timer is not None:
                 timer.cancel()
         if self._node is not None:
             self._do(self._node.leave(now_us()))
             end_us = now_us() + int(LEAVE_S * 1e6)
             while not self._node.gone(now_us()) and now_us() < end_us:
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(LEAVE_POLL_S)
                 self._do(self._node.tick((), (), now_us()))
-            await asyncio.sleep(0.05)  # the last round trip of a release
+            await asyncio.sleep(RELEASE_S)
             self._node = None
-        for task in self._errands:
+        for task in self._tasks:
             task.cancel()
         self._store.stop()
         await self._transport.close()
@@ -105,30 +111,30 @@
         for future in self._tickets.values():
             future.cancel()
 
-    # ---- What the gateway calls ----
+    # ---- Calls of the gateway ----
 
     def seek(self) -> None:
-        """A request waits for the fleet's word."""
+        """A request waits for a grant of the fleet: ask for it now."""
         if self._node is not None:
             self._tick()
 
     def listed(self, members: Mapping[str, str]) -> None:
-        """Discovery has spoken: members and their banks."""
+        """Discovery has reported the members and their banks."""
         if self._node is not None:
             self._do(self._node.listed(members, now_us()))
 
     def saw(self, member: str, kind: str, history: str = "", offset: int = -1) -> None:
-        """The gateway saw something of a member."""
+        """The gateway has observed an event of a member."""
         if self._node is not None:
             self._do(self._node.saw(member, kind, history, offset, now_us()))
 
     def failed_over(self, bank: str) -> None:
-        """The gateway saw another primary in a bank."""
+        """The gateway has observed another primary in a bank."""
         if self._node is not None:
             self._do(self._node.failed_over(bank, now_us()))
 
     async def word(self, word: str, text: bytes = b"") -> str:
-        """An operator's word about versions, and what to answer."""
+        """Carry out an operator's command about versions, and return the reply."""
         if word == "control":
             return "no control in the fleet's settings"
         if self._node is None:
@@ -137,7 +143,7 @@
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self._tickets[self._last_ticket] = future
         try:
-            async with asyncio.timeout(WORD_S):
+            async with asyncio.timeout(COMMAND_S):
                 self._do(self._node.word(word, self._last_ticket, text, now_us()))
                 return await future
         except TimeoutError:
@@ -146,21 +152,21 @@
             self._tickets.pop(self._last_ticket, None)
 
     def rows(self) -> list[tuple[str, str]]:
-        """For operators."""
+        """Status rows for operators."""
         if self._node is None:
             return [("node", "off")]
-        up = [one.name for one in self._fleet.nodes if self._transport.up(one.name)]
+        up = [node.name for node in self._fleet.nodes if self._transport.up(node.name)]
         links = [("links up", " ".join(up)), ("links", " ".join(f"{k}={v}" for k, v in sorted(self.counters.items())))]
         return self._store.rows(self._node.rows(now_us())) + links
 
-    # ---- Between node and sockets ----
+    # ---- Inputs and effects of the node ----
 
-    def _heard(self, sender: str, message: f.AnyMessage) -> None:
+    def _received(self, sender: str, message: f.AnyMessage) -> None:
         if self._node is not None:
             self._do(self._node.receive(sender, message, now_us()))
 
-    def _looked(self) -> None:
-        self._look = asyncio.get_running_loop().call_later(LOOK_S, self._looked)
+    def _poll(self) -> None:
+        self._poll_timer = asyncio.get_running_loop().call_later(POLL_S, self._poll)
         self._tick()
 
     def _ticked(self) -> None:
@@ -173,24 +179,24 @@
             self._do(self._node.tick(self._demands(now), self._busy(), now))
 
     def _do(self, effects: list[f.Effect]) -> None:
-        """Carry out, in order."""
-        for one in effects:
-            if isinstance(one, f.Tell):
-                self._transport.send(one.to, one.message)
-            elif isinstance(one, f.Keep):
-                self._store.keep(one)
-            elif isinstance(one, f.Tuned):
-                self._tell(one.news)  # type: ignore[arg-type]
-            elif isinstance(one, f.Note):
-                self._note(one.event, one.text)
-            elif isinstance(one, f.Replied):
-                future = self._tickets.get(one.ticket)
+        """Carry out effects, in order."""
+        for effect in effects:
+            if isinstance(effect, f.Tell):
+                self._transport.send(effect.to, effect.message)
+            elif isinstance(effect, f.Keep):
+                self._store.keep(effect)
+            elif isinstance(effect, f.Tuned):
+                self._tell(effect.news)  # type: ignore[arg-type]
+            elif isinstance(effect, f.Note):
+                self._note(effect.event, effect.text)
+            elif isinstance(effect, f.Replied):
+                future = self._tickets.get(effect.ticket)
                 if future is not None and not future.done():
-                    future.set_result(one.text)
-            elif isinstance(one, f.RunStep):
-                self._errand(self._run_step(one))
-            elif isinstance(one, f.AskMarker):
-                self._errand(self._ask_marker(one))
+                    future.set_result(effect.text)
+            elif isinstance(effect, f.RunStep):
+                self._spawn(self._run_step(effect))
+            elif isinstance(effect, f.AskMarker):
+                self._spawn(self._ask_marker(effect))
         if self._node is not None:
             self._set_timer(self._node.due_us)
 
@@ -199,27 +205,27 @@
             self._timer.cancel()
             self._timer = None
         wait_us = due_us - now_us()
-        if wait_us < LOOK_S * 1e6:  # what is due later is seen by the next look
-            self._timer = asyncio.get_running_loop().call_later(max(wait_us, 1_000) / 1e6, self._ticked)
+        if wait_us < POLL_S * 1e6:  # the next poll notices what is due later
+            self._timer = asyncio.get_running_loop().call_later(max(wait_us, MIN_TIMER_US) / 1e6, self._ticked)
 
-    def _said(self, one: f.Tell) -> None:
-        """What waited for the keeper's file."""
-        if one.to == self._fleet.node:
-            self._heard(one.to, one.message)  # type: ignore[arg-type]
+    def _send_stored(self, tell: f.Tell) -> None:
+        """Send a message that waited for the keeper's file."""
+        if tell.to == self._fleet.node:
+            self._received(tell.to, tell.message)  # type: ignore[arg-type]
         else:
-            self._transport.send(one.to, one.message)
+            self._transport.send(tell.to, tell.message)
 
-    def _errand(self, work: Coroutine[None, None, None]) -> None:
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._errands.add(task)
-        task.add_done_callback(self._errands.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _run_step(self, step: f.RunStep) -> None:
         how, history, offset = await run_step(self._primary(step.bank), step)
         if self._node is not None:
             self._do(self._node.ran(step.ask, how, history, offset, now_us()))
 
-    async def _ask_marker(self, asked: f.AskMarker) -> None:
-        number, history, offset = await ask_marker(self._primary(asked.bank), asked)
+    async def _ask_marker(self, query: f.AskMarker) -> None:
+        number, history, offset = await ask_marker(self._primary(query.bank), query)
         if self._node is not None:
-            self._do(self._node.marked(asked.ask, number, history, offset, now_us()))
+            self._do(self._node.marked(query.ask, number, history, offset, now_us()))
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -138,7 +138,7 @@
     elif guard == "both marks":
         monkeypatch.setattr(history, "_newest_mark", lambda data: (*honest(data)[:2], True))
     else:
-        monkeypatch.setattr(history, "_sum_of", lambda body, chain: 5)
+        monkeypatch.setattr(history, "_checksum", lambda body, chain: 5)
     promised = asyncio.run(keep(tmp_path / "s", range(4)))
     data = (tmp_path / "s" / files.NAME).read_bytes()
     assert history.replay(data, "a").rows == promised
