--- a/oatlink/fleet/shell/addresses.py
+++ b/oatlink/fleet/shell/addresses.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from oatlink.fleet.shell.listener import is_dialled
+from oatlink.fleet.shell.listener import may_be_dialled
 from oatlink.settings.fleet import Fleet
 
 
@@ -46,7 +46,7 @@
         """Another node has told the address of this one. Addresses of the settings are kept."""
         if name in self.listed or name == self._node:
             return
-        if not is_dialled(address):
+        if not may_be_dialled(address):
             self._counters["dropped_known"] += 1
             return
         address = self._routes.get(name, address)
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -16,9 +16,9 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.control.station import Station
 from oatlink.fleet.messages import control as c
-from oatlink.fleet.shell.control_commands import mistake_in, read
+from oatlink.fleet.shell.control_commands import find_mistake, parse_command
 from oatlink.fleet.shell.keeper_store import KeeperStore
-from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
+from oatlink.fleet.shell.scope_records import ScopeRecords, scopes_in
 from oatlink.fleet.shell.transport import Transport
 from oatlink.gateway.clock import now_us
 from oatlink.settings.fleet import Fleet
@@ -91,15 +91,17 @@
         if self._is_source:
             self._store.open()
             self._scope_records = ScopeRecords(self._store.records)
-        keeper = self._store.keeper(self._seed) if self._fleet.own.keeper else None
-        self._station = Station(self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper)
+        keeper = self._store.acceptor(self._seed) if self._fleet.own.keeper else None
+        self._station = Station(
+            self._fleet, self._control, self._incarnation, self._seed, find_mistake, now_us(), keeper
+        )
         self._restore(self._station)
         self._transport.start()
         self._tick()
 
     def _restore(self, station: Station) -> None:
         try:
-            for head, entries in found_in(self._store.records):
+            for head, entries in scopes_in(self._store.records):
                 station.restore(head, entries, now_us())
         except (msgspec.MsgspecError, ValueError) as error:
             self._note("control", f"what was on disk is not restored: {error}")
@@ -137,7 +139,7 @@
             return "no versions in the fleet's settings"
         if self._station is None:
             return "the fleet is off here"
-        command = read(text)
+        command = parse_command(text)
         if isinstance(command, str):
             return command
         if command is None:
--- a/oatlink/fleet/shell/inbound.py
+++ b/oatlink/fleet/shell/inbound.py
@@ -19,7 +19,7 @@
         self.owner, self.context = owner, context
         self.name, self.incarnation, self.address = "", 0, ""
         self.nonce = secrets.token_bytes(envelope.NONCE_BYTES)
-        self.heard = context.ticks
+        self.last_heard_tick = context.ticks
         self._seal: envelope.Seal | None = None
         self._reader = envelope.Reader(envelope.MAX_GREETING_BYTES)
         self._accepted = -1  # number of the newest frame
@@ -47,12 +47,12 @@
 
     def _frame(self, frame: bytes) -> None:
         if self._seal is None:
-            self._seal = self.owner.prove(self, frame)
+            self._seal = self.owner.authenticate(self, frame)
             if self._seal is None:
                 self.close()
                 return
             self._reader.max_bytes = self.context.max_frame_bytes
-            self._accepted, self.heard = 0, self.context.ticks
+            self._accepted, self.last_heard_tick = 0, self.context.ticks
             return
         opened = self._seal.open(frame)
         if opened is None:
@@ -67,7 +67,7 @@
             self.context.counters["dropped_gap"] += 1
             self.close()
         else:
-            self._accepted, self.heard = number, self.context.ticks
+            self._accepted, self.last_heard_tick = number, self.context.ticks
             self.context.counters["received"] += 1
             self.context.receive(self.name, body)
 
--- a/oatlink/fleet/shell/inbound_context.py
+++ b/oatlink/fleet/shell/inbound_context.py
@@ -24,7 +24,7 @@
     name: str
     incarnation: int
     nonce: bytes
-    heard: int
+    last_heard_tick: int
     address: str  # where the sender listens by its greeting; empty if it does not tell
 
     def acknowledge(self) -> None:
@@ -39,7 +39,7 @@
 class ConnectionOwner(Protocol):
     """Authenticates connections, and is notified when they end."""
 
-    def prove(self, connection: PeerConnection, frame: bytes) -> envelope.Seal | None:
+    def authenticate(self, connection: PeerConnection, frame: bytes) -> envelope.Seal | None:
         """Check frame 0: the seal of the sender, or None if the connection is to be closed."""
         ...
 
--- a/oatlink/fleet/shell/journal.py
+++ b/oatlink/fleet/shell/journal.py
@@ -39,12 +39,12 @@
 Records = dict[tuple[str, str], bytes]
 
 
-def row_of(register: Kept) -> Row:
+def row_of_register(register: Kept) -> Row:
     """The record of a register."""
     return Row(REGISTER, register.key, msgspec.msgpack.encode(register))
 
 
-def kept_in(records: Records) -> tuple[Kept, ...]:
+def registers_in(records: Records) -> tuple[Kept, ...]:
     """The registers in a set of records. Raises `FleetError`."""
     try:
         return tuple(msgspec.msgpack.decode(body, type=Kept) for (kind, _), body in records.items() if kind == REGISTER)
--- a/oatlink/fleet/shell/keeper_store.py
+++ b/oatlink/fleet/shell/keeper_store.py
@@ -12,7 +12,7 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.registers.acceptor import Acceptor
 from oatlink.fleet.shell.history import Row
-from oatlink.fleet.shell.journal import Journal, Records, kept_in, row_of, row_of_standing, standing_in
+from oatlink.fleet.shell.journal import Journal, Records, registers_in, row_of_register, row_of_standing, standing_in
 from oatlink.fleet.shell.keys import FleetError
 from oatlink.settings.fleet import Fleet
 
@@ -40,7 +40,7 @@
         except (FleetError, OSError) as error:
             self._note("keeper off", str(error))
 
-    def keeper(self, seed: int) -> Acceptor | None:
+    def acceptor(self, seed: int) -> Acceptor | None:
         """The acceptor with the content of the file, None if the file cannot be used. Call it after `open`."""
         fleet = self._fleet
         if self._journal is None:
@@ -48,7 +48,7 @@
         try:
             standing = None if self._new else standing_in(self.records)
             is_trusted = fleet.trust_keeper and standing is None
-            return Acceptor(fleet.node, fleet.keepers, kept_in(self.records), standing, seed, is_trusted)
+            return Acceptor(fleet.node, fleet.keepers, registers_in(self.records), standing, seed, is_trusted)
         except FleetError as error:
             self._note("keeper off", str(error))
             return None
@@ -63,7 +63,7 @@
         if self._journal is None or self.silent:
             return
         self._keeps.append(keep)
-        self._journal.append(row_of(register) for register in keep.registers)
+        self._journal.append(row_of_register(register) for register in keep.registers)
         if keep.standing is not None:
             self._journal.append([row_of_standing(keep.standing)])
         if self._commit_task is None:
--- a/oatlink/fleet/shell/listener.py
+++ b/oatlink/fleet/shell/listener.py
@@ -30,7 +30,7 @@
 SILENT_TICKS = 180  # 45 s: the other end would have closed the connection long ago
 
 
-def is_dialled(address: str) -> bool:
+def may_be_dialled(address: str) -> bool:
     """Whether an address that a peer has told may be dialled."""
     fits = len(address) <= MAX_GREETED_ADDRESS_LENGTH and address.isascii() and not address.startswith("unix:")
     return fits and address_fits(address)
@@ -121,18 +121,18 @@
     def tick(self) -> None:
         """A quarter of a second has passed."""
         self.context.ticks += 1
-        late = [one for one in self._unproved if self.context.ticks - one.heard > PROVE_TICKS]
+        late = [one for one in self._unproved if self.context.ticks - one.last_heard_tick > PROVE_TICKS]
         for connection in late:
             self.context.counters["dropped_unproved"] += 1
             connection.close()
         for connections in list(self._proved.values()):
             for connection in list(connections):
-                if self.context.ticks - connection.heard > SILENT_TICKS:
+                if self.context.ticks - connection.last_heard_tick > SILENT_TICKS:
                     connection.close()
                 else:
                     connection.acknowledge()
 
-    def prove(self, connection: PeerConnection, frame: bytes) -> envelope.Seal | None:
+    def authenticate(self, connection: PeerConnection, frame: bytes) -> envelope.Seal | None:
         """Check frame 0: the seal of the sender, or None if the connection is to be closed."""
         hello = envelope.read_hello(frame)
         if hello is None:
@@ -171,7 +171,7 @@
             )
             return False
         others = [other for other in peers if other.incarnation != hello.incarnation]
-        if any(self.context.ticks - other.heard <= self._alive_ticks for other in others):
+        if any(self.context.ticks - other.last_heard_tick <= self._alive_ticks for other in others):
             self.refuse("dropped_twice", hello.node, "another process has this name, and is alive")
             return False
         for other in others:  # their process has ended or is silent, so this one has the name from now on
@@ -179,7 +179,7 @@
         if len(peers) >= MAX_CONNECTIONS_PER_PEER:
             peers[0].close()  # the oldest, whose other end may have been closed long ago
         connection.name, connection.incarnation = hello.node, hello.incarnation
-        if is_dialled(hello.address):
+        if may_be_dialled(hello.address):
             connection.address = hello.address
         self._unproved.pop(connection, None)
         if hello.node not in self._proved:
--- a/oatlink/fleet/shell/node.py
+++ b/oatlink/fleet/shell/node.py
@@ -85,7 +85,7 @@
             self._incarnation,
             self._seed,
             now_us(),
-            self._store.keeper(self._seed) if self._fleet.own.keeper else None,
+            self._store.acceptor(self._seed) if self._fleet.own.keeper else None,
         )
         self._transport.start()
         self._poll()
@@ -155,7 +155,7 @@
         """Status rows for operators."""
         if self._node is None:
             return [("node", "off")]
-        up = [node.name for node in self._fleet.nodes if self._transport.up(node.name)]
+        up = [node.name for node in self._fleet.nodes if self._transport.is_up(node.name)]
         links = [("links up", " ".join(up)), ("links", " ".join(f"{k}={v}" for k, v in sorted(self.counters.items())))]
         return self._store.rows(self._node.rows(now_us())) + links
 
--- a/oatlink/fleet/shell/outbound.py
+++ b/oatlink/fleet/shell/outbound.py
@@ -35,7 +35,7 @@
         self._closed = False
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether a message sent now is written at once."""
         return self.connection is not None and self.connection.ready
 
@@ -59,7 +59,7 @@
         while len(self._queue) > MAX_QUEUED_COUNT or self._queued_bytes > MAX_QUEUED_BYTES:
             self._pop()
             self.context.counters["dropped_queue"] += 1
-        if self.up and not self._flush_scheduled:
+        if self.is_up and not self._flush_scheduled:
             # One flush for everything that is sent in this turn of the event loop.
             self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._scheduled_flush)
--- a/oatlink/fleet/shell/scope_records.py
+++ b/oatlink/fleet/shell/scope_records.py
@@ -43,7 +43,7 @@
         return [*rows, Row(HEAD, scope, head)]
 
 
-def found_in(records: Records) -> list[tuple[Head, dict[str, bytes]]]:
+def scopes_in(records: Records) -> list[tuple[Head, dict[str, bytes]]]:
     """The scopes in a set of records whose last version is complete. Raises `ValueError` for an invalid head."""
     scopes: dict[str, tuple[Head, dict[str, bytes]]] = {}
     for (kind, scope), payload in records.items():
--- a/oatlink/fleet/shell/transport.py
+++ b/oatlink/fleet/shell/transport.py
@@ -21,7 +21,7 @@
 from oatlink.fleet.shell.addresses import Addresses
 from oatlink.fleet.shell.inbound_context import InboundContext
 from oatlink.fleet.shell.keys import read_keys
-from oatlink.fleet.shell.listener import Listener, is_dialled
+from oatlink.fleet.shell.listener import Listener, may_be_dialled
 from oatlink.fleet.shell.outbound import OutboundLink
 from oatlink.fleet.shell.outbound_connection import OutboundContext
 from oatlink.settings.fleet import Fleet, fleet_hash
@@ -63,7 +63,7 @@
         self._retired: list[OutboundLink] = []  # links that still have something to send, and get nothing new
         keys, fleet_id = read_keys(fleet.key_files), fleet_hash(fleet)
         random_source = random.Random(f"{seed} {fleet.node}")
-        own_address = self._address if unlisted and is_dialled(self._address) else ""
+        own_address = self._address if unlisted and may_be_dialled(self._address) else ""
         self._outbound = OutboundContext(
             fleet.node,
             incarnation,
@@ -168,9 +168,9 @@
             link = self._links[to] = OutboundLink(self._outbound, to, address)
         link.send(body)
 
-    def up(self, to: str) -> bool:
+    def is_up(self, to: str) -> bool:
         """Whether a message sent to this node now is written at once; False for a name without a link."""
-        return to == self._node or (to in self._links and self._links[to].up)
+        return to == self._node or (to in self._links and self._links[to].is_up)
 
     def _deliver_own(self, message: Message) -> None:
         if not self._closed:
--- a/oatlink/lab/scale/scenarios/twins.py
+++ b/oatlink/lab/scale/scenarios/twins.py
@@ -48,10 +48,10 @@
             one = InboundConnection(self.listener, self.context)
             hello = envelope.Hello(f.VERSION, name, incarnation, HASH, self.context.node)
             frame = envelope.Seal(KEY, one.nonce, name, incarnation).seal(0, envelope.encode(hello))
-            if self.listener.prove(one, frame[envelope.LENGTH_BYTES :]) is None:
+            if self.listener.authenticate(one, frame[envelope.LENGTH_BYTES :]) is None:
                 return False
             link = one, now_us
-        link[0].heard = self.context.ticks
+        link[0].last_heard_tick = self.context.ticks
         self.links[incarnation] = link[0], now_us
         self.lives.add(incarnation)
         return True
--- a/tests/fleet/control/test_shell.py
+++ b/tests/fleet/control/test_shell.py
@@ -11,10 +11,10 @@
 from oatlink.fleet.control.station import Station
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell.control import ControlNode
-from oatlink.fleet.shell.control_commands import SPOKEN, mistake_in
+from oatlink.fleet.shell.control_commands import USAGE, find_mistake
 from oatlink.fleet.shell.history import Row
 from oatlink.fleet.shell.journal import COMPACT_BYTES, Journal, Records
-from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
+from oatlink.fleet.shell.scope_records import ScopeRecords, scopes_in
 from oatlink.settings.fleet import Control, Fleet, FleetNode
 from tests.fleet.life_world import SECRET
 
@@ -33,9 +33,9 @@
     kept = ScopeRecords(records)
     put(records, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
     put(records, kept.rows(version(2, ("a", b""), ("c", b"2"))))
-    assert found_in(records) == [(c.Head("all", 0, 2), {"b": b"1", "c": b"2"})]
+    assert scopes_in(records) == [(c.Head("all", 0, 2), {"b": b"1", "c": b"2"})]
     put(records, ScopeRecords(records).rows(version(9, ("d", b"9"), whole=True)))
-    assert found_in(records) == [(c.Head("all", 0, 9), {"d": b"9"})]
+    assert scopes_in(records) == [(c.Head("all", 0, 9), {"d": b"9"})]
 
 
 def test_half_a_version_on_disk_is_none() -> None:
@@ -46,9 +46,9 @@
     for whole in range(1, len(rows)):
         records = dict(before)
         put(records, rows[:whole])
-        assert found_in(records) == []
+        assert scopes_in(records) == []
     put(before, rows)
-    assert found_in(before) == [(c.Head("all", 0, 2), {"a": b"2", "b": b"2"})]
+    assert scopes_in(before) == [(c.Head("all", 0, 2), {"a": b"2", "b": b"2"})]
 
 
 def test_a_record_taken_out_goes_when_the_file_is_made_anew(tmp_path: Path) -> None:
@@ -87,7 +87,7 @@
         part = fleet(node, folder)
         assert part.control is not None
         one = ControlNode(part, 1, lambda event, text: None)
-        one._station = Station(part, part.control, 1, 1, mistake_in, 0)
+        one._station = Station(part, part.control, 1, 1, find_mistake, 0)
         try:
             said = [word.encode() if isinstance(word, str) else word for word in words]
             return await one.word("control", msgspec.msgpack.encode(said))
@@ -101,9 +101,9 @@
 @pytest.mark.parametrize(
     ("words", "why"),
     [
-        (("PUT", "all", "k"), SPOKEN),
-        (("PUT", "all", "k", "1", "2", "3"), SPOKEN),
-        (("TAKE", "all", "k", "1"), SPOKEN),
+        (("PUT", "all", "k"), USAGE),
+        (("PUT", "all", "k", "1", "2", "3"), USAGE),
+        (("TAKE", "all", "k", "1"), USAGE),
         (("PUT", "all", "k", "1", "-1"), "expected a version's number, got '-1'"),
         (("PUT", "all", "k", "1", "²"), "expected a version's number"),
         (("PUT", "all", b"\xff", "1"), "expected UTF-8"),
@@ -125,15 +125,15 @@
 
 
 def test_a_value_is_json() -> None:
-    assert mistake_in("all", {}, (c.Entry("a", b'{"b": 1}'), c.Entry("c"))) == ""
-    assert mistake_in("all", {}, (c.Entry("a", b"1"), c.Entry("b", b"{"))) == "'b': expected JSON"
+    assert find_mistake("all", {}, (c.Entry("a", b'{"b": 1}'), c.Entry("c"))) == ""
+    assert find_mistake("all", {}, (c.Entry("a", b"1"), c.Entry("b", b"{"))) == "'b': expected JSON"
 
 
 def test_only_sources_are_heard_on_registers() -> None:
     with tempfile.TemporaryDirectory() as folder:
         part = fleet("s0", folder)
     assert part.control is not None
-    one = Station(part, part.control, 1, 1, mistake_in, 0)
+    one = Station(part, part.control, 1, 1, find_mistake, 0)
     for message in (m.Prepare("k", m.Ballot(1, "g", 1)), m.Copy(1), m.Outbid("k", m.Ballot(), m.Ballot(9, "g", 1))):
         assert one.receive("g", message, 0) == []
     assert one.dropped["register"] == 3
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -48,7 +48,7 @@
         one, found, life, is_new = Journal.open(str(place), "a", 7)
         assert (found, life, is_new) == ({}, 7, True)
         kept = Kept("limits/0", Ballot(3, "a", 2**40), Ballot(2, "b", 1), Record(4, "b", b"v" * 8_192))
-        one.append([journal.row_of(kept)])
+        one.append([journal.row_of_register(kept)])
         await one.commit()
         with pytest.raises(FleetError, match="another process"):
             Journal.open(str(place), "a", 8)
@@ -57,7 +57,7 @@
         with pytest.raises(FleetError, match="closed"):
             await one.commit()
         one, found, life, is_new = Journal.open(str(place), "a", 8)
-        assert journal.kept_in(found) == (kept,) and (life, is_new) == (7, False)
+        assert journal.registers_in(found) == (kept,) and (life, is_new) == (7, False)
         await one.close()
         assert stat.S_IMODE((place / files.NAME).stat().st_mode) == 0o600
 
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -22,9 +22,9 @@
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell import files, history
 from oatlink.fleet.shell.history import Row
-from oatlink.fleet.shell.journal import Journal, kept_in, row_of, row_of_standing, standing_in
+from oatlink.fleet.shell.journal import Journal, registers_in, row_of_register, row_of_standing, standing_in
 from oatlink.fleet.shell.keys import read_keys
-from oatlink.fleet.shell.scope_records import ScopeRecords, found_in
+from oatlink.fleet.shell.scope_records import ScopeRecords, scopes_in
 from oatlink.fleet.versions import marker, plan, state
 
 DATA = Path(__file__).parent.parent / "data" / "fleet"
@@ -291,7 +291,7 @@
 
 def register_rows() -> list[list[Row]]:
     return [
-        [row_of(one) if isinstance(one, m.Kept) else row_of_standing(one) for one in commit]
+        [row_of_register(one) if isinstance(one, m.Kept) else row_of_standing(one) for one in commit]
         for commit in REGISTER_COMMITS
     ]
 
@@ -301,7 +301,7 @@
     assert written(tmp_path / "new", "node-a", 31, register_rows()) == (DATA / "registers.journal").read_bytes()
     records, life = opened(tmp_path / "old", "registers.journal", "node-a")
     assert life == 31 and standing_in(records) == REGISTER_COMMITS[-1][0]
-    assert kept_in(records) == REGISTER_COMMITS[2]
+    assert registers_in(records) == REGISTER_COMMITS[2]
     stored = history.replay((DATA / "registers.journal").read_bytes(), "node-a")
     assert history.head("node-a", 31) == (DATA / "registers.journal").read_bytes()[: history.BLOCK]
     # A file that is made begins with a mark, and each opening and each commit adds one.
@@ -334,7 +334,7 @@
                 assert registers.get(effect.key, (0, b""))[0] == effect.fence
                 registers[effect.key] = effect.fence + 1, effect.value
                 record = m.Record(effect.fence + 1, "source-a", effect.value)
-                commits.append([row_of(m.Kept(effect.key, BALLOT, BALLOT, record))])
+                commits.append([row_of_register(m.Kept(effect.key, BALLOT, BALLOT, record))])
             assert isinstance(effect, (m.Change, m.Read))
             how = "changed" if isinstance(effect, m.Change) else "found"
             fence, value = registers.get(effect.key, (0, b""))
@@ -355,8 +355,8 @@
 def test_a_control_log_with_versions_is_read_and_written_as_before(tmp_path: Path) -> None:
     assert written(tmp_path / "new", "source-a", 32, control_rows()) == (DATA / "control.journal").read_bytes()
     records, life = opened(tmp_path / "old", "control.journal", "source-a")
-    assert life == 32 and found_in(records) == [(c.Head("all", 1, 1), {"group/blue": b"7"})]
-    slots = {one.key: decoded(one.record.value) for one in kept_in(records)}
+    assert life == 32 and scopes_in(records) == [(c.Head("all", 1, 1), {"group/blue": b"7"})]
+    slots = {one.key: decoded(one.record.value) for one in registers_in(records)}
     assert slots == {
         "control/all/1": Slot(1, 1, "source-a", 8, 4, (ENTRY,)),
         "control/all/2": Slot(0, 2, "source-a", 8, 2, (c.Entry("group/blue", b"2"), c.Entry("group/green", b"{}"))),
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -131,7 +131,7 @@
     await until(lambda: len(b.heard) == 200 and len(a.heard) == 2)
     assert b.heard == [("a", number) for number in range(200)] and sorted(a.heard) == [("a", 1), ("b", 7)]
     assert (a.counters["sent"], b.counters["received"], b.counters["sent"]) == (200, 200, 1)
-    assert a.transport.up("b") and not a.transport.up("c")
+    assert a.transport.is_up("b") and not a.transport.is_up("c")
     a.transport.send("nobody", m.Alive(1))
     a.transport.send("b", m.Alive(2**70))
     a.transport.send("b", m.Accept("k", m.Ballot(), m.Record(1, "a", b"x" * 70_000)))
