--- a/oatlink/fleet/shell/files.py
+++ b/oatlink/fleet/shell/files.py
@@ -12,7 +12,17 @@
 import msgspec
 
 from oatlink.fleet.shell.disk import Disk
-from oatlink.fleet.shell.history import BEGIN, DamageError, History, Row, first_chain, frames, head, mark, replay
+from oatlink.fleet.shell.history import (
+    BEGIN,
+    DamageError,
+    History,
+    Row,
+    encode_head,
+    encode_mark,
+    encode_rows,
+    first_chain,
+    replay,
+)
 from oatlink.fleet.shell.keys import FleetError
 
 NAME, NEW = "keeper.journal", "keeper.journal.new"
@@ -53,7 +63,7 @@
             disk.cut(handle, history.end)
             disk.sync(handle)
             history = msgspec.structs.replace(history, serial=history.serial + 1)
-            disk.write(handle, *mark(history.serial, history.end))
+            disk.write(handle, *encode_mark(history.serial, history.end))
             disk.sync(handle)
         except DamageError as damage:
             raise FleetError(f"{path}: {damage}; this keeper cannot vote") from None
@@ -65,14 +75,14 @@
 
 def create(disk: Disk, directory: str, node: str, life: int, rows: list[Row]) -> tuple[int, int, int]:
     """Create a complete file beside the one in use: its handle, its end, and the checksum of its last record."""
-    data, chain = frames(rows, first_chain(node, life))
+    data, chain = encode_rows(rows, first_chain(node, life))
     end = BEGIN + len(data)
     handle = disk.make(os.path.join(directory, NEW))
     try:
-        disk.write(handle, 0, head(node, life).ljust(BEGIN, b"\0"))
+        disk.write(handle, 0, encode_head(node, life).ljust(BEGIN, b"\0"))
         disk.write(handle, BEGIN, data)
         for serial in (FIRST_SERIAL - 1, FIRST_SERIAL):
-            disk.write(handle, *mark(serial, end))
+            disk.write(handle, *encode_mark(serial, end))
         disk.sync(handle)
     except BaseException:
         os.close(handle)
--- a/oatlink/fleet/shell/history.py
+++ b/oatlink/fleet/shell/history.py
@@ -69,7 +69,7 @@
 _owner_decoder = msgspec.msgpack.Decoder(_Owner)
 
 
-def head(node: str, life: int) -> bytes:
+def encode_head(node: str, life: int) -> bytes:
     """The first block of a file."""
     owner = msgspec.msgpack.encode(_Owner(node, life))
     block = (_head_format.pack(MAGIC, FORM, len(owner)) + owner).ljust(BLOCK - 8, b"\0")
@@ -78,10 +78,10 @@
 
 def first_chain(node: str, life: int) -> int:
     """The checksum that the first record is chained to."""
-    return int(xxhash.xxh64_intdigest(head(node, life)))
+    return int(xxhash.xxh64_intdigest(encode_head(node, life)))
 
 
-def mark(serial: int, end: int) -> tuple[int, bytes]:
+def encode_mark(serial: int, end: int) -> tuple[int, bytes]:
     """The offset of a mark, and its bytes."""
     return BLOCK * (1 + serial % 2), _mark_format.pack(serial, end, _mark_checksum(serial, end))
 
@@ -90,7 +90,7 @@
     return int(xxhash.xxh64_intdigest(struct.pack(">QQ", serial, end), seed=1))
 
 
-def frames(rows: list[Row], chain: int) -> tuple[bytes, int]:
+def encode_rows(rows: list[Row], chain: int) -> tuple[bytes, int]:
     """The bytes of records after the one whose checksum is `chain`, and the checksum of the last."""
     parts = []
     for row in rows:
--- a/oatlink/fleet/shell/journal.py
+++ b/oatlink/fleet/shell/journal.py
@@ -26,7 +26,7 @@
 from oatlink.fleet.shell import files
 from oatlink.fleet.shell.disk import Disk
 from oatlink.fleet.shell.files import NAME, NEW
-from oatlink.fleet.shell.history import History, Row, frames, mark
+from oatlink.fleet.shell.history import History, Row, encode_mark, encode_rows
 from oatlink.fleet.shell.keys import FleetError
 
 REGISTER = "register"  # kind of the records of a `Kept`
@@ -112,7 +112,7 @@
         if self._task is not None:
             await asyncio.wait({self._task}, timeout=CLOSE_S)
         is_stuck = self._task is not None
-        self._break("closed")
+        self._fail("closed")
         self._pool.shutdown(wait=False)
         if self._handle >= 0 and not is_stuck:  # handles that the thread still uses are closed when the process exits
             os.close(self._handle)
@@ -136,10 +136,10 @@
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         if self._task is None:
-            self._task = asyncio.get_running_loop().create_task(self._work())
+            self._task = asyncio.get_running_loop().create_task(self._commit_loop())
         await future
 
-    async def _work(self) -> None:
+    async def _commit_loop(self) -> None:
         """Commit repeatedly, while anyone waits for a commit."""
         loop = asyncio.get_running_loop()
         waiting: list[asyncio.Future[None]] = []
@@ -147,7 +147,7 @@
             while self._waiting:
                 rows, self._pending = self._pending, []
                 waiting, self._waiting = self._waiting, []
-                await loop.run_in_executor(self._pool, self._add, rows)
+                await loop.run_in_executor(self._pool, self._write, rows)
                 for future in waiting:
                     if not future.done():
                         future.set_result(None)
@@ -155,13 +155,13 @@
                     await loop.run_in_executor(self._pool, self._compact)
         except BaseException as error:
             self._waiting = waiting + self._waiting
-            self._break(getattr(error, "strerror", None) or repr(error))
+            self._fail(getattr(error, "strerror", None) or repr(error))
             if not isinstance(error, Exception):
                 raise
         finally:
             self._task = None
 
-    def _break(self, why: str) -> None:
+    def _fail(self, why: str) -> None:
         self.broken = self.broken or f"{os.path.join(self._directory, NAME)}: {why}; nothing more is kept here"
         for future in self._waiting:
             if not future.done():
@@ -170,14 +170,14 @@
 
     # ---- On the writing thread ----
 
-    def _add(self, rows: list[Row]) -> None:
+    def _write(self, rows: list[Row]) -> None:
         if not rows:
             return
-        data, chain = frames(rows, self._chain)
+        data, chain = encode_rows(rows, self._chain)
         self._disk.write(self._handle, self._end, data)
         self._disk.sync(self._handle)
         end, serial = self._end + len(data), self._serial + 1
-        self._disk.write(self._handle, *mark(serial, end))
+        self._disk.write(self._handle, *encode_mark(serial, end))
         self._disk.sync(self._handle)
         self._end, self._chain, self._serial = end, chain, serial
         for row in rows:
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -303,7 +303,7 @@
     assert life == 31 and standing_in(records) == REGISTER_COMMITS[-1][0]
     assert registers_in(records) == REGISTER_COMMITS[2]
     stored = history.replay((DATA / "registers.journal").read_bytes(), "node-a")
-    assert history.head("node-a", 31) == (DATA / "registers.journal").read_bytes()[: history.BLOCK]
+    assert history.encode_head("node-a", 31) == (DATA / "registers.journal").read_bytes()[: history.BLOCK]
     # A file that is made begins with a mark, and each opening and each commit adds one.
     assert stored.rows == records and stored.serial == files.FIRST_SERIAL + 1 + len(REGISTER_COMMITS)
 
