--- a/oatlink/fleet/shell/inbound.py
+++ b/oatlink/fleet/shell/inbound.py
@@ -1,7 +1,7 @@
-"""One connection that was accepted: on it a node only hears.
+"""One accepted connection, on which a node only receives.
 
-What may live here: from bytes to proved frames in their order. It costs at most a frame's bytes and one unread ack,
-whatever its other end sends, or never reads.
+It turns bytes into authenticated frames in their order. Whatever the other end sends or does not read, a connection
+costs at most the bytes of one frame and one unread acknowledgement.
 """
 
 import asyncio
@@ -9,21 +9,21 @@
 from typing import cast
 
 from oatlink.fleet import envelope
-from oatlink.fleet.shell.ear import Ear, Porter
+from oatlink.fleet.shell.inbound_context import ConnectionOwner, InboundContext
 
 
-class Incoming(asyncio.Protocol):
+class InboundConnection(asyncio.Protocol):
     """One accepted connection. Closing is idempotent."""
 
-    def __init__(self, door: Porter, ear: Ear) -> None:
-        self.door, self.ear = door, ear
+    def __init__(self, owner: ConnectionOwner, context: InboundContext) -> None:
+        self.owner, self.context = owner, context
         self.name, self.incarnation, self.address = "", 0, ""
-        self.nonce = secrets.token_bytes(envelope.NONCE)
-        self.heard = ear.ticks
+        self.nonce = secrets.token_bytes(envelope.NONCE_BYTES)
+        self.last_heard_tick = context.ticks
         self._seal: envelope.Seal | None = None
-        self._reader = envelope.Reader(envelope.MOST_GREETING)
-        self._taken = -1  # number of the newest frame
-        self._acked = -1
+        self._reader = envelope.Reader(envelope.MAX_GREETING_BYTES)
+        self._accepted = -1  # number of the newest frame
+        self._acknowledged = -1
         self._transport: asyncio.Transport | None = None
         self._closed = False
 
@@ -33,63 +33,65 @@
         if self._closed:
             self._transport.abort()
         else:
-            self._transport.write(envelope.challenge(self.nonce, self.ear.node, self.ear.fleet))
+            self._transport.write(envelope.challenge(self.nonce, self.context.node, self.context.fleet))
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
-        self.ear.counters["bytes_in"] += len(data)
+        self.context.counters["bytes_in"] += len(data)
         self._reader.feed(data)
         while not self._closed and (frame := self._reader.take()) is not None:
             self._frame(frame)
         if self._reader.broken and not self._closed:
-            self.ear.counters["dropped_long"] += 1
+            self.context.counters["dropped_long"] += 1
             self.close()
 
     def _frame(self, frame: bytes) -> None:
         if self._seal is None:
-            self._seal = self.door.prove(self, frame)
+            self._seal = self.owner.authenticate(self, frame)
             if self._seal is None:
                 self.close()
                 return
-            self._reader.most = self.ear.most_bytes
-            self._taken, self.heard = 0, self.ear.ticks
+            self._reader.max_bytes = self.context.max_frame_bytes
+            self._accepted, self.last_heard_tick = 0, self.context.ticks
             return
-        found = self._seal.opened(frame)
-        if found is None:
-            self.ear.counters["dropped_tag"] += 1
+        opened = self._seal.open(frame)
+        if opened is None:
+            self.context.counters["dropped_tag"] += 1
             self.close()
-        elif found[0] <= self._taken:
-            self.ear.counters["dropped_replay"] += 1
-        elif found[0] > self._taken + 1:
-            # What is missing will not come: begin anew, rather than have its place taken later.
-            self.ear.counters["dropped_gap"] += 1
+            return
+        number, body = opened
+        if number <= self._accepted:
+            self.context.counters["dropped_replay"] += 1
+        elif number > self._accepted + 1:
+            # The missing frame will not arrive any more. A new connection keeps its number from being used later.
+            self.context.counters["dropped_gap"] += 1
             self.close()
         else:
-            self._taken, self.heard = found[0], self.ear.ticks
-            self.ear.counters["received"] += 1
-            self.ear.take(self.name, found[1])
+            self._accepted, self.last_heard_tick = number, self.context.ticks
+            self.context.counters["received"] += 1
+            self.context.receive(self.name, body)
 
     def acknowledge(self) -> None:
-        """Tell the sender what has come, unless it has not even read what it was told before."""
-        if self._transport is None or self._closed or self._taken == self._acked:
+        """Tell the sender which frames have been accepted, unless it has not read the last acknowledgement yet."""
+        if self._transport is None or self._closed or self._accepted == self._acknowledged:
             return
         if self._transport.get_write_buffer_size() == 0:
-            self._acked = self._taken
-            self._transport.write(envelope.ack(self._taken))
+            self._acknowledged = self._accepted
+            self._transport.write(envelope.ack(self._accepted))
 
     def eof_received(self) -> bool:
-        """See `asyncio.Protocol`: the sender has said all, and wants to know that it came."""
+        """See `asyncio.Protocol`: the sender has sent everything and waits for the acknowledgement."""
         self.acknowledge()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         """See `asyncio.Protocol`."""
         self._closed = True
-        self.door.gone(self)
+        self.owner.gone(self)
 
     def close(self) -> None:
-        """Hear nothing more on this connection, at once."""
+        """Close the connection at once, without reading more from it."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
-        self.door.gone(self)
+        self.owner.gone(self)
