--- a/benchmarks/fleet/stream.py
+++ b/benchmarks/fleet/stream.py
@@ -102,15 +102,15 @@
         answer(ask, await self._nodes[ask.node].offer(ask.scope, entries, ask.base))
 
     def _entries(self, ask: Ask) -> dict[str, str]:
-        station = self._nodes[ask.node].station
-        found = station.entries(ask.scope) if station is not None else {}
+        participant = self._nodes[ask.node].participant
+        found = participant.entries(ask.scope) if participant is not None else {}
         return {key: value.decode("utf-8", "replace") for key, value in found.items()}
 
     def _look(self, ask: Ask) -> Look:
         node = self._nodes[ask.node]
         now = now_us()
         peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-        age_us = node.station.age_us(now) if node.station is not None else -1
+        age_us = node.participant.age_us(now) if node.participant is not None else -1
         counters = dict(node.counters)
         return Look(time.process_time(), peak_mb, now, age_us, counters, dict(node.rows()), self._moved[ask.node])
 
--- a/oatlink/fleet/control/station.py
+++ b/oatlink/fleet/control/participant.py
@@ -32,7 +32,7 @@
 )
 
 
-class Station:
+class Participant:
     """Effects come back in the order in which they must be carried out. Times are microseconds of the own clock."""
 
     def __init__(
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -1,8 +1,9 @@
 """The one object that a process holds of the stream of control: sockets, the keeper's file and one timer.
 
-It decides nothing but what it is asked in words: what comes is handed to the station, what that asks for is carried out
-in order. Nothing is saved but at a source, in the keeper's file: its registers, and each version before another source
-is told that it is here. Threat: a slot that is written over while its version is on no disk, and all sources restarted.
+It decides nothing but what it is asked in words: what comes is handed to the participant, what that asks for is carried
+out in order. Nothing is saved but at a source, in the keeper's file: its registers, and each version before another
+source is told that it is here. Threat: a slot that is written over while its version is on no disk, and all sources
+restarted.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 import msgspec
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.control.station import Station
+from oatlink.fleet.control.participant import Participant
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell.control_commands import mistake_in, read
 from oatlink.fleet.shell.keeper_store import KeeperStore
@@ -60,7 +61,7 @@
         self._store = KeeperStore(fleet, self._said, note)
         self._kept: ScopeRecords | None = None  # a source's
         self._others = frozenset(one.name for one in fleet.control.sources) - {fleet.node}
-        self._station: Station | None = None
+        self._participant: Participant | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[str]] = {}
         self._last_ticket = 0
@@ -71,9 +72,9 @@
         return self._transport.counters
 
     @property
-    def station(self) -> Station | None:
+    def participant(self) -> Participant | None:
         """The cores; None where this process does not take part."""
-        return self._station
+        return self._participant
 
     # ---- Life ----
 
@@ -91,23 +92,25 @@
             self._store.open()
             self._kept = ScopeRecords(self._store.records)
         keeper = self._store.keeper(self._seed) if self._fleet.own.keeper else None
-        self._station = Station(self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper)
-        self._restore(self._station)
+        self._participant = Participant(
+            self._fleet, self._control, self._incarnation, self._seed, mistake_in, now_us(), keeper
+        )
+        self._restore(self._participant)
         self._transport.start()
         self._tick()
 
-    def _restore(self, station: Station) -> None:
+    def _restore(self, participant: Participant) -> None:
         try:
             for head, entries in found_in(self._store.records):
-                station.restore(head, entries, now_us())
+                participant.restore(head, entries, now_us())
         except (msgspec.MsgspecError, ValueError) as error:
             self._note("control", f"what was on disk is not restored: {error}")
 
     async def stop(self) -> None:
         """Say that this process leaves, and close."""
-        if self._station is not None:
-            self._do(self._station.leave(now_us()))
-            self._station = None
+        if self._participant is not None:
+            self._do(self._participant.leave(now_us()))
+            self._participant = None
         if self._timer is not None:
             self._timer.cancel()
         self._store.stop()
@@ -134,7 +137,7 @@
         """An operator's word, and what to answer: one line, but for the status."""
         if word != "control":
             return "no versions in the fleet's settings"
-        if self._station is None:
+        if self._participant is None:
             return "the fleet is off here"
         asked = read(text)
         if isinstance(asked, str):
@@ -145,7 +148,7 @@
 
     async def offer(self, scope: str, entries: tuple[c.Entry, ...], base: int = -1) -> str:
         """Offer a change, made for version `base` (-1: any): what came of it, in one line."""
-        if self._station is None:
+        if self._participant is None:
             return "refused: the fleet is off here"
         self._last_ticket += 1
         ticket = self._last_ticket
@@ -153,7 +156,7 @@
         self._tickets[ticket] = future
         try:
             async with asyncio.timeout(WORD_S):
-                self._do(self._station.offer(ticket, scope, entries, base, now_us()))
+                self._do(self._participant.offer(ticket, scope, entries, base, now_us()))
                 return await future
         except TimeoutError:
             return "unknown: it may have happened, or may yet"
@@ -162,21 +165,21 @@
 
     def rows(self) -> list[tuple[str, str]]:
         """For operators."""
-        if self._station is None:
+        if self._participant is None:
             return [("node", "off")]
-        dropped = dict(self.counters) | {f"dropped_{name}": n for name, n in self._station.dropped.items()}
+        dropped = dict(self.counters) | {f"dropped_{name}": n for name, n in self._participant.dropped.items()}
         links = ("links", " ".join(f"{name}={n}" for name, n in sorted(dropped.items())))
-        return [("node", self._fleet.node), *self._store.rows(self._station.rows(now_us())), links]
+        return [("node", self._fleet.node), *self._store.rows(self._participant.rows(now_us())), links]
 
-    # ---- Between station and sockets ----
+    # ---- Between participant and sockets ----
 
     def _heard(self, sender: str, message: f.AnyMessage) -> None:
-        if self._station is not None:
-            self._do(self._station.receive(sender, message, now_us()))
+        if self._participant is not None:
+            self._do(self._participant.receive(sender, message, now_us()))
 
     def _failed(self, peer: str) -> None:
-        if self._station is not None:
-            self._do(self._station.silent(peer, now_us()))
+        if self._participant is not None:
+            self._do(self._participant.silent(peer, now_us()))
 
     def _said(self, one: f.Tell) -> None:
         """What waited for the keeper's file."""
@@ -187,8 +190,8 @@
 
     def _tick(self) -> None:
         self._timer = None
-        if self._station is not None:
-            self._do(self._station.tick(now_us()))
+        if self._participant is not None:
+            self._do(self._participant.tick(now_us()))
 
     def _do(self, effects: list[f.Effect]) -> None:
         """Carry out, in order."""
@@ -223,7 +226,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._station is not None:
-            wait_s = (self._station.due_us - now_us()) / 1e6
+        if self._participant is not None:
+            wait_s = (self._participant.due_us - now_us()) / 1e6
             wait_s = min(LONGEST_WAIT_S, max(LEAST_WAIT_S, wait_s))
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
--- a/tests/fleet/control/test_shell.py
+++ b/tests/fleet/control/test_shell.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oatlink.fleet import messages as m
-from oatlink.fleet.control.station import Station
+from oatlink.fleet.control.participant import Participant
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell.control import ControlNode
 from oatlink.fleet.shell.control_commands import SPOKEN, mistake_in
@@ -87,7 +87,7 @@
         part = fleet(node, folder)
         assert part.control is not None
         one = ControlNode(part, 1, lambda event, text: None)
-        one._station = Station(part, part.control, 1, 1, mistake_in, 0)
+        one._participant = Participant(part, part.control, 1, 1, mistake_in, 0)
         try:
             said = [word.encode() if isinstance(word, str) else word for word in words]
             return await one.word("control", msgspec.msgpack.encode(said))
@@ -133,7 +133,7 @@
     with tempfile.TemporaryDirectory() as folder:
         part = fleet("s0", folder)
     assert part.control is not None
-    one = Station(part, part.control, 1, 1, mistake_in, 0)
+    one = Participant(part, part.control, 1, 1, mistake_in, 0)
     for message in (m.Prepare("k", m.Ballot(1, "g", 1)), m.Copy(1), m.Outbid("k", m.Ballot(), m.Ballot(9, "g", 1))):
         assert one.receive("g", message, 0) == []
     assert one.dropped["register"] == 3
