--- a/oatlink/fleet/control/participant.py
+++ b/oatlink/fleet/control/participant.py
@@ -118,9 +118,9 @@
                 effects += part.tick(now_us)
         return self._run(effects, now_us)
 
-    def silent(self, peer: str, now_us: int) -> list[f.Effect]:
+    def link_failed(self, peer: str, now_us: int) -> list[f.Effect]:
         """A link to it has failed."""
-        return self._run(self._core.silent(peer, now_us), now_us)
+        return self._run(self._core.link_failed(peer, now_us), now_us)
 
     def offer(self, ticket: int, scope: str, entries: tuple[c.Entry, ...], base: int, now_us: int) -> list[f.Effect]:
         """An operator's change, made for version `base` (-1: any); a `Replied` follows."""
--- a/oatlink/fleet/control/reader.py
+++ b/oatlink/fleet/control/reader.py
@@ -15,9 +15,9 @@
 from oatlink.fleet.control.age import Age
 from oatlink.fleet.control.downstream import FULL_MS, Downstream
 from oatlink.fleet.control.drops import Drops
-from oatlink.fleet.control.hearing import Hearing
 from oatlink.fleet.control.sums import Sums
 from oatlink.fleet.control.table import Table
+from oatlink.fleet.control.updates import UpdateReceiver
 from oatlink.fleet.control.upstream import Upstream
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.messages.base import NEVER_US, Message
@@ -54,8 +54,8 @@
         join = c.Join(incarnation, region, zone, place.address, relays)
         self._upstream = Upstream(join, place.name, sources, self._subscription, seed, now_us)
         self._sums = Sums(place.name, self._tables, self._own, seed, now_us)
-        self._hearing = Hearing(self._tables, self._own, self._age, self._upstream, self._drops, self._moved)
-        given = self._age.at, self._take, self._hearing.covers
+        self._updates = UpdateReceiver(self._tables, self._own, self._age, self._upstream, self._drops, self._moved)
+        given = self._age.at, self._take, self._updates.covers
         self._downstream = Downstream(self._tables, self._sums, self._drops, relays, *given, seed, now_us)
         self._more = self._over = False
 
@@ -91,7 +91,7 @@
         """How many hear this one."""
         return len(self._downstream)
 
-    def below(self, scope: str) -> c.Lag:
+    def lag_below(self, scope: str) -> c.Lag:
         """The process itself and all below it, in one of its scopes."""
         return self._sums.lag(scope)
 
@@ -115,7 +115,7 @@
         """A word of another process, whose name the link has proved."""
         return [] if self._over else self._settle(self._take_word(sender, message, now_us), now_us)
 
-    def silent(self, peer: str, now_us: int) -> list[Effect]:
+    def link_failed(self, peer: str, now_us: int) -> list[Effect]:
         """A link to it failed."""
         if self._over:
             return []
@@ -134,7 +134,7 @@
     def _take_word(self, sender: str, message: Message, now_us: int) -> list[Effect]:
         match message:
             case c.Changes() | c.Page() | c.Beat():
-                return self._hearing.receive(sender, message, now_us)
+                return self._updates.receive(sender, message, now_us)
             case c.Subscribe():
                 if sender == self._upstream.peer:  # threat: two that hear each other and no source
                     return [Tell(sender, c.Refused(message.incarnation, "bad", FULL_MS))]
@@ -201,7 +201,7 @@
             del self._tables[one]
         for one in new:
             self._tables[one] = Table(one)
-            self._hearing.covered.pop(one, None)
+            self._updates.covered.pop(one, None)
         self._more = self._more or bool(new)
         return True
 
--- a/oatlink/fleet/control/source.py
+++ b/oatlink/fleet/control/source.py
@@ -77,7 +77,7 @@
         """How old this source's word is at most: 0 while a majority has answered lately, `NEVER_US` before that."""
         return self._logs.age_us(now_us)
 
-    def below(self, scope: str) -> c.Lag:
+    def lag_below(self, scope: str) -> c.Lag:
         """All readers below this source, in one of its scopes: laggards by name and number."""
         return self._sums.lag(scope) if scope in self._logs.tables else c.Lag(c.Head(scope), 0, 0)
 
@@ -117,7 +117,7 @@
         """What this source had on disk, before anything else; what has come since is read from the registers."""
         self._logs.restore(head, entries, now_us)
 
-    def silent(self, peer: str, now_us: int) -> list[Effect]:
+    def link_failed(self, peer: str, now_us: int) -> list[Effect]:
         """A link to it failed."""
         if peer in self._peers:
             self._peers.away(peer)
--- a/oatlink/fleet/control/hearing.py
+++ b/oatlink/fleet/control/updates.py
@@ -20,7 +20,7 @@
 MOST_MISFITS = 4  # pages in a row that do not fit the snapshot under way: it is given up
 
 
-class Hearing:
+class UpdateReceiver:
     """`own`: the scopes whose versions are told as in force; `moved(table, now_us)` is called once a word moved one."""
 
     def __init__(
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -179,7 +179,7 @@
 
     def _failed(self, peer: str) -> None:
         if self._participant is not None:
-            self._do(self._participant.silent(peer, now_us()))
+            self._do(self._participant.link_failed(peer, now_us()))
 
     def _said(self, one: f.Tell) -> None:
         """What waited for the keeper's file."""
--- a/oatlink/lab/scale/stream/play.py
+++ b/oatlink/lab/scale/stream/play.py
@@ -113,7 +113,8 @@
         say = sum(one.core.age_us(one.now) > IN_FORCE_US for one in ones if one.up)
         scopes = {scope for one in ones for scope in one.scopes}
         counted = max(
-            (sum(six.core.below(scope).behind for six in self.stream.sources if six.up) for scope in scopes), default=0
+            (sum(six.core.lag_below(scope).behind for six in self.stream.sources if six.up) for scope in scopes),
+            default=0,
         )
         self.note(f"{event}: late at 5 s", len(late))
         self.note(f"{event}: of them say that they are behind", say)
--- a/tests/fleet/control/test_reader.py
+++ b/tests/fleet/control/test_reader.py
@@ -44,7 +44,7 @@
             world.cut = lambda a, b, x=one: x in (a, b)  # type: ignore[misc]
         elif what == 3 and one.startswith("re") and world.nodes[one].up:
             near = process(world, one)
-            near.do(near.core.silent(other, near.clock()))
+            near.do(near.core.link_failed(other, near.clock()))
         for name in names:
             if not world.nodes[name].up and draw.random() < 0.3:
                 process(world, name).start()
@@ -176,7 +176,7 @@
     reader = process(world, "reader-0")
     relay = process(world, reader.core._upstream.peer)
     relay.core._upstream.spare = c.Place("reader-0", "a")
-    relay.do(relay.core.silent(relay.core._upstream.peer, relay.clock()))
+    relay.do(relay.core.link_failed(relay.core._upstream.peer, relay.clock()))
     assert relay.core._upstream.peer == "reader-0" in relay.core._downstream
     relay.take("reader-0", c.Refused(1, "bad"))
     assert relay.core._upstream.peer != "reader-0" in relay.core._downstream and "reader-0" in relay.known
@@ -241,16 +241,16 @@
     relay = process(world, "relay-0")
     relay.take("child", c.Subscribe(1, (c.Head("group/g"),)))
     world.run(4 * SECOND)
-    assert relay.core._hearing.covers("group/g")
+    assert relay.core._updates.covers("group/g")
     relay.take("child", c.Leave(1))
     relay.core._take(tuple(f"group/{n}" for n in range(13)))  # no room but in its place
     relay.core._give_back(relay.clock())
-    assert relay.core._take(("group/g",)) and not relay.core._hearing.covers("group/g")
+    assert relay.core._take(("group/g",)) and not relay.core._updates.covers("group/g")
     heads = tuple(one.head for one in relay.core._tables.values())
     relay.take(relay.core._upstream.peer, c.Beat(60_000, heads, relay.core._age._mark))
-    assert not relay.core._hearing.covers("group/g")  # older than what our age says
+    assert not relay.core._updates.covers("group/g")  # older than what our age says
     relay.take(relay.core._upstream.peer, c.Beat(0, heads, relay.core._age._mark, 1 << 30))
-    assert relay.core._hearing.covers("group/g")
+    assert relay.core._updates.covers("group/g")
 
 
 def test_a_scope_that_the_upstream_does_not_tell_of_is_asked_for_again() -> None:
