--- a/oatlink/fleet/control/age.py
+++ b/oatlink/fleet/control/age.py
@@ -12,14 +12,14 @@
 
 from oatlink.fleet.messages.base import NEVER_US
 
-BEHIND_US = 5_000_000  # the stated bound on age: over it the fallback is said
-MOST_MARKS = 8  # words of ours whose time is remembered: more than are on the way at once
-MOST_AGE_MS = 1 << 40  # an age that says nothing: the sender has never heard of a source
+AGE_BOUND_US = 5_000_000  # the stated bound on age: over it the fallback is said
+MAX_MARKS = 8  # words of ours whose time is remembered: more than are on the way at once
+MAX_AGE_MS = 1 << 40  # an age that says nothing: the sender has never heard of a source
 
 
-def in_ms(age_us: int) -> int:
-    """An age as it is told: whole milliseconds, rounded up, never more than `MOST_AGE_MS`."""
-    return min(MOST_AGE_MS, -(-age_us // 1_000))
+def to_ms(age_us: int) -> int:
+    """An age as it is told: whole milliseconds, rounded up, never more than `MAX_AGE_MS`."""
+    return min(MAX_AGE_MS, -(-age_us // 1_000))
 
 
 class Age:
@@ -29,41 +29,41 @@
     """
 
     def __init__(self, drift: float, mark: int) -> None:
-        self._drift, self._mark = drift, mark
+        self._drift, self._last_mark = drift, mark
         self._sent: dict[int, int] = {}
         self._age_us, self._heard_us = NEVER_US, 0
 
-    def mark(self, now_us: int) -> int:
+    def new_mark(self, now_us: int) -> int:
         """A mark for a word to the upstream that is sent now."""
-        self._mark += 1
-        self._sent[self._mark] = now_us
-        if len(self._sent) > MOST_MARKS:
+        self._last_mark += 1
+        self._sent[self._last_mark] = now_us
+        if len(self._sent) > MAX_MARKS:
             del self._sent[next(iter(self._sent))]
-        return self._mark
+        return self._last_mark
 
-    def of(self, mark: int, since_ms: int, age_ms: int, now_us: int) -> int | None:
+    def age_from_beat(self, mark: int, since_ms: int, age_ms: int, now_us: int) -> int | None:
         """What a beat says, as an age in microseconds now; None where it answers no word of ours, or is impossible."""
         sent_us = self._sent.get(mark)
-        if sent_us is None or not 0 <= age_ms <= MOST_AGE_MS or not 0 <= since_ms <= MOST_AGE_MS:
+        if sent_us is None or not 0 <= age_ms <= MAX_AGE_MS or not 0 <= since_ms <= MAX_AGE_MS:
             return None
-        if age_ms == MOST_AGE_MS:
+        if age_ms == MAX_AGE_MS:
             return NEVER_US
         held_us = ceil((now_us - sent_us) / (1 - self._drift)) - int(since_ms * 1_000 / (1 + self._drift))
         return age_ms * 1_000 + max(0, held_us)
 
-    def told(self, age_us: int, now_us: int) -> bool:
+    def update(self, age_us: int, now_us: int) -> bool:
         """All that was so `age_us` ago is in force here. What was known to be younger stays known; whether this is."""
-        if age_us >= self.at(now_us):
+        if age_us >= self.age_us(now_us):
             return False
         self._age_us, self._heard_us = age_us, now_us
         return True
 
-    def at(self, now_us: int) -> int:
+    def age_us(self, now_us: int) -> int:
         """How old our knowledge is at most, in microseconds; `NEVER_US` where nothing was ever told."""
         if self._age_us >= NEVER_US:
             return NEVER_US
         return self._age_us + ceil((now_us - self._heard_us) / (1 - self._drift))
 
-    def behind(self, now_us: int) -> bool:
+    def is_behind(self, now_us: int) -> bool:
         """Whether it is over the stated bound."""
-        return self.at(now_us) > BEHIND_US
+        return self.age_us(now_us) > AGE_BOUND_US
--- a/oatlink/fleet/control/checks.py
+++ b/oatlink/fleet/control/checks.py
@@ -15,7 +15,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def mistake_of_scope(scope: str, everything: Entries, anew: bool = False) -> str:
+def scope_error(scope: str, everything: Entries, anew: bool = False) -> str:
     """Why nobody may offer a change there, '' if one may; `everything` is the state of `all`.
 
     `anew`: to begin its history again, which must be possible without that state, too.
@@ -29,7 +29,7 @@
     return ""
 
 
-def mistake_of_change(entries: tuple[Entry, ...]) -> str:
+def change_error(entries: tuple[Entry, ...]) -> str:
     """Why this is no change whatever the state is, or ''. Bounds are in bytes."""
     if not entries:
         return "a change without entries"
@@ -44,12 +44,12 @@
     return f"a change of {size} bytes, {MOST_CHANGE} at most" if size > MOST_CHANGE else ""
 
 
-def mistake_of_base(base: int, version: int) -> str:
+def base_error(base: int, version: int) -> str:
     """Why a change made for version `base` (-1: any) is not offered on `version`, or ''."""
     return "" if base in (-1, version) else f"made for version {base}, now {version}"
 
 
-def mistake_of_state(scope: str, now: Entries, entries: tuple[Entry, ...], checker: Checker) -> str:
+def state_error(scope: str, now: Entries, entries: tuple[Entry, ...], checker: Checker) -> str:
     """The caller's own check against the state that the change would be applied on; an error in it is a mistake too."""
     try:
         return checker(scope, now, entries)[:256]
--- a/oatlink/fleet/control/drops.py
+++ b/oatlink/fleet/control/drops.py
@@ -2,8 +2,8 @@
 
 from oatlink.fleet.messages.effects import Effect, Note
 
-NOTE_US = 60_000_000  # one line a reason in this time
-MOST_REASONS = 32  # threat: reasons made from what a peer says; those of ours are fewer
+NOTE_INTERVAL_US = 60_000_000  # one line a reason in this time
+MAX_REASONS = 32  # threat: reasons made from what a peer says; those of ours are fewer
 
 
 class Drops:
@@ -15,11 +15,11 @@
 
     def add(self, reason: str, peer: str, now_us: int) -> list[Effect]:
         """Something of `peer` was dropped; a line for the people on call, once a while."""
-        if reason not in self.counts and len(self.counts) >= MOST_REASONS:
+        if reason not in self.counts and len(self.counts) >= MAX_REASONS:
             return []
         self.counts[reason] = self.counts.get(reason, 0) + 1
         noted_us = self._noted.get(reason)
-        if noted_us is not None and now_us - noted_us < NOTE_US:
+        if noted_us is not None and now_us - noted_us < NOTE_INTERVAL_US:
             return []
         self._noted[reason] = now_us
         return [Note("control_dropped", f"{reason} of {peer}, {self.counts[reason]} in all")]
--- a/oatlink/fleet/control/names.py
+++ b/oatlink/fleet/control/names.py
@@ -39,17 +39,17 @@
     """One zone's. Each name is in `speaking` or in `silent`, the one not heard of for the longest first."""
 
     def __init__(self) -> None:
-        self.speaking: OrderedDict[str, None] = OrderedDict()
+        self.active: OrderedDict[str, None] = OrderedDict()
         self.silent: OrderedDict[str, None] = OrderedDict()
         self.relays: dict[str, int] = {}  # in service, and how many each serves
         self.stale: dict[str, int] = {}  # entries to be taken out, if they are still of this incarnation
 
     def __len__(self) -> int:
-        return len(self.speaking) + len(self.silent)
+        return len(self.active) + len(self.silent)
 
     def drop(self, name: str) -> None:
         """It has no name here any more."""
-        self.speaking.pop(name, None)
+        self.active.pop(name, None)
         self.silent.pop(name, None)
         self.relays.pop(name, None)
 
@@ -96,7 +96,7 @@
 
     # ---- What is agreed ----
 
-    def applied(self, scope: str, entries: Iterable[Entry], now_us: int) -> None:
+    def apply(self, scope: str, entries: Iterable[Entry], now_us: int) -> None:
         """A version of a scope is in force."""
         zone = self.zone(scope)
         for entry in entries:
@@ -110,12 +110,12 @@
             else:
                 self._put(scope, entry.key, named, now_us)
 
-    def whole(self, scope: str, entries: Mapping[str, bytes], now_us: int) -> None:
+    def replace(self, scope: str, entries: Mapping[str, bytes], now_us: int) -> None:
         """A scope's whole state: a snapshot, or the first version of an epoch. Costs as much as the zone."""
         zone = self.zone(scope)
-        out = [name for name in (*zone.speaking, *zone.silent, *zone.stale) if name not in entries]
-        self.applied(scope, [Entry(name) for name in out], now_us)
-        self.applied(scope, [Entry(name, value) for name, value in entries.items()], now_us)
+        out = [name for name in (*zone.active, *zone.silent, *zone.stale) if name not in entries]
+        self.apply(scope, [Entry(name) for name in out], now_us)
+        self.apply(scope, [Entry(name, value) for name, value in entries.items()], now_us)
 
     def _put(self, scope: str, name: str, named: Named, now_us: int) -> None:
         zone, one = self.zone(scope), self._known.get(name)
@@ -129,7 +129,7 @@
         zone.stale.pop(name, None)
         if one is None or one.named.incarnation != named.incarnation:
             zone.drop(name)
-            zone.speaking[name] = None
+            zone.active[name] = None
             self._known[name] = Known(scope, named, now_us)
         else:
             one.named = named
@@ -140,7 +140,7 @@
 
     # ---- What is heard ----
 
-    def heard(self, name: str, incarnation: int, now_us: int) -> bool:
+    def mark_heard(self, name: str, incarnation: int, now_us: int) -> bool:
         """Somebody has heard of it. False for another incarnation than the agreed one, which counts for nothing."""
         one = self._known.get(name)
         if one is None or one.named.incarnation != incarnation:
@@ -149,16 +149,16 @@
         zone = self.zones[one.scope]
         zone.stale.pop(name, None)
         if zone.silent.pop(name, self) is None:
-            zone.speaking[name] = None
+            zone.active[name] = None
         else:
-            zone.speaking.move_to_end(name)
+            zone.active.move_to_end(name)
         return True
 
-    def sort_silent(self, zone: Zone, now_us: int) -> None:
+    def move_silent(self, zone: Zone, now_us: int) -> None:
         """Who has become silent since the last time; costs as much as there are of them."""
-        while zone.speaking:
-            name = next(iter(zone.speaking))
+        while zone.active:
+            name = next(iter(zone.active))
             if now_us - self._known[name].heard_us < GONE_US:
                 return
-            del zone.speaking[name]
+            del zone.active[name]
             zone.silent[name] = None
--- a/oatlink/fleet/control/offers.py
+++ b/oatlink/fleet/control/offers.py
@@ -12,11 +12,11 @@
 from oatlink.fleet.messages import NEVER_US, Effect
 from oatlink.fleet.messages.control import Entry
 
-Done = Callable[[int, str], list[Effect]]  # the version, or 0 and why not
+OnDone = Callable[[int, str], list[Effect]]  # the version, or 0 and why not
 
-MOST_WAITING = 64
-PATIENCE_US = 10_000_000  # one that could not even be tried in this time is refused
-UNKNOWN_US = 30_000_000  # of one that was tried it is said then that its end is not known
+MAX_QUEUED = 64
+UNTRIED_TIMEOUT_US = 10_000_000  # one that could not even be tried in this time is refused
+TRIED_TIMEOUT_US = 30_000_000  # of one that was tried it is said then that its end is not known
 
 
 class Offer(msgspec.Struct):
@@ -26,18 +26,22 @@
     entries: tuple[Entry, ...]
     base: int
     begun_us: int
-    done: Done
+    done: OnDone
     epoch: int = -1  # the epoch to begin, -1 for a change within the present one
-    tried: bool = False
-    told: bool = False
+    is_tried: bool = False
+    is_answered: bool = False
 
     @property
     def due_us(self) -> int:
         """When who asked has waited long enough."""
-        return NEVER_US if self.told else self.begun_us + (UNKNOWN_US if self.tried else PATIENCE_US)
+        return (
+            NEVER_US
+            if self.is_answered
+            else self.begun_us + (TRIED_TIMEOUT_US if self.is_tried else UNTRIED_TIMEOUT_US)
+        )
 
 
-class Line:
+class OfferQueue:
     """See the head of this file."""
 
     def __init__(self) -> None:
@@ -53,12 +57,12 @@
         return self._offers[0] if self._offers else None
 
     @property
-    def tried(self) -> bool:
+    def is_front_tried(self) -> bool:
         """Whether the one in front may have happened."""
-        return bool(self._offers) and self._offers[0].tried
+        return bool(self._offers) and self._offers[0].is_tried
 
     @property
-    def raising(self) -> bool:
+    def is_raising(self) -> bool:
         """Whether the one in front begins an epoch."""
         return bool(self._offers) and self._offers[0].epoch >= 0
 
@@ -67,22 +71,22 @@
         """When `expire` has something to do."""
         return min((one.due_us for one in self._offers), default=NEVER_US)
 
-    def put(self, entries: tuple[Entry, ...], base: int, done: Done, epoch: int, now_us: int) -> bool:
+    def add(self, entries: tuple[Entry, ...], base: int, done: OnDone, epoch: int, now_us: int) -> bool:
         """At the end; one that begins an epoch in front, as nothing else may help there. False: there is no room."""
-        if len(self._offers) >= MOST_WAITING:
+        if len(self._offers) >= MAX_QUEUED:
             return False
         self._numbers += 1
         one = Offer(self._numbers, entries, base, now_us, done, epoch)
-        if epoch >= 0 and not self.tried:
+        if epoch >= 0 and not self.is_front_tried:
             self._offers.appendleft(one)
         else:
             self._offers.append(one)
         return True
 
-    def end(self, version: int, why: str = "") -> list[Effect]:
+    def finish_front(self, version: int, why: str = "") -> list[Effect]:
         """The one in front has come to its end."""
         one = self._offers.popleft()
-        return [] if one.told else one.done(version, why)
+        return [] if one.is_answered else one.done(version, why)
 
     def expire(self, why: str, now_us: int) -> list[Effect]:
         """Those that have waited long enough."""
@@ -90,10 +94,10 @@
             return []
         effects: list[Effect] = []
         for one in [one for one in self._offers if now_us >= one.due_us]:
-            if one.tried:
-                one.told = True
+            if one.is_tried:
+                one.is_answered = True
                 effects += one.done(0, "unknown: it may have happened, or may yet")
             else:
                 self._offers.remove(one)
-                effects += one.done(0, f"not agreed in {PATIENCE_US // 1_000_000} s: {why}")
+                effects += one.done(0, f"not agreed in {UNTRIED_TIMEOUT_US // 1_000_000} s: {why}")
         return effects
--- a/oatlink/fleet/control/reader.py
+++ b/oatlink/fleet/control/reader.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 
 from oatlink.fleet.control.age import Age
-from oatlink.fleet.control.downstream import FULL_MS, Downstream
+from oatlink.fleet.control.downstream import REFUSED_WAIT_MS, Downstream
 from oatlink.fleet.control.drops import Drops
 from oatlink.fleet.control.sums import Sums
 from oatlink.fleet.control.table import Table
@@ -54,17 +54,19 @@
         join = c.Join(incarnation, region, zone, place.address, relays)
         self._upstream = Upstream(join, place.name, sources, self._subscription, seed, now_us)
         self._sums = Sums(place.name, self._tables, self._own, seed, now_us)
-        self._updates = UpdateReceiver(self._tables, self._own, self._age, self._upstream, self._drops, self._moved)
-        given = self._age.at, self._take, self._updates.covers
+        self._updates = UpdateReceiver(
+            self._tables, self._own, self._age, self._upstream, self._drops, self._table_changed
+        )
+        given = self._age.age_us, self._add_scopes, self._updates.covers
         self._downstream = Downstream(self._tables, self._sums, self._drops, relays, *given, seed, now_us)
-        self._more = self._over = False
+        self._has_new_scopes = self._is_stopped = False
 
     # ---- Questions ----
 
     @property
     def due_us(self) -> int:
         """When to call `tick` next."""
-        if self._over:
+        if self._is_stopped:
             return NEVER_US
         due = min(self._upstream.due_us, self._downstream.due_us)
         return min(due, self._sums.due_us) if self._upstream.peer else due
@@ -79,7 +81,7 @@
 
     def age_us(self, now_us: int) -> int:
         """How old what we know is at most; `NEVER_US` where no word of a source ever came."""
-        return self._age.at(now_us)
+        return self._age.age_us(now_us)
 
     @property
     def upstream(self) -> str:
@@ -97,103 +99,105 @@
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
         """For operators: name and text."""
-        age_us = self._age.at(now_us)
+        age_us = self._age.age_us(now_us)
         old = "never heard" if age_us >= NEVER_US else f"{age_us // 1_000} ms old"
         spare = self._upstream.spare
         links = f"upstream {self._upstream.peer or 'none'}, spare {spare.name if spare else 'none'}"
         heads = " ".join(f"{one.head.scope}={one.head.epoch}/{one.head.version}" for one in self._tables.values())
-        state = f"{'behind, ' if self._age.behind(now_us) else ''}{old}, {links}, children {len(self._downstream)}"
+        state = f"{'behind, ' if self._age.is_behind(now_us) else ''}{old}, {links}, children {len(self._downstream)}"
         return [("control", f"{state}, {heads}, dropped {self._drops.text()}")]
 
     # ---- What happens ----
 
     def tick(self, now_us: int) -> list[Effect]:
         """Time has passed."""
-        return [] if self._over else self._settle([], now_us)
+        return [] if self._is_stopped else self._finish([], now_us)
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
         """A word of another process, whose name the link has proved."""
-        return [] if self._over else self._settle(self._take_word(sender, message, now_us), now_us)
+        return [] if self._is_stopped else self._finish(self._dispatch(sender, message, now_us), now_us)
 
     def link_failed(self, peer: str, now_us: int) -> list[Effect]:
         """A link to it failed."""
-        if self._over:
+        if self._is_stopped:
             return []
-        return self._settle(
-            self._upstream.silent(peer, "is out of reach", now_us) + self._downstream.gone(peer), now_us
+        return self._finish(
+            self._upstream.peer_lost(peer, "is out of reach", now_us) + self._downstream.remove(peer), now_us
         )
 
     def leave(self, now_us: int) -> list[Effect]:
         """The process is about to stop in an orderly way; it does nothing more."""
         peers = [self._upstream.peer] if self._upstream.peer else []
-        self._over = True
+        self._is_stopped = True
         return [Tell(peer, c.Leave(self._incarnation)) for peer in [*peers, *self._downstream.names()]]
 
     # ---- Words ----
 
-    def _take_word(self, sender: str, message: Message, now_us: int) -> list[Effect]:
+    def _dispatch(self, sender: str, message: Message, now_us: int) -> list[Effect]:
         match message:
             case c.Changes() | c.Page() | c.Beat():
                 return self._updates.receive(sender, message, now_us)
             case c.Subscribe():
                 if sender == self._upstream.peer:  # threat: two that hear each other and no source
-                    return [Tell(sender, c.Refused(message.incarnation, "bad", FULL_MS))]
+                    return [Tell(sender, c.Refused(message.incarnation, "bad", REFUSED_WAIT_MS))]
                 effects = self._downstream.subscribe(sender, message, now_us)
-                if self._more:
-                    self._more = False
-                    self._upstream.gap(now_us)
+                if self._has_new_scopes:
+                    self._has_new_scopes = False
+                    self._upstream.request_resubscribe(now_us)
                 return effects
             case c.Report():
                 return self._downstream.report(sender, message, now_us)
             case c.Leave():
-                gone = self._downstream.gone(sender, message.incarnation)
-                return gone + self._upstream.silent(sender, "leaves", now_us)
+                gone = self._downstream.remove(sender, message.incarnation)
+                return gone + self._upstream.peer_lost(sender, "leaves", now_us)
             case c.Seat():
-                if self._upstream.seat(sender, message, now_us):
+                if self._upstream.take_seat(sender, message, now_us):
                     return []
             case c.Refused():
                 if message.reason == "unknown" and sender == self._upstream.peer:
-                    given_back = self._give_back(now_us)
+                    given_back = self._drop_unknown_scopes(now_us)
                     if given_back is not None:
                         return given_back
-                effects_or_none = self._upstream.refused(sender, message, now_us)
+                effects_or_none = self._upstream.handle_refusal(sender, message, now_us)
                 if effects_or_none is not None:
                     return effects_or_none
         return self._drops.add(f"{type(message).__name__} not asked for", sender, now_us)
 
     # ---- Parts ----
 
-    def _settle(self, effects: list[Effect], now_us: int) -> list[Effect]:
+    def _finish(self, effects: list[Effect], now_us: int) -> list[Effect]:
         """What is due by now; and nobody is forgotten who is spoken to in another part: a child may be a spare."""
         effects += self._upstream.tick(now_us) + self._downstream.tick(now_us)
         if self._upstream.peer and now_us >= self._sums.due_us:
-            report = self._sums.report(self._incarnation, self._age.mark(now_us), now_us)
+            report = self._sums.report(self._incarnation, self._age.new_mark(now_us), now_us)
             effects.append(Tell(self._upstream.peer, report))
-        return [one for one in effects if not (isinstance(one, c.Known) and one.forget and self._uses(one.place.name))]
+        return [
+            one for one in effects if not (isinstance(one, c.Known) and one.forget and self._is_used(one.place.name))
+        ]
 
-    def _uses(self, peer: str) -> bool:
+    def _is_used(self, peer: str) -> bool:
         return peer in self._downstream or self._upstream.uses(peer)
 
-    def _moved(self, table: Table, now_us: int) -> None:
-        self._downstream.changed(table.head.scope, now_us)
-        self._sums.news(now_us)
+    def _table_changed(self, table: Table, now_us: int) -> None:
+        self._downstream.scope_changed(table.head.scope, now_us)
+        self._sums.schedule_report(now_us)
         if table.head.scope == "all":
             size = table.entries.get(self._size_key, b"")
             if len(size) < 8 and size.isdigit():
-                self._upstream.zone_has(int(size))
+                self._upstream.set_zone_readers(int(size))
 
     def _subscription(self, now_us: int) -> c.Subscribe:
         """The word to a new upstream, or to the same one after a gap."""
         heads = tuple(one.head for one in self._tables.values())
-        under_way = ((scope, one.gathering) for scope, one in self._tables.items())
+        under_way = ((scope, one.snapshot_progress) for scope, one in self._tables.items())
         resume = tuple((scope, *found) for scope, found in under_way if found is not None)
-        return c.Subscribe(self._incarnation, heads, resume, self._age.mark(now_us), self._place.address)
+        return c.Subscribe(self._incarnation, heads, resume, self._age.new_mark(now_us), self._place.address)
 
-    def _take(self, scopes: tuple[str, ...]) -> bool:
+    def _add_scopes(self, scopes: tuple[str, ...]) -> bool:
         """A child takes these: so do we, where there is room; borrowed ones that no child takes any more make room."""
         new = [one for one in scopes if one not in self._tables]
         keep = dict.fromkeys((*self._own, *scopes))
-        unused = [one for one in self._tables if one not in keep and not self._downstream.feed.takes(one)]
+        unused = [one for one in self._tables if one not in keep and not self._downstream.feed.has_takers(one)]
         over = len(self._tables) + len(new) - c.MOST_SCOPES
         if over > len(unused) or any(one.startswith("names/") for one in new):  # names are for sources alone
             return False
@@ -202,10 +206,10 @@
         for one in new:
             self._tables[one] = Table(one)
             self._updates.covered.pop(one, None)
-        self._more = self._more or bool(new)
+        self._has_new_scopes = self._has_new_scopes or bool(new)
         return True
 
-    def _give_back(self, now_us: int) -> list[Effect] | None:
+    def _drop_unknown_scopes(self, now_us: int) -> list[Effect] | None:
         """The upstream does not know a scope of ours: those borrowed that never had a version go, with their children.
 
         None where there is none. Threat: a child that asks for a group that is none takes the upstream from its relay.
@@ -214,9 +218,9 @@
         effects: list[Effect] = []
         for scope in over:
             for child in self._downstream.feed.takers(scope):
-                effects += self._downstream.gone(child)
+                effects += self._downstream.remove(child)
             del self._tables[scope]
         if not over:
             return None
-        self._upstream.gap(now_us)
+        self._upstream.request_resubscribe(now_us)
         return effects
--- a/oatlink/fleet/control/sums.py
+++ b/oatlink/fleet/control/sums.py
@@ -1,10 +1,11 @@
-"""What is below a relay or a source, in sums: versions in force, laggards by name and number. No I/O.
+"""Sums up all processes below a relay or a source: versions in force, laggards by name and number. No I/O.
 
-What may live here: the last report of each child, what they come to, and when that is told upward. A report is told
-each `REPORT_US`, give or take a part, and after news at `LEAST_US` after the last one at the earliest.
+This module keeps the last report of each child, adds them up, and decides when the sum is reported to the upstream. A
+report is sent each `REPORT_INTERVAL_US` with some jitter, and after a change no sooner than `MIN_REPORT_GAP_US` after
+the last one.
 
-A child that reports a head older than ours has heard of less: all that it told counts as behind until it tells more. So
-no laggard is hidden by an old report; the price is that a laggard may be counted until the next one.
+A child that reports an older head than this process has does not know of the newer versions: all it reported counts as
+behind until it reports again. So no old report hides a laggard; in return a laggard may be counted until the next one.
 """
 
 from collections.abc import Mapping
@@ -17,13 +18,16 @@
 from oatlink.fleet.messages.base import NEVER_US
 from oatlink.fleet.messages.control import MOST_CHILDREN, MOST_NAMED, Head, Lag, Report
 
-REPORT_US = 5_000_000
-LEAST_US = 1_000_000  # between two
-NEWS_US = 200_000  # drawn over this: all below hear of one change in the same moment
+REPORT_INTERVAL_US = 5_000_000
+MIN_REPORT_GAP_US = 1_000_000  # between two reports
+MAX_REPORT_DELAY_US = 200_000  # reports are spread over this time: all processes below get a change at the same moment
 
 
-class _Below(msgspec.Struct):
-    """One child. `reported`: it has told its sums in this incarnation; before that it stands for itself."""
+class _ChildSums(msgspec.Struct):
+    """The sums of one child.
+
+    `reported`: it has sent a report in this incarnation; before that it counts as one process.
+    """
 
     incarnation: int
     lags: dict[str, Lag]
@@ -33,14 +37,14 @@
 
 
 class Sums:
-    """`own`: the scopes that the owner itself is a reader of; a source has none."""
+    """Adds up the children's reports. `own`: the scopes of which the owner is itself a reader; a source has none."""
 
     def __init__(self, name: str, tables: Mapping[str, Table], own: tuple[str, ...], seed: int, now_us: int) -> None:
         self._name, self._tables, self._own = name, tables, own
-        self._below: dict[str, _Below] = {}
+        self._below: dict[str, _ChildSums] = {}
         self._draw = Random(f"sums/{seed}/{name}")
-        self._sent_us = now_us - LEAST_US
-        self._round_us = now_us + self._draw.randrange(REPORT_US)
+        self._sent_us = now_us - MIN_REPORT_GAP_US
+        self._round_us = now_us + self._draw.randrange(REPORT_INTERVAL_US)
         self._news_us = NEVER_US
 
     @property
@@ -50,104 +54,111 @@
 
     # ---- Children ----
 
-    def begins(self, child: str, incarnation: int, heads: tuple[Head, ...]) -> None:
-        """It has subscribed. What it reported before is kept as far as it takes the scope still."""
-        one = self._below.get(child)
-        if one is None or one.incarnation != incarnation:
-            one = self._below[child] = _Below(incarnation, {})
-        old, one.lags = one.lags, {}
+    def add_child(self, child: str, incarnation: int, heads: tuple[Head, ...]) -> None:
+        """Add a child that has subscribed. Its earlier report is kept for the scopes that it still takes."""
+        sums = self._below.get(child)
+        if sums is None or sums.incarnation != incarnation:
+            sums = self._below[child] = _ChildSums(incarnation, {})
+        lags_before, sums.lags = sums.lags, {}
         for head in heads:
-            alone = Lag(head, 1, head.version)
-            one.lags[head.scope] = old.get(head.scope, alone) if one.reported else alone
+            own_lag = Lag(head, 1, head.version)
+            sums.lags[head.scope] = lags_before.get(head.scope, own_lag) if sums.reported else own_lag
 
-    def ends(self, child: str) -> None:
-        """It is not a child any more."""
+    def remove_child(self, child: str) -> None:
+        """Drop a process that is not a child any more."""
         self._below.pop(child, None)
 
-    def take(self, child: str, report: Report, now_us: int) -> str:
-        """A report. Empty where it is taken whole, else why it was dropped, or a scope of it."""
-        one = self._below.get(child)
-        if one is None or one.incarnation != report.incarnation:
+    def take_report(self, child: str, report: Report, now_us: int) -> str:
+        """Store a report. Return '' if all of it is stored, else why it or one of its scopes was dropped."""
+        sums = self._below.get(child)
+        if sums is None or sums.incarnation != report.incarnation:
             return "report of a stranger"
         if not is_report(report):
             return "impossible report"
-        why = ""
+        reason = ""
         for lag in report.lags:
             table = self._tables.get(lag.head.scope)
-            if table is None or lag.head.scope not in one.lags:
-                why = "report on a scope not taken"
+            if table is None or lag.head.scope not in sums.lags:
+                reason = "report on a scope not taken"
             elif (lag.head.epoch, lag.head.version) > (table.head.epoch, table.head.version):
-                why = "report ahead of ours"  # it came from another upstream and is right soon, or never was
+                # It comes by another upstream, and this process has the version soon, or there is no such version.
+                reason = "report ahead of ours"
             else:
-                if lag != one.lags[lag.head.scope]:
-                    self.news(now_us)
-                one.lags[lag.head.scope] = lag
-        one.reported, one.children = True, report.children
+                if lag != sums.lags[lag.head.scope]:
+                    self.schedule_report(now_us)
+                sums.lags[lag.head.scope] = lag
+        sums.reported, sums.children = True, report.children
         if report.alive or not report.children:
-            one.alive = report.alive
-        return why
+            sums.alive = report.alive
+        return reason
 
-    # ---- What it comes to ----
+    # ---- Sums ----
 
     def lag(self, scope: str) -> Lag:
-        """Everybody below in this scope, ourselves included, against our own head."""
-        return self.against(self._tables[scope].head)
+        """Return how far all processes below, and this one, are behind this process's own head of a scope."""
+        return self.lag_against(self._tables[scope].head)
+
+    def lag_against(self, head: Head) -> Lag:
+        """Return how far all processes below are behind this version.
 
-    def against(self, head: Head) -> Lag:
-        """Everybody below, against this version. In force everywhere below: `behind` is 0."""
+        If it is in force at all of them, `behind` is 0.
+        """
         readers = behind = 0
         least = head.version
         named: list[str] = []
         if head.scope in self._own:
-            ours = self._tables[head.scope].head
+            own_head = self._tables[head.scope].head
             readers = 1
-            if (ours.epoch, ours.version) < (head.epoch, head.version):
-                behind, least, named = 1, ours.version if ours.epoch == head.epoch else 0, [self._name]
-        for name, one in self._below.items():
-            lag = one.lags.get(head.scope)
+            if (own_head.epoch, own_head.version) < (head.epoch, head.version):
+                behind, least, named = 1, own_head.version if own_head.epoch == head.epoch else 0, [self._name]
+        for name, sums in self._below.items():
+            lag = sums.lags.get(head.scope)
             if lag is None or not lag.readers:
                 continue
             readers += lag.readers
             if (lag.head.epoch, lag.head.version) < (head.epoch, head.version):  # it cannot have more than it knows of
                 behind += lag.readers
                 least = min(least, lag.least if lag.head.epoch == head.epoch else 0)
-                who: tuple[str, ...] = (*lag.named, name)
+                names: tuple[str, ...] = (*lag.named, name)
             elif lag.head.epoch > head.epoch or lag.least >= head.version:
                 continue
-            else:  # those behind its head may have ours; where they don't all, they all count
+            else:  # those behind its head may have this version; unless all have it, all of them count
                 behind += lag.behind
-                least, who = min(least, lag.least), lag.named
-            named += [text for text in who if text not in named][: max(0, MOST_NAMED - len(named))]
+                least, names = min(least, lag.least), lag.named
+            named += [laggard for laggard in names if laggard not in named][: max(0, MOST_NAMED - len(named))]
         return Lag(head, readers, least, behind, tuple(named))
 
     @property
     def children(self) -> int:
-        """All processes below, as far as they are told."""
-        return sum(1 + one.children for one in self._below.values())
+        """The number of all processes below, as far as they are reported."""
+        return sum(1 + sums.children for sums in self._below.values())
 
     def alive(self) -> tuple[tuple[str, int], ...]:
-        """Names and incarnations below, the first `MOST_CHILDREN` of them."""
-        found: list[tuple[str, int]] = []
-        for name, one in self._below.items():
-            found += ((name, one.incarnation), *one.alive)
-            if len(found) >= MOST_CHILDREN:
+        """Return names and incarnations of processes below, the first `MOST_CHILDREN` of them."""
+        processes: list[tuple[str, int]] = []
+        for name, sums in self._below.items():
+            processes += ((name, sums.incarnation), *sums.alive)
+            if len(processes) >= MOST_CHILDREN:
                 break
-        return tuple(found[:MOST_CHILDREN])
+        return tuple(processes[:MOST_CHILDREN])
 
-    # ---- Upward ----
+    # ---- Reports to the upstream ----
 
-    def news(self, now_us: int) -> None:
-        """Something is in force here or below that was not."""
-        soon_us = max(now_us + self._draw.randrange(NEWS_US), self._sent_us + LEAST_US)
-        self._news_us = min(self._news_us, soon_us)
+    def schedule_report(self, now_us: int) -> None:
+        """Schedule a report after a version came into force here or below."""
+        at_us = max(now_us + self._draw.randrange(MAX_REPORT_DELAY_US), self._sent_us + MIN_REPORT_GAP_US)
+        self._news_us = min(self._news_us, at_us)
 
     def report(self, incarnation: int, mark: int, now_us: int) -> Report:
-        """What to tell the upstream; call it when it is due."""
-        whole = now_us >= self._round_us
-        if whole:
-            self._round_us = now_us + REPORT_US + self._draw.randrange(-REPORT_US // 10, REPORT_US // 10)
+        """Build the report for the upstream; call it when one is due."""
+        is_full = now_us >= self._round_us
+        if is_full:
+            self._round_us = (
+                now_us + REPORT_INTERVAL_US + self._draw.randrange(-REPORT_INTERVAL_US // 10, REPORT_INTERVAL_US // 10)
+            )
         else:
-            self._round_us = max(self._round_us, now_us + LEAST_US)
+            self._round_us = max(self._round_us, now_us + MIN_REPORT_GAP_US)
         self._sent_us, self._news_us = now_us, NEVER_US
-        lags = tuple(map(self.lag, self._tables))  # those that nobody takes any more, too: else an old sum would stand
-        return Report(incarnation, lags, self.children, self.alive() if whole else (), mark)
+        # Includes scopes that no process below takes any more: otherwise their old sum would stay at the upstream.
+        lags = tuple(map(self.lag, self._tables))
+        return Report(incarnation, lags, self.children, self.alive() if is_full else (), mark)
--- a/oatlink/fleet/control/table.py
+++ b/oatlink/fleet/control/table.py
@@ -34,7 +34,7 @@
     )
 
 
-class _Gathering(msgspec.Struct):
+class _PartialSnapshot(msgspec.Struct):
     """A snapshot under way."""
 
     epoch: int
@@ -55,7 +55,7 @@
         self._kept_bytes, self._held_bytes = kept_bytes, 0
         self._kept: deque[Delta] = deque()  # the newest changes, one after the other up to the head
         self._keys: list[str] | None = None  # in order, while a snapshot is read from here
-        self._gathering: _Gathering | None = None
+        self._snapshot: _PartialSnapshot | None = None
 
     @property
     def floor(self) -> int:
@@ -63,9 +63,9 @@
         return self._kept[0].version - 1 if self._kept else self.head.version
 
     @property
-    def gathering(self) -> tuple[int, int, str] | None:
+    def snapshot_progress(self) -> tuple[int, int, str] | None:
         """The snapshot under way: its epoch, its first version, the last key taken."""
-        one = self._gathering
+        one = self._snapshot
         return None if one is None else (one.epoch, one.first, one.after)
 
     # ---- Taking ----
@@ -75,27 +75,27 @@
         if not are_sound(delta.entries):
             self.dropped += 1
             return False
-        if self._gathering is not None:
-            self._keep_for(self._gathering, delta)
+        if self._snapshot is not None:
+            self._keep_for_snapshot(self._snapshot, delta)
         if (delta.epoch, delta.version) != (self.head.epoch, self.head.version + 1):
-            self.dropped += self._gathering is None
-            return self._gathering is not None
-        self._put(delta)
-        one = self._gathering
+            self.dropped += self._snapshot is None
+            return self._snapshot is not None
+        self._apply_entries(delta)
+        one = self._snapshot
         if one is not None and (one.epoch, one.first) <= (self.head.epoch, self.head.version):
-            self._gathering = None  # changes have led past where it began: no page is needed any more
+            self._snapshot = None  # changes have led past where it began: no page is needed any more
         return True
 
-    def _keep_for(self, one: _Gathering, delta: Delta) -> None:
+    def _keep_for_snapshot(self, one: _PartialSnapshot, delta: Delta) -> None:
         """What comes while a snapshot is under way. Threat: more of it than anybody keeps; it is begun anew then."""
         last = one.changes[-1].version if one.changes else one.first
         if (delta.epoch, delta.version) == (one.epoch, last + 1):
             one.changes.append(delta)
             one.size += size_of(delta.entries)
             if one.size > self._kept_bytes:
-                self._gathering = None
+                self._snapshot = None
 
-    def _put(self, delta: Delta) -> None:
+    def _apply_entries(self, delta: Delta) -> None:
         for entry in delta.entries:
             if entry.value:
                 self._keys = self._keys if entry.key in self.entries else None
@@ -108,18 +108,18 @@
         while self._held_bytes > self._kept_bytes and len(self._kept) > 1:
             self._held_bytes -= size_of(self._kept.popleft().entries)
 
-    def gather(self, page: Page) -> bool:
+    def add_page(self, page: Page) -> bool:
         """A page of a snapshot. Whether a whole state is in force with it."""
         ours = (self.head.epoch, self.head.version)
         if (page.epoch, page.now) <= ours or not page.first <= page.now or not are_sound(page.entries):
             self.dropped += 1
             return False
-        one = self._gathering
+        one = self._snapshot
         if one is None or (one.epoch, one.first) != (page.epoch, page.first):
             if page.after or (one is not None and (one.epoch, one.first) > (page.epoch, page.first)):
                 self.dropped += 1
                 return False
-            one = self._gathering = _Gathering(page.epoch, page.first, "", {}, deque())
+            one = self._snapshot = _PartialSnapshot(page.epoch, page.first, "", {}, deque())
         if page.after != one.after:  # doubled, or one between was lost: it is asked for again from where we are
             self.dropped += 1
             return False
@@ -128,10 +128,10 @@
             one.after = entry.key
         return page.last and self._finish(one, page.now)
 
-    def _finish(self, one: _Gathering, now: int) -> bool:
+    def _finish(self, one: _PartialSnapshot, now: int) -> bool:
         """All pages are here: in force, if the changes reach the last page's version too."""
         last = one.changes[-1].version if one.changes else one.first
-        self._gathering = None
+        self._snapshot = None
         if last < now:
             self.dropped += 1  # a change was lost on the way: the snapshot is begun anew
             return False
@@ -140,22 +140,22 @@
         self._held_bytes = 0
         self.head = Head(self.head.scope, one.epoch, one.first)
         for delta in one.changes:
-            self._put(delta)
+            self._apply_entries(delta)
         return True
 
-    def forget_gathering(self) -> None:
+    def discard_snapshot(self) -> None:
         """The snapshot under way is given up."""
-        self._gathering = None
+        self._snapshot = None
 
-    def begin(self, epoch: int) -> None:
+    def begin_epoch(self, epoch: int) -> None:
         """An epoch without a version yet: nothing of the one before is in it. For sources, that know it agreed."""
         self.head = Head(self.head.scope, epoch, 0)
-        self.entries, self._keys, self._gathering, self._held_bytes = {}, None, None, 0
+        self.entries, self._keys, self._snapshot, self._held_bytes = {}, None, None, 0
         self._kept.clear()
 
     # ---- Giving ----
 
-    def since(self, head: Head, most_bytes: int = PAGE_BYTES) -> tuple[Delta, ...] | None:
+    def changes_since(self, head: Head, most_bytes: int = PAGE_BYTES) -> tuple[Delta, ...] | None:
         """The next changes for a reader that has `head`, at least one if there is any; None: it needs a snapshot."""
         if (head.epoch, head.version) == (self.head.epoch, self.head.version):
             return ()
--- a/oatlink/fleet/control/updates.py
+++ b/oatlink/fleet/control/updates.py
@@ -13,11 +13,11 @@
 from oatlink.fleet.control.bounds import are_heads, is_changes, is_page
 from oatlink.fleet.control.drops import Drops
 from oatlink.fleet.control.table import Table
-from oatlink.fleet.control.upstream import OLD_US, Upstream
+from oatlink.fleet.control.upstream import STALE_US, Upstream
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.messages.effects import Effect
 
-MOST_MISFITS = 4  # pages in a row that do not fit the snapshot under way: it is given up
+MAX_MISFIT_PAGES = 4  # pages in a row that do not fit the snapshot under way: it is given up
 
 
 class UpdateReceiver:
@@ -33,11 +33,13 @@
         moved: Callable[[Table, int], None],
     ) -> None:
         self._tables, self._own, self._age = tables, own, age
-        self._upstream, self._drops, self._moved = upstream, drops, moved
+        self._upstream, self._drops, self._table_changed = upstream, drops, moved
         self.covered: dict[str, None] = {}  # the scopes that our age speaks of: a borrowed one may be of later
         self._misfits: dict[str, int] = {}
-        self._lacks: tuple[object, ...] = ()  # at the last beat that told of more than we have, or of less than we take
-        self._stuck = 0  # beats since anything of it came
+        self._lacking_before: tuple[
+            object, ...
+        ] = ()  # at the last beat that told of more than we have, or of less than we take
+        self._stalled_beats = 0  # beats since anything of it came
 
     def covers(self, scope: str) -> bool:
         """Whether our age speaks of this scope."""
@@ -48,15 +50,15 @@
         if sender != self._upstream.peer:
             return self._drops.add("word of one that is not the upstream", sender, now_us)
         if isinstance(word, c.Beat):
-            return self._beat(sender, word, now_us)
+            return self._receive_beat(sender, word, now_us)
         table = self._tables.get(word.scope)
         if table is None:
             return self._drops.add("scope not taken", sender, now_us)
         if isinstance(word, c.Page):
-            return self._page(sender, table, word, now_us)
-        return self._changes(sender, table, word, now_us)
+            return self._receive_page(sender, table, word, now_us)
+        return self._receive_changes(sender, table, word, now_us)
 
-    def _changes(self, sender: str, table: Table, word: c.Changes, now_us: int) -> list[Effect]:
+    def _receive_changes(self, sender: str, table: Table, word: c.Changes, now_us: int) -> list[Effect]:
         if not is_changes(word):
             return self._drops.add("impossible changes", sender, now_us)
         effects: list[Effect] = []
@@ -68,20 +70,20 @@
                     moved = True
                     effects += self._in_force(table, delta.entries, False)
             elif (delta.epoch, delta.version) > (was.epoch, was.version):
-                self._upstream.gap(now_us)
+                self._upstream.request_resubscribe(now_us)
                 effects += self._drops.add("changes behind a gap", sender, now_us)
             else:
                 effects += self._drops.add("changes that go back", sender, now_us)
         if moved:
-            self._moved(table, now_us)
+            self._table_changed(table, now_us)
         return effects
 
-    def _page(self, sender: str, table: Table, word: c.Page, now_us: int) -> list[Effect]:
+    def _receive_page(self, sender: str, table: Table, word: c.Page, now_us: int) -> list[Effect]:
         if not is_page(word):
             return self._drops.add("impossible page", sender, now_us)
         dropped = table.dropped
-        if table.gather(word):
-            self._moved(table, now_us)
+        if table.add_page(word):
+            self._table_changed(table, now_us)
             whole = tuple(c.Entry(key, value) for key, value in table.entries.items())
             return self._in_force(table, whole, True)
         scope = table.head.scope
@@ -89,29 +91,33 @@
             self._misfits.pop(scope, None)
             return []
         self._misfits[scope] = self._misfits.get(scope, 0) + 1
-        if self._misfits[scope] >= MOST_MISFITS:
+        if self._misfits[scope] >= MAX_MISFIT_PAGES:
             del self._misfits[scope]
-            table.forget_gathering()
+            table.discard_snapshot()
         if (word.epoch, word.now) > (table.head.epoch, table.head.version):
-            self._upstream.gap(now_us)
+            self._upstream.request_resubscribe(now_us)
         return self._drops.add("page that does not fit", sender, now_us)
 
-    def _beat(self, sender: str, word: c.Beat, now_us: int) -> list[Effect]:
-        age_us = self._age.of(word.mark, word.since_ms, word.age_ms, now_us) if are_heads(word.heads) else None
+    def _receive_beat(self, sender: str, word: c.Beat, now_us: int) -> list[Effect]:
+        age_us = (
+            self._age.age_from_beat(word.mark, word.since_ms, word.age_ms, now_us) if are_heads(word.heads) else None
+        )
         if age_us is None:  # of before our time, or played again: it shows no life either
             return self._drops.add("beat that answers nothing of ours", sender, now_us)
-        self._upstream.hears(now_us, age_us > OLD_US)
+        self._upstream.beat_received(now_us, age_us > STALE_US)
         told = {head.scope: head for head in word.heads}
         whole = {scope: None for scope, one in self._tables.items() if scope in told and told[scope] <= one.head}
         # What it does not tell of counts as lacking too: the subscription that asked for it may be lost.
         lacks = [one for scope, one in self._tables.items() if scope not in whole]
-        if all(scope in whole for scope in self._own) and self._age.told(age_us, now_us):
+        if all(scope in whole for scope in self._own) and self._age.update(age_us, now_us):
             self.covered = whole
-        seen: tuple[object, ...] = tuple((one.head, one.gathering) for one in lacks)
-        self._stuck = self._stuck + 1 if seen and seen == self._lacks else 0
-        self._lacks = seen
-        if self._stuck in (2, 4, 8) or (self._stuck and self._stuck % 16 == 0):  # we may but wait for our turn
-            self._upstream.gap(now_us)
+        seen: tuple[object, ...] = tuple((one.head, one.snapshot_progress) for one in lacks)
+        self._stalled_beats = self._stalled_beats + 1 if seen and seen == self._lacking_before else 0
+        self._lacking_before = seen
+        if self._stalled_beats in (2, 4, 8) or (
+            self._stalled_beats and self._stalled_beats % 16 == 0
+        ):  # we may but wait for our turn
+            self._upstream.request_resubscribe(now_us)
         return []
 
     def _in_force(self, table: Table, entries: tuple[c.Entry, ...], whole: bool) -> list[Effect]:
--- a/tests/fleet/control/reader_world.py
+++ b/tests/fleet/control/reader_world.py
@@ -77,7 +77,7 @@
 
     def learn(self, scope: str, delta: c.Delta) -> None:
         self.tables[scope].apply(delta)
-        self.children.changed(scope, self.clock())
+        self.children.scope_changed(scope, self.clock())
         self.wake()
 
     def take(self, sender: str, message: Message) -> None:
@@ -90,7 +90,7 @@
             case c.Report():
                 self.do(self.children.report(sender, message, now))
             case c.Leave():
-                self.do(self.children.gone(sender, message.incarnation))
+                self.do(self.children.remove(sender, message.incarnation))
 
     def seat(self, sender: str, join: c.Join) -> c.Seat:
         world = self.world
--- a/tests/fleet/control/test_downstream.py
+++ b/tests/fleet/control/test_downstream.py
@@ -7,7 +7,7 @@
 from oatlink.fleet.control import downstream as d
 from oatlink.fleet.control import feed as f
 from oatlink.fleet.control.drops import Drops
-from oatlink.fleet.control.sums import LEAST_US, REPORT_US, Sums
+from oatlink.fleet.control.sums import MIN_REPORT_GAP_US, REPORT_INTERVAL_US, Sums
 from oatlink.fleet.control.table import Table, size_of
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.messages.effects import Effect, Tell
@@ -38,7 +38,7 @@
         for _ in range(count):
             version = self.tables["all"].head.version + 1
             self.tables["all"].apply(c.Delta(0, version, (c.Entry(f"k{version}", bytes([1] * size)),)))
-        self.down.changed("all", self.now)
+        self.down.scope_changed("all", self.now)
         self.add(self.down.tick(self.now))
 
     def run(self, us: int, alive: bool = True) -> None:
@@ -70,7 +70,7 @@
     relay.run(SECOND)
     first, *rest = relay.changes("a")
     assert first == (began, 1) and sum(count for _, count in rest) == 4 and len(rest) <= 2  # a beat may fall between
-    assert rest[-1][0] <= began + f.GATHER_US
+    assert rest[-1][0] <= began + f.BATCH_US
 
 
 def test_a_beat_tells_of_nothing_that_was_not_sent_before_it() -> None:
@@ -100,8 +100,8 @@
     assert max(Counter(at // (100 * MS) for at, _ in beats).values()) <= 15  # divided over the second
     (last,) = [one for at, one in relay.told if one.to == "c3"][-1:]
     assert isinstance(last.message, c.Beat) and last.message.mark == 9
-    relay.run(d.SILENT_US + 2 * SECOND, alive=False)
-    assert len(relay.down) == 0 and not relay.down.feed.takes("all") and relay.sums.children == 0
+    relay.run(d.CHILD_TIMEOUT_US + 2 * SECOND, alive=False)
+    assert len(relay.down) == 0 and not relay.down.feed.has_takers("all") and relay.sums.children == 0
 
 
 def test_those_behind_share_a_rate_resume_where_they_stopped_and_do_not_keep_news_waiting() -> None:
@@ -117,20 +117,20 @@
     pages = [one.message for _, one in relay.told if one.to == "far0" and isinstance(one.message, c.Page)]
     assert pages and not pages[-1].last
     taken = pages[0]
-    relay.down.gone("far0")
+    relay.down.remove("far0")
     relay.child("far0", resume=(("all", 0, taken.first, taken.entries[-1].key),))
     relay.run(40 * SECOND)
     spent: Counter[int] = Counter()
     for when, one in relay.told:
         if isinstance(one.message, c.Page):
             spent[when // SECOND] += size_of(one.message.entries)
-    assert max(spent.values()) <= f.RATE + f.BURST and sum(spent.values()) > 8 * 300_000
+    assert max(spent.values()) <= f.CATCH_UP_BYTES_PER_S + f.CATCH_UP_BURST_BYTES and sum(spent.values()) > 8 * 300_000
     for n in range(8):
         words = [one.message for _, one in relay.told if one.to == f"far{n}"]
         reader = Table("all")
         for word in words:
             if isinstance(word, c.Page):
-                reader.gather(word)
+                reader.add_page(word)
             elif isinstance(word, c.Changes):
                 assert all(reader.apply(delta) for delta in word.deltas)
         assert reader.head == relay.tables["all"].head and reader.entries == relay.tables["all"].entries
@@ -191,7 +191,7 @@
     assert relay.sums.lag("all") == c.Lag(c.Head("all", 0, 5), 12, 3, 3, ("x", "y", "b"))
     relay.commit()
     assert relay.sums.lag("all") == c.Lag(c.Head("all", 0, 6), 12, 3, 11, ("x", "y", "a", "b"))  # but ourselves
-    assert relay.sums.against(c.Head("all", 0, 3)).behind == 0 and relay.sums.children == 11
+    assert relay.sums.lag_against(c.Head("all", 0, 3)).behind == 0 and relay.sums.children == 11
     for name in ("a", "b"):
         relay.report(name, c.Lag(c.Head("all", 0, 6), 1, 6))
     assert relay.sums.lag("all") == c.Lag(c.Head("all", 0, 6), 3, 6) and not relay.sums.report(1, 1, 0).alive
@@ -202,14 +202,14 @@
     relay.child("a")
     for now in range(0, 60 * SECOND, 20 * MS):
         if 20 * SECOND < now < 40 * SECOND:
-            relay.sums.news(now)
+            relay.sums.schedule_report(now)
         if now >= relay.sums.due_us:
             sent.append((now, relay.sums.report(1, 1, now)))
-    assert all(b - a >= LEAST_US - 20 * MS for (a, _), (b, _) in zip(sent, sent[1:], strict=False))
+    assert all(b - a >= MIN_REPORT_GAP_US - 20 * MS for (a, _), (b, _) in zip(sent, sent[1:], strict=False))
     quiet = [at for at, _ in sent if at < 20 * SECOND]
     assert (
         3 <= len(quiet) <= 6
         and len(sent) <= 40
-        and all(b - a < 1.2 * REPORT_US for a, b in zip(quiet, quiet[1:], strict=False))
+        and all(b - a < 1.2 * REPORT_INTERVAL_US for a, b in zip(quiet, quiet[1:], strict=False))
     )
     assert ("a", 1) in sent[0][1].alive
--- a/tests/fleet/control/test_log.py
+++ b/tests/fleet/control/test_log.py
@@ -78,7 +78,7 @@
     (change,) = one.offer((c.Entry("k", b"1"),), 0, done, 0)
     assert isinstance(change, f.Change)
     one.answered(f.Answer(change.ask, change.key, "unknown", 0, b"", 0), 0)
-    one.committed("s1", c.Delta(0, 1, (c.Entry("k", b"1"),)), 0)
+    one.receive_committed("s1", c.Delta(0, 1, (c.Entry("k", b"1"),)), 0)
     assert one.head.version == 0 and not ends
     (read,) = one.tick(SECOND)
     assert isinstance(read, f.Read)
--- a/tests/fleet/control/test_members.py
+++ b/tests/fleet/control/test_members.py
@@ -3,61 +3,63 @@
 from oatlink.fleet.messages import control as c
 from tests.fleet.control.source_world import MS, SECOND, World
 
-ALIVE, GONE, CUT = names.ALIVE_US, names.GONE_US, members.CUT_US
+ALIVE, GONE, CUT = names.ALIVE_US, names.GONE_US, members.CUT_OFF_US
 
 
 def joined(*given: str, zone: str = "z", born: int = 1, now: int = 0) -> Members:
     """Names that are agreed, as if by the log."""
     one = Members(1)
     for name in given:
-        assert one.wants(name, c.Join(born, "r", zone, f"{name}:1"), True, now) == "waits"
+        assert one.request_name(name, c.Join(born, "r", zone, f"{name}:1"), True, now) == "waits"
     agree(one, now, f"names/r/{zone}")
     return one
 
 
 def agree(one: Members, now: int, scope: str = "names/r/z", reach: bool = True) -> list[str]:
     """The next change is agreed: its keys."""
-    entries, _ = one.change(scope, reach, now)
-    one.names.applied(scope, entries, now)
-    one.came(scope, now)
-    one.done(scope, now)
+    entries, _ = one.next_change(scope, reach, now)
+    one.names.apply(scope, entries, now)
+    one.take_named(scope, now)
+    one.change_finished(scope, now)
     return [entry.key for entry in entries]
 
 
 def test_a_name_stays_with_its_process_while_that_is_heard() -> None:
     one = joined("a")
     second = c.Join(2, "r", "z", "b:1")
-    assert one.wants("a", second, True, ALIVE) == "twice"
-    assert one.names.heard("a", 1, ALIVE)
-    assert one.wants("a", second, True, 2 * ALIVE) == "twice"
-    assert one.wants("a", second, False, 2 * ALIVE + 1) == "twice", "a source cut off does not know who is silent"
-    assert one.wants("a", second, True, 2 * ALIVE + 1) == "waits"
+    assert one.request_name("a", second, True, ALIVE) == "twice"
+    assert one.names.mark_heard("a", 1, ALIVE)
+    assert one.request_name("a", second, True, 2 * ALIVE) == "twice"
+    assert one.request_name("a", second, False, 2 * ALIVE + 1) == "twice", (
+        "a source cut off does not know who is silent"
+    )
+    assert one.request_name("a", second, True, 2 * ALIVE + 1) == "waits"
     assert agree(one, 2 * ALIVE + 1) == ["a"]
-    assert one.wants("a", c.Join(1, "r", "z", "a:1"), True, 9 * ALIVE) == "twice", "an old one came back"
-    assert not one.names.heard("a", 1, 9 * ALIVE)
+    assert one.request_name("a", c.Join(1, "r", "z", "a:1"), True, 9 * ALIVE) == "twice", "an old one came back"
+    assert not one.names.mark_heard("a", 1, 9 * ALIVE)
 
 
 def test_who_listens_where_the_one_before_did_has_its_name_at_once() -> None:
     one = joined("a")
-    assert one.wants("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
+    assert one.request_name("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
     assert agree(one, 0) == ["a"]
-    assert one.wants("a", c.Join(1, "r", "z", "a:1"), True, 0) == "twice", "the one before is not gone after all"
+    assert one.request_name("a", c.Join(1, "r", "z", "a:1"), True, 0) == "twice", "the one before is not gone after all"
 
 
 def test_the_same_incarnation_elsewhere_is_another_process() -> None:
     one = joined("a")
-    assert one.wants("a", c.Join(1, "r", "z", "b:1"), True, 0) == "twice"
-    assert one.wants("a", c.Join(1, "r", "y", "a:1"), True, 9 * ALIVE) == "twice"
+    assert one.request_name("a", c.Join(1, "r", "z", "b:1"), True, 0) == "twice"
+    assert one.request_name("a", c.Join(1, "r", "y", "a:1"), True, 9 * ALIVE) == "twice"
 
 
 def test_who_leaves_frees_its_name_at_once() -> None:
     one = joined("a")
-    one.left("a", 1, 0)
-    assert one.wants("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
+    one.leave("a", 1, 0)
+    assert one.request_name("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
     assert agree(one, 0) == ["a"]
-    one.left("a", 1, 0)  # a late word of the one before
+    one.leave("a", 1, 0)  # a late word of the one before
     assert agree(one, 0) == []
-    one.left("a", 2, 0)
+    one.leave("a", 2, 0)
     assert agree(one, 0) == ["a"] and len(one.names) == 0
 
 
@@ -66,10 +68,10 @@
         one = Members(1)
         for zone in order:
             born = 2 if zone == "z" else 1
-            one.names.applied(f"names/r/{zone}", [names.entry_of("a", names.Named(born, "a:1"))], 0)
+            one.names.apply(f"names/r/{zone}", [names.entry_of("a", names.Named(born, "a:1"))], 0)
         found = one.names.get("a")
         assert found is not None and found.scope == "names/r/z"
-        one.gather("names/r/y", 0)
+        one.schedule_change("names/r/y", 0)
         assert agree(one, 0, "names/r/y") == ["a"]
         assert one.names.get("a") is found and not one.names.zone("names/r/y").stale
 
@@ -77,31 +79,31 @@
 def test_joins_are_gathered_into_changes_that_fit() -> None:
     one = joined(*(f"gateway-{number:04}.region.example" for number in range(190)))
     assert 50 < len(one.names) < 190
-    assert one.due(0) == ["names/r/z"]
+    assert one.due_scopes(0) == ["names/r/z"]
     while len(one.names) < 190:
         assert agree(one, 0)
-    for number in range(2 * members.MOST_WISHES):
-        said = one.wants(f"n{number}", c.Join(1, "r", "z", "a:1"), True, 0)
-        assert said == ("waits" if number < members.MOST_WISHES else "full")
+    for number in range(2 * members.MAX_PENDING_JOINS):
+        said = one.request_name(f"n{number}", c.Join(1, "r", "z", "a:1"), True, 0)
+        assert said == ("waits" if number < members.MAX_PENDING_JOINS else "full")
 
 
 def test_who_is_silent_goes_a_few_a_second_and_only_with_most_sources_heard() -> None:
     one = joined(*(f"n{number}" for number in range(100)))
-    while one.waiting:
+    while one.pending_count:
         agree(one, 0)
     for number in range(20, 100):
-        one.names.heard(f"n{number}", 1, GONE)
+        one.names.mark_heard(f"n{number}", 1, GONE)
     one.sweep(True, GONE - 1)
     assert agree(one, GONE) == []
     one.sweep(False, GONE)
     assert agree(one, GONE) == [], "most sources are not heard"
     one.sweep(True, GONE)
     back = next(iter(one.names.zone("names/r/z").silent))
-    one.names.heard(back, 1, GONE)
+    one.names.mark_heard(back, 1, GONE)
     gone = agree(one, GONE)
-    assert len(gone) == members.GOING - 1 and back not in gone
+    assert len(gone) == members.MAX_REMOVALS - 1 and back not in gone
     one.sweep(True, GONE)
-    assert len(agree(one, GONE)) == members.GOING
+    assert len(agree(one, GONE)) == members.MAX_REMOVALS
     one.sweep(True, GONE)
     assert agree(one, GONE) == []
     assert len(one.names) == 81
@@ -110,13 +112,13 @@
 def test_a_zone_that_is_cut_off_is_not_emptied() -> None:
     one = joined(*(f"n{number}" for number in range(40)))
     for number in range(11, 40):
-        one.names.heard(f"n{number}", 1, GONE)
+        one.names.mark_heard(f"n{number}", 1, GONE)
     one.sweep(True, GONE)
     assert agree(one, GONE) == [], "11 of 40 are more than a quarter"
     for number in range(11, 40):
-        one.names.heard(f"n{number}", 1, CUT)
+        one.names.mark_heard(f"n{number}", 1, CUT)
     one.sweep(True, CUT)
-    assert len(agree(one, CUT)) == members.GOING
+    assert len(agree(one, CUT)) == members.MAX_REMOVALS
 
 
 # ---- Over sources ----
--- a/tests/fleet/control/test_reader.py
+++ b/tests/fleet/control/test_reader.py
@@ -4,9 +4,9 @@
 import pytest
 
 from oatlink.fleet.control import downstream, feed
-from oatlink.fleet.control.age import BEHIND_US, Age
+from oatlink.fleet.control.age import AGE_BOUND_US, Age
 from oatlink.fleet.control.reader import Reader
-from oatlink.fleet.control.upstream import PER_READER_US
+from oatlink.fleet.control.upstream import WINDOW_PER_READER_US
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.messages.effects import Tell
 from tests.fleet.control.reader_world import DRIFT, MS, SECOND, Process, World
@@ -54,7 +54,7 @@
         if not world.nodes[name].up:
             process(world, name).start()
     world.until_all(ROUND_US)
-    world.run(downstream.SILENT_US + 8 * SECOND)  # a child that went elsewhere unheard counts until then
+    world.run(downstream.CHILD_TIMEOUT_US + 8 * SECOND)  # a child that went elsewhere unheard counts until then
     assert all(world.source(0).sums.lag(s).behind + world.source(1).sums.lag(s).behind == 0 for s in world.history)
 
 
@@ -67,7 +67,7 @@
     world.run(2 * MS)  # half of it may be on the way
     world.kill(sorted(upstreams)[0])
     world.commit("all", c.Entry("urgent", b"2"))
-    assert world.until_all(BEHIND_US) <= BEHIND_US
+    assert world.until_all(AGE_BOUND_US) <= AGE_BOUND_US
 
 
 def test_all_relays_of_a_zone_of_a_hundred_killed_and_started_again_are_no_herd_at_the_sources() -> None:
@@ -83,7 +83,7 @@
                 process(world, f"relay-{n}").start()
         world.some(20)
         world.until_all(25 * SECOND)
-        assert max(world.joins.values()) <= 1.5 * SECOND / PER_READER_US
+        assert max(world.joins.values()) <= 1.5 * SECOND / WINDOW_PER_READER_US
         assert max(count for (name, _), count in world.told.items() if "source" in name) <= 150
 
 
@@ -135,7 +135,7 @@
     for _ in range(120):
         world.some()
         world.steps(500 * MS)  # the world's judge looks at each age
-    assert any(one.age() > BEHIND_US for one in world.processes())
+    assert any(one.age() > AGE_BOUND_US for one in world.processes())
 
 
 def test_laggards_are_known_at_the_source_by_name_and_number() -> None:
@@ -161,7 +161,7 @@
     for n, one in enumerate(relays):  # as if a source had seated them on one another, in a ring
         up = one.core._upstream
         up.current, up.spare, up._heard_us = c.Place(f"relay-{(n + 1) % 3}", "a"), None, one.clock()
-        up.gap(one.clock())
+        up.request_resubscribe(one.clock())
         one.known[up.peer] = None
         one.wake()
     world.run(20 * SECOND)
@@ -217,19 +217,19 @@
         c.Changes("group/other", (c.Delta(0, 1, ()),)),
     ):
         one.take(up.peer, odd)
-    assert core.head("all").version == at and not core._tables["all"].gathering
+    assert core.head("all").version == at and not core._tables["all"].snapshot_progress
     counts = core._drops.counts
     assert (counts["impossible changes"], counts["impossible page"], counts["scope not taken"]) == (3, 3, 1)
     assert len([note for note in one.notes if "impossible" in note.text]) == 2  # a line a reason, once a minute
     world.run(2 * SECOND)
-    (beat_us,) = (up._again_us,)
+    (beat_us,) = (up._resubscribe_us,)
     one.take(up.peer, c.Changes("all", (c.Delta(0, at + 2, ()),)))
     assert beat_us > one.clock() and up._subscribed_us == one.clock()  # at once, by the gap and not by a beat later
     one.take(up.peer, c.Page("all", 0, at + 9, at + 9, at, "", (c.Entry("a", b"1"),)))
     for _ in range(4):  # another upstream is behind: its snapshots begin before the one under way
-        assert core._tables["all"].gathering
+        assert core._tables["all"].snapshot_progress
         one.take(up.peer, c.Page("all", 0, at + 8, at + 8, at, "", (c.Entry("a", b"1"),)))
-    assert not core._tables["all"].gathering
+    assert not core._tables["all"].snapshot_progress
     relay = process(world, "relay-0")
     peer, child = relay.core._upstream.peer, c.Subscribe(1, (c.Head("all"),))
     (refused,) = [e.message for e in relay.core.receive(peer, child, relay.clock()) if isinstance(e, Tell)]
@@ -243,13 +243,13 @@
     world.run(4 * SECOND)
     assert relay.core._updates.covers("group/g")
     relay.take("child", c.Leave(1))
-    relay.core._take(tuple(f"group/{n}" for n in range(13)))  # no room but in its place
-    relay.core._give_back(relay.clock())
-    assert relay.core._take(("group/g",)) and not relay.core._updates.covers("group/g")
+    relay.core._add_scopes(tuple(f"group/{n}" for n in range(13)))  # no room but in its place
+    relay.core._drop_unknown_scopes(relay.clock())
+    assert relay.core._add_scopes(("group/g",)) and not relay.core._updates.covers("group/g")
     heads = tuple(one.head for one in relay.core._tables.values())
-    relay.take(relay.core._upstream.peer, c.Beat(60_000, heads, relay.core._age._mark))
+    relay.take(relay.core._upstream.peer, c.Beat(60_000, heads, relay.core._age._last_mark))
     assert not relay.core._updates.covers("group/g")  # older than what our age says
-    relay.take(relay.core._upstream.peer, c.Beat(0, heads, relay.core._age._mark, 1 << 30))
+    relay.take(relay.core._upstream.peer, c.Beat(0, heads, relay.core._age._last_mark, 1 << 30))
     assert relay.core._updates.covers("group/g")
 
 
@@ -257,17 +257,17 @@
     world = started(12, groups=False)
     relay = process(world, "relay-0")
     core, heads = relay.core, tuple(relay.core.head(scope) for scope in relay.scopes())
-    core._take(("group/g",))  # and the word that asks for it is lost
-    peer, mark = core._upstream.peer, core._age._mark
+    core._add_scopes(("group/g",))  # and the word that asks for it is lost
+    peer, mark = core._upstream.peer, core._age._last_mark
     effects = [e for _ in range(3) for e in core.receive(peer, c.Beat(0, heads, mark, 1 << 30), relay.clock() + SECOND)]
     assert [len(e.message.heads) for e in effects if isinstance(e, Tell) and isinstance(e.message, c.Subscribe)] == [4]
 
 
 def test_what_is_known_to_be_younger_stays_known() -> None:
     age = Age(DRIFT, 1)
-    age.told(100, 0)
-    age.told(9 * SECOND, SECOND)
-    assert SECOND < age.at(SECOND) < 1.01 * SECOND and not age.behind(SECOND) and age.behind(6 * SECOND)
+    age.update(100, 0)
+    age.update(9 * SECOND, SECOND)
+    assert SECOND < age.age_us(SECOND) < 1.01 * SECOND and not age.is_behind(SECOND) and age.is_behind(6 * SECOND)
 
 
 def test_its_bounds_and_its_end() -> None:
@@ -297,7 +297,7 @@
     sent = [(a, b, len(msgspec.msgpack.encode(m))) for a, b, m in world.tape][began:]
     reader = [size for a, b, size in sent if "reader-0" in (a, b)]
     assert 60 <= len(reader) <= 80 and sum(reader) / 60 <= 100
-    assert feed.RATE == 131_072 and downstream.SILENT_US == 15 * SECOND
+    assert feed.CATCH_UP_BYTES_PER_S == 131_072 and downstream.CHILD_TIMEOUT_US == 15 * SECOND
 
 
 def test_a_relay_asks_again_for_what_a_child_takes_when_its_word_was_lost() -> None:
--- a/tests/fleet/control/test_seats.py
+++ b/tests/fleet/control/test_seats.py
@@ -4,25 +4,25 @@
 
 from oatlink.fleet.control import seats
 from oatlink.fleet.control.names import ALIVE_US, Named, Names, entry_of, named_of
-from oatlink.fleet.control.seats import LOST_US, Seats
+from oatlink.fleet.control.seats import LOST_UPSTREAM_US, SeatPlanner
 from oatlink.fleet.messages import control as c
 from tests.fleet.control.source_world import SECOND, World
 
 SOURCES = tuple(c.Place(f"s{number}", f"s{number}:1") for number in range(3))
 
 
-def seated(relays: dict[str, tuple[str, int]], now: int = 0) -> tuple[Names, Seats]:
+def seated(relays: dict[str, tuple[str, int]], now: int = 0) -> tuple[Names, SeatPlanner]:
     """Relays by name: zone and how many each serves."""
     known = Names()
-    one = Seats(known, "s0", "r", SOURCES, 7, now)
+    one = SeatPlanner(known, "s0", "r", SOURCES, 7, now)
     for name, (zone, serves) in relays.items():
-        known.applied(f"names/r/{zone}", [entry_of(name, Named(1, f"{name}:1", serves))], now)
-        one.zone_seen(f"names/r/{zone}")
+        known.apply(f"names/r/{zone}", [entry_of(name, Named(1, f"{name}:1", serves))], now)
+        one.add_zone(f"names/r/{zone}")
     return known, one
 
 
-def given_to(one: Seats, name: str, now: int = 0, zone: str = "z") -> tuple[str, str]:
-    upstream, spare = one.place(name, f"names/r/{zone}", lambda source: source != "s2", now)
+def given_to(one: SeatPlanner, name: str, now: int = 0, zone: str = "z") -> tuple[str, str]:
+    upstream, spare = one.choose(name, f"names/r/{zone}", lambda source: source != "s2", now)
     return upstream.name, spare.name
 
 
@@ -37,11 +37,11 @@
 
 def test_a_relay_that_is_full_or_silent_is_not_given() -> None:
     known, one = seated({"a": ("z", 9), "b": ("z", 9), "c": ("z", 9)})
-    one.reports("a", 9)
+    one.set_children("a", 9)
     assert "a" not in given_to(one, "g")
-    one.reports("a", 0)
-    known.heard("b", 1, ALIVE_US + 1)
-    known.heard("c", 1, ALIVE_US + 1)
+    one.set_children("a", 0)
+    known.mark_heard("b", 1, ALIVE_US + 1)
+    known.mark_heard("c", 1, ALIVE_US + 1)
     assert sorted(given_to(one, "g", ALIVE_US + 1)) == ["b", "c"]
 
 
@@ -53,31 +53,31 @@
 
 def test_what_was_lost_is_not_given_again_for_a_while() -> None:
     known, one = seated({"a": ("z", 90), "b": ("z", 90), "c": ("z", 90)})
-    one.lost("g", "a", 0)
+    one.upstream_lost("g", "a", 0)
     assert "a" not in given_to(one, "g")
     assert any("a" in given_to(one, f"h{number}") for number in range(20)), "one witness is not enough"
-    one.lost("h", "a", 0)
+    one.upstream_lost("h", "a", 0)
     assert not any("a" in given_to(one, f"h{number}") for number in range(20))
     for name in "abc":
-        known.heard(name, 1, LOST_US)
-    assert any("a" in given_to(one, f"h{number}", LOST_US) for number in range(20))
-    one.lost("g", "s0", LOST_US)
+        known.mark_heard(name, 1, LOST_UPSTREAM_US)
+    assert any("a" in given_to(one, f"h{number}", LOST_UPSTREAM_US) for number in range(20))
+    one.upstream_lost("g", "s0", LOST_UPSTREAM_US)
     _, alone = seated({})
-    alone.lost("g", "s0", 0)
+    alone.upstream_lost("g", "s0", 0)
     assert given_to(alone, "g")[0] == "s1"
 
 
 @pytest.mark.parametrize("joins, worst_s", [(190, 1.9), (720, 7.2), (3_600, 36.0)])
 def test_the_pace_of_one_source(joins: int, worst_s: float) -> None:
     _, one = seated({})
-    waits = [one.pace(0) for _ in range(joins)]
+    waits = [one.reserve_turn(0) for _ in range(joins)]
     assert None not in waits and waits == sorted(filter(lambda us: us is not None, waits))  # type: ignore[type-var]
     assert waits[-1] is not None and worst_s - 0.02 <= waits[-1] / SECOND <= worst_s
     assert (
         max(sum(start <= (us or 0) < start + SECOND for us in waits) for start in range(0, joins * 10_000, SECOND))
         <= 100
     )
-    while one.pace(0) is not None:
+    while one.reserve_turn(0) is not None:
         joins += 1
     assert joins <= 4_001
 
@@ -130,7 +130,7 @@
 
 
 def test_the_source_tells_those_beyond_its_patience_to_ask_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(seats, "MOST_WAIT_US", 100_000)
+    monkeypatch.setattr(seats, "MAX_WAIT_US", 100_000)
     world = World(4, 1).run(SECOND)
     for number in range(20):
         world.join(f"g{number}")
--- a/tests/fleet/control/test_source.py
+++ b/tests/fleet/control/test_source.py
@@ -142,18 +142,18 @@
 
 def test_made_up_scopes_take_no_room_from_those_that_there_are() -> None:
     world = World(9, 2).run(SECOND)
-    for number in range(logs.MOST_LOGS):
+    for number in range(logs.MAX_LOGS):
         heads = tuple(c.Head(f"group/{number}x{one}") for one in range(9))
         world.take(f"g{number}", "s0", c.Subscribe(1, heads))
         world.join(f"h{number}", zone=f"{number}")
     scopes = dict(world.cores["s0"].rows(world.now))["scopes"].split()
-    assert len(scopes) == logs.MOST_UNKNOWN + 1
+    assert len(scopes) == logs.MAX_UNKNOWN_SCOPES + 1
     assert isinstance(world.words("g99")[0], c.Refused) and isinstance(world.words("h99")[0], c.Refused)
     world.run(2 * SECOND)
     assert len(dict(world.cores["s1"].rows(world.now))["scopes"].split()) == 14, "all, 6 zones, their names, a region"
-    world.offer("s0", 1, "all", *((f"group/{number}", b"1") for number in range(logs.MOST_LOGS)))
+    world.offer("s0", 1, "all", *((f"group/{number}", b"1") for number in range(logs.MAX_LOGS)))
     world.run(SECOND)
-    assert len(dict(world.cores["s0"].rows(world.now))["scopes"].split()) == logs.MOST_LOGS
+    assert len(dict(world.cores["s0"].rows(world.now))["scopes"].split()) == logs.MAX_LOGS
 
 
 def test_names_are_not_for_readers() -> None:
--- a/tests/fleet/control/test_source_guards.py
+++ b/tests/fleet/control/test_source_guards.py
@@ -11,10 +11,10 @@
 from oatlink.fleet.control.logs import Logs
 from oatlink.fleet.control.members import Members
 from oatlink.fleet.control.names import Names
-from oatlink.fleet.control.offers import Line
+from oatlink.fleet.control.offers import OfferQueue
 from oatlink.fleet.control.peers import Peers
 from oatlink.fleet.control.roster import Roster
-from oatlink.fleet.control.seats import Seats
+from oatlink.fleet.control.seats import SeatPlanner
 from oatlink.fleet.control.source import Source
 from oatlink.fleet.messages import Answer, Effect
 from tests.fleet.control import test_log as of_log
@@ -61,47 +61,67 @@
 
 
 put(
-    "slots written over at any time", of_log.test_slots_are_used_again_when_most_have_their_version, Log, _most_have=yes
+    "slots written over at any time",
+    of_log.test_slots_are_used_again_when_most_have_their_version,
+    Log,
+    _has_majority=yes,
 )
-put("whose a version is", race, Agreement, is_mine=lambda one, _: one.line.tried)
-put("which version is ours", race, Agreement, is_mine=lambda *_: False)
-put("the caller's check", bad_changes, agreement, mistake_of_state=nothing)
-put("the bounds of a change", bad_changes, log, mistake_of_change=nothing)
+put("whose a version is", race, Agreement, is_own=lambda one, _: one.queue.is_front_tried)
+put("which version is ours", race, Agreement, is_own=lambda *_: False)
+put("the caller's check", bad_changes, agreement, state_error=nothing)
+put("the bounds of a change", bad_changes, log, change_error=nothing)
 put(
     "the version it is made for",
     of_log.test_a_change_is_checked_again_after_a_lost_race,
     agreement,
-    mistake_of_base=nothing,
+    base_error=nothing,
 )
-put("that a scope exists", bad_changes, source, mistake_of_scope=nothing)
+put("that a scope exists", bad_changes, source, scope_error=nothing)
 put("one is alive", of_members.test_a_name_stays_with_its_process_while_that_is_heard, Names, is_alive=lambda *_: False)
-put("a cut zone", of_members.test_a_zone_that_is_cut_off_is_not_emptied, members, CUT_PART=0)
+put("a cut zone", of_members.test_a_zone_that_is_cut_off_is_not_emptied, members, CUT_OFF_DIVISOR=0)
 put(
     "few a second",
     of_members.test_who_is_silent_goes_a_few_a_second_and_only_with_most_sources_heard,
     members,
-    GOING=99,
+    MAX_REMOVALS=99,
 )
-put("joins are gathered", of_members.test_joins_that_come_one_after_the_other_are_gathered, members, GATHER_US=0)
-put("reports told on", of_members.test_a_report_at_one_source_keeps_the_name_at_all, Roster, spoke=lambda *_: [])
-put("the rate of counts", of_members.test_counts_are_entries_of_all_at_a_bounded_rate, roster, COUNT_US=0)
-put("relays hear sources", of_seats.circles, Seats, is_relay=lambda *_: False)
-put("what was lost", of_seats.test_what_was_lost_is_not_given_again_for_a_while, Seats, lost=lambda *_: None)
-put("the pace", pace, Seats, pace=lambda *_: 0)
+put("joins are gathered", of_members.test_joins_that_come_one_after_the_other_are_gathered, members, BATCH_US=0)
+put(
+    "reports told on", of_members.test_a_report_at_one_source_keeps_the_name_at_all, Roster, handle_report=lambda *_: []
+)
+put("the rate of counts", of_members.test_counts_are_entries_of_all_at_a_bounded_rate, roster, COUNT_INTERVAL_US=0)
+put("relays hear sources", of_seats.circles, SeatPlanner, is_relay=lambda *_: False)
+put(
+    "what was lost",
+    of_seats.test_what_was_lost_is_not_given_again_for_a_while,
+    SeatPlanner,
+    upstream_lost=lambda *_: None,
+)
+put("the pace", pace, SeatPlanner, reserve_turn=lambda *_: 0)
 put(
     "as few relays as needed",
     of_seats.test_relays_are_as_few_as_needed,
     members,
-    as_relay=lambda serves, *_: serves > 0,
+    is_relay_needed=lambda serves, *_: serves > 0,
 )
 put("freshness", of_source.test_age_is_0_with_a_majority_and_grows_without, logs, FRESH_US=10**12)
 put("slots read in turn", of_source.test_a_version_that_nobody_told_of_is_noticed, logs, ROUND_US=10**9, FRESH_US=10**9)
-put("heads in beats", of_source.test_a_lost_word_of_a_version_is_noticed_by_the_next_beat, Log, told=lambda *_: None)
-put("room for scopes", of_source.test_made_up_scopes_take_no_room_from_those_that_there_are, logs, MOST_UNKNOWN=999)
-put("names for sources alone", of_source.test_names_are_not_for_readers, Source, _take=yes)
+put(
+    "heads in beats", of_source.test_a_lost_word_of_a_version_is_noticed_by_the_next_beat, Log, peer_has=lambda *_: None
+)
+put(
+    "room for scopes",
+    of_source.test_made_up_scopes_take_no_room_from_those_that_there_are,
+    logs,
+    MAX_UNKNOWN_SCOPES=999,
+)
+put("names for sources alone", of_source.test_names_are_not_for_readers, Source, _open_scopes=yes)
 put("bounds of a join", bad_joins, members, _is_sound=yes)
 put(
-    "most sources heard", of_source.test_one_without_the_others_removes_nobody_and_one_does_it_for_all, Peers, reach=yes
+    "most sources heard",
+    of_source.test_one_without_the_others_removes_nobody_and_one_does_it_for_all,
+    Peers,
+    hears_majority=yes,
 )
 
 
@@ -113,20 +133,20 @@
 
 @instead_of(Log, "answered", race)
 def unknown_is_taken_for_failed(honest: Honest, one: Log, answer: Answer, now_us: int) -> list[Effect]:
-    if answer.how == "unknown" and one._at.line.tried:
-        front = one._at.line.front
+    if answer.how == "unknown" and one._agreement.queue.is_front_tried:
+        front = one._agreement.queue.front
         assert front is not None
-        front.tried, front.number = False, front.number + 1_000
+        front.is_tried, front.number = False, front.number + 1_000
     return honest(one, answer, now_us)  # type: ignore[no-any-return]
 
 
 @found_by(of_log.test_while_an_end_is_unknown_only_the_slot_tells_whose_a_version_is)
 def another_source_is_believed_while_an_end_is_unknown(patch: Patch) -> None:
     """Version n by another source's word, while an own change for it may have happened."""
-    patch.setattr(Line, "tried", property(lambda _: False))
+    patch.setattr(OfferQueue, "is_front_tried", property(lambda _: False))
 
 
-@instead_of(Members, "_refused", of_members.test_a_name_stays_with_its_process_while_that_is_heard)
+@instead_of(Members, "_refusal", of_members.test_a_name_stays_with_its_process_while_that_is_heard)
 def a_source_cut_off_gives_names_again(honest: Honest, one: Members, name: str, join: object, _: bool, now: int) -> str:
     return honest(one, name, join, True, now)  # type: ignore[no-any-return]
 
@@ -143,18 +163,18 @@
     return honest(one, scope, entries, -1, done, now, anew)  # type: ignore[no-any-return]
 
 
-@instead_of(Log, "doubt", of_source.test_after_a_cut_no_scope_is_spoken_of_before_its_next_slot_was_read)
+@instead_of(Log, "distrust", of_source.test_after_a_cut_no_scope_is_spoken_of_before_its_next_slot_was_read)
 def the_first_answer_after_a_cut_speaks_for_all_scopes(honest: Honest, one: Log, now: int) -> None:
     pass
 
 
 @instead_of(
-    Members, "tired", of_source.test_a_seat_is_given_without_a_majority_and_who_may_become_a_relay_hears_a_source
+    Members, "take_overdue", of_source.test_a_seat_is_given_without_a_majority_and_who_may_become_a_relay_hears_a_source
 )
 def one_that_is_answered_may_become_a_relay(honest: Honest, *given: Any) -> list[Any]:
     found: list[Any] = honest(*given)
-    for _, wish in found:
-        wish.answered = False
+    for _, pending in found:
+        pending.answered = False
     return found
 
 
--- a/tests/fleet/control/test_table.py
+++ b/tests/fleet/control/test_table.py
@@ -27,14 +27,14 @@
 
     def subscribe(self) -> None:
         """From its own head, or in the middle of its snapshot."""
-        self.at, under_way = self.reader.head, self.reader.gathering
+        self.at, under_way = self.reader.head, self.reader.snapshot_progress
         self.page = (-1, "")
-        if under_way is not None and self.sender.since(self.at) is None:
+        if under_way is not None and self.sender.changes_since(self.at) is None:
             self.at, self.page = Head("all", 0, under_way[1]), under_way[1:]
 
     def send(self) -> None:
         """All changes that the reader lacks, then a page; or a snapshot from its beginning."""
-        while deltas := self.sender.since(self.at, PAGE):
+        while deltas := self.sender.changes_since(self.at, PAGE):
             self.way += deltas
             self.at = Head("all", 0, deltas[-1].version)
         page = None if deltas is None or self.page[0] < 0 else self.sender.page(*self.page, PAGE)
@@ -48,7 +48,7 @@
     def arrive(self, number: int) -> None:
         word, was = self.way[number], self.reader.head
         if isinstance(word, Page):
-            self.reader.gather(word)
+            self.reader.add_page(word)
         else:
             self.reader.apply(word)
         assert self.reader.head >= was
@@ -78,7 +78,7 @@
         for number in range(len(both.way)):
             both.arrive(number)
         both.way.clear()
-    assert both.reader.head == both.sender.head and both.reader.gathering is None
+    assert both.reader.head == both.sender.head and both.reader.snapshot_progress is None
 
 
 def test_a_word_that_breaks_a_bound_or_belongs_to_another_epoch_changes_nothing() -> None:
@@ -86,11 +86,11 @@
     table.apply(Delta(0, 1, (Entry("a", b"1"),)))
     for bad in (Entry("", b"1"), Entry("k" * 129, b"1"), Entry("a", bytes(4_097))):
         assert not table.apply(Delta(0, 2, (bad,)))
-        assert not table.gather(Page("all", 0, 2, 2, 2, "", (bad,), True))
+        assert not table.add_page(Page("all", 0, 2, 2, 2, "", (bad,), True))
     assert not table.apply(Delta(1, 2, ())) and not table.apply(Delta(0, 3, ())) and not table.apply(Delta(0, 1, ()))
-    assert not table.gather(Page("all", 0, 1, 1, 1, "", (), True))  # a snapshot of what is in force already
+    assert not table.add_page(Page("all", 0, 1, 1, 1, "", (), True))  # a snapshot of what is in force already
     assert table.head == Head("all", 0, 1) and table.entries == {"a": b"1"} and table.dropped == 10
-    assert table.gather(Page("all", 1, 0, 0, 0, "", (), True)) and table.entries == {}  # a history begun anew
+    assert table.add_page(Page("all", 1, 0, 0, 0, "", (), True)) and table.entries == {}  # a history begun anew
 
 
 def test_what_is_kept_is_bounded_and_a_snapshot_that_changes_have_passed_is_given_up() -> None:
@@ -98,18 +98,18 @@
     for version in range(1, 200):
         sender.apply(Delta(0, version, (Entry(f"k{version % 5}", bytes(20)),)))
         reader.apply(Delta(0, version, (Entry(f"k{version % 5}", bytes(20)),)))
-    kept = sender.since(Head("all", 0, sender.floor), 10**6)
+    kept = sender.changes_since(Head("all", 0, sender.floor), 10**6)
     assert kept and size_of(one for delta in kept for one in delta.entries) <= KEPT
     page = sender.page(sender.head.version, "", PAGE)
     ahead = page.now if page is not None else 0
     reader = Table("all", KEPT)
-    reader.gather(Page("all", 0, 2, 2, 2, "", (Entry("k", b"1"),)))
+    reader.add_page(Page("all", 0, 2, 2, 2, "", (Entry("k", b"1"),)))
     for version in (1, 2):  # meanwhile another upstream has the changes: no page is needed any more
-        assert reader.gathering is not None and reader.apply(Delta(0, version, ()))
-    assert reader.gathering is None
+        assert reader.snapshot_progress is not None and reader.apply(Delta(0, version, ()))
+    assert reader.snapshot_progress is None
     reader, late = Table("all", KEPT), Delta(0, ahead + 1, ())
-    assert page is not None and not page.last and not reader.gather(page) and reader.gathering is not None
-    while reader.gathering is not None:  # more changes come than anybody keeps
+    assert page is not None and not page.last and not reader.add_page(page) and reader.snapshot_progress is not None
+    while reader.snapshot_progress is not None:  # more changes come than anybody keeps
         reader.apply(late)
         late = Delta(0, late.version + 1, (Entry("x", bytes(50)),))
         assert late.version < 300
@@ -118,8 +118,8 @@
 def test_a_snapshot_whose_changes_did_not_all_come_is_not_in_force() -> None:
     for come, whole in ((1, False), (2, True)):
         reader = Table("all")
-        assert not reader.gather(Page("all", 0, 5, 5, 5, "", (Entry("a", b"1"),)))
+        assert not reader.add_page(Page("all", 0, 5, 5, 5, "", (Entry("a", b"1"),)))
         for version in range(6, 6 + come):
             assert reader.apply(Delta(0, version, (Entry("a", b"%d" % version),)))
-        assert reader.gather(Page("all", 0, 5, 7, 5, "a", (Entry("b", b"1"),), True)) is whole
-        assert reader.entries == ({"a": b"7", "b": b"1"} if whole else {}) and reader.gathering is None
+        assert reader.add_page(Page("all", 0, 5, 7, 5, "a", (Entry("b", b"1"),), True)) is whole
+        assert reader.entries == ({"a": b"7", "b": b"1"} if whole else {}) and reader.snapshot_progress is None
--- a/tests/scale/test_stream.py
+++ b/tests/scale/test_stream.py
@@ -159,7 +159,7 @@
 
 
 def in_any_order(honest: Callable[..., Any], one: Table, delta: c.Delta) -> bool:
-    one._put(delta)
+    one._apply_entries(delta)
     return True
 
 
@@ -181,9 +181,9 @@
 
 # In this order: what an earlier one has spoilt never leads to a later one's words.
 GUARDS: list[tuple[type, str, Callable[..., Any], Callable[[Play], None], str]] = [
-    (Members, "_refused", everybody, twins, "both have a place"),
-    (Table, "_put", one_entry_alone, two_entries, "nobody agreed on"),
-    (Age, "of", any_beat, a_zone_alone_that_hears_old_news, "and lacks"),
+    (Members, "_refusal", everybody, twins, "both have a place"),
+    (Table, "_apply_entries", one_entry_alone, two_entries, "nobody agreed on"),
+    (Age, "age_from_beat", any_beat, a_zone_alone_that_hears_old_news, "and lacks"),
     (Table, "apply", in_any_order, old_news, "went back"),
 ]
 
