--- a/oatlink/fleet/control/log.py
+++ b/oatlink/fleet/control/log.py
@@ -1,22 +1,24 @@
-"""One scope at a source: which change is the next version, agreed by registers. No I/O.
-
-What may live here: the next slot's register, the line of own offers, and what came of them. What an entry means, and
-whom to tell of a version, lives elsewhere.
-
-Version n of an epoch is in the register `control/SCOPE/(n mod SLOTS)`. Who has n - 1 reads that register. If it holds
-version n, that is n. If it holds n - SLOTS (or nothing, or an older epoch, while n <= SLOTS), n is open: the own change
-is checked against n - 1 and put there on the fence that was read, so of all sources one gets through. If it holds a
-later version, this source is too far behind for the registers and needs a snapshot (`behind`). If it holds less, the
-keepers have lost what they agreed on: nothing is offered until an operator raises the epoch.
-
-- A change with an unknown end may yet happen, also after a read that did not show it. Until the slot's fence has moved
-  on, the same change is offered again for the same version and no other; it is told from another source's by
-  source, incarnation and number. So it cannot become two versions.
-- Version n by another source's word is not taken while an own change for n may have happened: the slot tells whose.
-- A slot is written over only when a majority of the sources have the version in it, so that there is always somebody to
-  take a snapshot from.
-- The slot of version 1 always tells the newest epoch. It is raised by an operator's word alone, begins without entries
-  and drops what sources that have not heard of it still agree on in the old one.
+"""Agrees on the versions of one scope at a source, by registers. No I/O.
+
+This module reads and writes the next slot's register and holds the queue of the source's own changes. What an entry
+means, and who is notified of a version, is decided elsewhere.
+
+Version n of an epoch is stored in the register `control/SCOPE/(n mod SLOTS)`. A source that has n - 1 reads that
+register. If it holds version n, that is version n. If it holds n - SLOTS (or nothing, or an older epoch, while n <=
+SLOTS), n is open: the source checks its own change against n - 1 and writes it on the fence that it read, so only one
+of all sources succeeds. If the register holds a later version, this source is too far behind for the registers and
+needs a snapshot (`needs_snapshot`). If it holds less, the acceptors have lost what they agreed on: nothing is offered
+until an operator raises the epoch.
+
+- A change with an unknown outcome may still happen, even after a read that did not show it. Until the fence of the slot
+  has moved on, the same change is offered again, for the same version and no other; source, incarnation and number tell
+  it from another source's change. So one change cannot become two versions.
+- While an own change for version n may have happened, another source's message about n is not applied: the slot shows
+  whose change n is.
+- A slot is overwritten only when a majority of the sources have the version in it, so that a snapshot can always be
+  fetched from one of them.
+- The slot of version 1 always shows the newest epoch. Only an operator raises the epoch. A new epoch begins without
+  entries, and drops what sources that have not heard of it still agree on in the old one.
 """
 
 from collections.abc import Mapping
@@ -30,12 +32,12 @@
 from oatlink.fleet.messages import Answer, Change, Effect, Read
 from oatlink.fleet.messages.control import Delta, Entry, Head, Page
 
-RETRY_US = 100_000  # after an unknown answer, and up to twice that
-ANSWER_TIMEOUT_US = 10_000_000  # an answer is taken for lost after this time
+RETRY_US = 100_000  # after an unknown answer; up to twice that
+ANSWER_TIMEOUT_US = 10_000_000  # without an answer by then, the question counts as lost
 
 
 class Log:
-    """See the head of this file."""
+    """See the module."""
 
     def __init__(
         self,
@@ -47,21 +49,21 @@
         seed: int,
         applied: Applied,
     ) -> None:
-        """`applied(delta, own)` returns what is to be said of a version; `sources` are all of them, this one too."""
+        """`applied(delta, own)` returns the effects of a version; `sources` are all of them, including this one."""
         self.scope = scope
-        self.due_us = 0  # a new one looks where it is
+        self.due_us = 0  # a new log reads at once where it is
         self._agreement = Agreement(scope, source, incarnation, checker, applied)
         self._source, self._incarnation, self._sources = source, incarnation, sources
         self._rng = Random(f"{seed}/{scope}/{source}/{incarnation}")
         self._last_ask = 0
-        self._waiting, self._waiting_us = 0, 0  # the ask without an answer yet
+        self._waiting, self._waiting_us = 0, 0  # the question without an answer yet
         self._asked_target = (0, 0)  # the epoch and version that it is about
         self._open_us = self._again_us = 0
         self._heads: dict[str, tuple[int, int]] = {}
 
     @property
     def table(self) -> Table:
-        """What is in force here."""
+        """The state in force here."""
         return self._agreement.table
 
     @property
@@ -71,25 +73,28 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether only a snapshot helps; see `gather`."""
+        """Whether the registers do not hold the next version any more; see `add_page`."""
         return self._agreement.needs_snapshot
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the next slot was seen open, and we were not too far behind since."""
+        """Whether the next slot was read as open, and this source was not too far behind since."""
         return self._agreement.is_caught_up
 
     @property
     def are_registers_lost(self) -> bool:
-        """Whether the keepers have less than this source."""
+        """Whether the registers hold less than this source."""
         return self._agreement.are_registers_lost
 
-    # ---- What others say ----
+    # ---- Messages of other sources ----
 
     def peer_has(self, source: str, head: Head, now_us: int) -> None:
-        """How far another source is. More than here: the next slot is read, now."""
+        """Note which version another source has. If it is ahead, the next slot is read at once."""
         if source in self._sources:
-            self._heads[source] = head.epoch, head.version  # its last word, not its highest: it may have begun anew
+            self._heads[source] = (
+                head.epoch,
+                head.version,
+            )  # the last report, not the highest: its history may have begun anew
         if (head.epoch, head.version) > (self.head.epoch, self.head.version):
             self._agreement.newer_epoch = max(self._agreement.newer_epoch, head.epoch)
             self.request_read(now_us)
@@ -97,7 +102,10 @@
             self.due_us = min(self.due_us, now_us)
 
     def receive_committed(self, source: str, delta: Delta, now_us: int) -> list[Effect]:
-        """Another source's word that a version is agreed. Dropped where it is not the next; the slots tell it then."""
+        """Handle another source's message on an agreed version.
+
+        It is dropped unless it is the next; the slots show it then.
+        """
         effects: list[Effect] = []
         if not self._agreement.queue.is_front_tried and (delta.epoch, delta.version) == (
             self.head.epoch,
@@ -108,12 +116,12 @@
             if was_behind:
                 self.request_read(now_us)
         elif self._agreement.needs_snapshot:
-            self.table.apply(delta)  # kept for the snapshot that is under way
+            self.table.apply(delta)  # kept for the snapshot under way
         self.peer_has(source, Head(self.scope, delta.epoch, delta.version), now_us)
         return effects + self.tick(now_us)
 
     def add_page(self, page: Page, now_us: int) -> bool:
-        """A page of another source's snapshot. Whether a whole state is in force with it."""
+        """Add a page of another source's snapshot. Return whether a whole state is in force with it."""
         if page.scope != self.scope or not self._agreement.needs_snapshot or not self.table.add_page(page):
             return False
         self._agreement.needs_snapshot, self._agreement.open_slot = False, None
@@ -121,17 +129,17 @@
         return True
 
     def restore(self, head: Head, entries: Mapping[str, bytes]) -> None:
-        """What was on disk, before anything else."""
+        """Restore what was on disk, before anything else."""
         self.table.begin_epoch(head.epoch)
         self.table.entries, self.table.head = dict(entries), head
 
     def request_read(self, now_us: int) -> None:
-        """The next slot is to be read: it may be taken already."""
+        """Read the next slot soon: it may be taken already."""
         if not self._agreement.needs_snapshot:
             self._agreement.must_read, self.due_us = True, min(self.due_us, now_us)
 
     def distrust(self, now_us: int) -> None:
-        """Nothing was heard of the registers for a while: it is not known whether the next slot is open still."""
+        """Treat the next slot as not known to be open, because no register answered for a while."""
         self._agreement.is_caught_up = False
         self.request_read(now_us)
 
@@ -145,45 +153,46 @@
         now_us: int,
         anew: bool = False,
     ) -> list[Effect]:
-        """Make this the next version if it passes the checks on the newest state; `anew`: of the next epoch, the first.
+        """Make this the next version if it passes the checks on the newest state.
 
-        `base`: the version that it was made for, -1 for any. `done` gets the version, or 0 and why not.
+        `base`: the version that it was made for, -1 for any. `done` gets the version, or 0 and the reason. `anew`: make
+        it the first version of the next epoch.
         """
-        mistake = change_error(entries) if entries or not anew else ""
-        mistake = mistake or (REGISTERS_LOST if self._agreement.are_registers_lost and not anew else "")
-        if mistake:
-            return done(0, mistake)
+        error = change_error(entries) if entries or not anew else ""
+        error = error or (REGISTERS_LOST if self._agreement.are_registers_lost and not anew else "")
+        if error:
+            return done(0, error)
         epoch = max(self.head.epoch, self._agreement.newer_epoch) + 1 if anew else -1
         if not self._agreement.queue.add(entries, base, done, epoch, now_us):
             return done(0, f"{len(self._agreement.queue)} changes wait already")
         return self.tick(now_us)
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Time has passed."""
+        """Do what is due."""
         if self._waiting and now_us - self._waiting_us > ANSWER_TIMEOUT_US:
             self._waiting, self._agreement.must_read = 0, True
         effects = self._agreement.queue.expire(
             "too far behind" if self._agreement.needs_snapshot else "no answer, or slots still needed", now_us
         )
         while not self._waiting and now_us >= self._again_us:
-            one, (epoch, version) = self._agreement.queue.front, self._agreement.target
+            offer, (epoch, version) = self._agreement.queue.front, self._agreement.target
             if self._agreement.needs_snapshot and not self._agreement.queue.is_raising:
                 break
-            if self._agreement.must_read or (one is not None and self._agreement.open_slot is None):
+            if self._agreement.must_read or (offer is not None and self._agreement.open_slot is None):
                 self._agreement.must_read = True
                 effects.append(Read(self._new_ask(now_us), key_of_slot(self.scope, version)))
-            elif one is None or self._agreement.open_slot is None:
+            elif offer is None or self._agreement.open_slot is None:
                 break
-            elif mistake := self._agreement.offer_error(one):
-                if self._open_us < one.begun_us:
-                    self._agreement.must_read = True  # it may have been made on a version that is not here yet
+            elif error := self._agreement.offer_error(offer):
+                if self._open_us < offer.begun_us:
+                    self._agreement.must_read = True  # it may have been made for a version that is not here yet
                 else:
-                    effects += self._agreement.queue.finish_front(0, mistake)
+                    effects += self._agreement.queue.finish_front(0, error)
             elif version > SLOTS and not self._has_majority(epoch, version - SLOTS):
                 break
             else:
-                one.is_tried = True
-                slot = Slot(epoch, version, self._source, self._incarnation, one.number, one.entries)
+                offer.is_tried = True
+                slot = Slot(epoch, version, self._source, self._incarnation, offer.number, offer.entries)
                 key, fence = key_of_slot(self.scope, version), self._agreement.open_slot[2]
                 effects.append(Change(self._new_ask(now_us), key, fence, encoded(slot)))
         self.due_us = self._agreement.queue.due_us
@@ -194,7 +203,7 @@
         return effects
 
     def answered(self, answer: Answer, now_us: int) -> list[Effect]:
-        """An `Answer` to an own `Read` or `Change`."""
+        """Handle an `Answer` to a `Read` or `Change` of this log."""
         if answer.ask != self._waiting or scope_of_slot(answer.key) != self.scope:
             return []
         self._waiting = 0
@@ -202,18 +211,18 @@
         if answer.how == "unknown":
             self._agreement.must_read, self._again_us = True, now_us + RETRY_US + self._rng.randrange(RETRY_US)
         elif self._asked_target != self._agreement.target:
-            self._agreement.must_read = True  # we have come further meanwhile
+            self._agreement.must_read = True  # the target has moved meanwhile
         else:
             effects = self._agreement.slot_read(answer.fence, answer.value)
             self._open_us = self._waiting_us
             self._again_us = now_us + ANSWER_TIMEOUT_US if self._agreement.has_bad_slot else self._again_us
         return effects + self.tick(now_us)
 
-    # ---- Parts ----
+    # ---- Helpers ----
 
     def _has_majority(self, epoch: int, version: int) -> bool:
-        """Whether a majority of the sources, this one among them, is there."""
-        others = (self._heads.get(one, (0, 0)) for one in self._sources if one != self._source)
+        """Return whether a majority of the sources, including this one, has this version."""
+        others = (self._heads.get(source, (0, 0)) for source in self._sources if source != self._source)
         return 2 * (1 + sum(head >= (epoch, version) for head in others)) > len(self._sources)
 
     def _new_ask(self, now_us: int) -> int:
--- a/oatlink/fleet/control/offers.py
+++ b/oatlink/fleet/control/offers.py
@@ -1,7 +1,7 @@
-"""Own changes of one scope that wait for their version, in order. No I/O, no clock.
+"""Queues a source's own changes of one scope until each gets its version, in order. No I/O, no clock.
 
-The one in front may be under way. From then on it stays there until its slot tells what came of it, however long that
-takes: who asked is told after a time that it is not known, and nothing else is offered meanwhile.
+The change at the front may be under way. It then stays at the front until its slot shows the outcome, however long that
+takes: after some time the caller is told that the outcome is unknown, and nothing else is offered meanwhile.
 """
 
 from collections import deque
@@ -12,28 +12,28 @@
 from oatlink.fleet.messages import NEVER_US, Effect
 from oatlink.fleet.messages.control import Entry
 
-OnDone = Callable[[int, str], list[Effect]]  # the version, or 0 and why not
+OnDone = Callable[[int, str], list[Effect]]  # gets the version, or 0 and the reason
 
 MAX_QUEUED = 64
-UNTRIED_TIMEOUT_US = 10_000_000  # one that could not even be tried in this time is refused
-TRIED_TIMEOUT_US = 30_000_000  # of one that was tried it is said then that its end is not known
+UNTRIED_TIMEOUT_US = 10_000_000  # a change that was not tried within this time is refused
+TRIED_TIMEOUT_US = 30_000_000  # after this time the outcome of a change that was tried is reported as unknown
 
 
 class Offer(msgspec.Struct):
-    """One of them. `tried`: it may have happened, or may yet; `told`: who asked has been told something."""
+    """One change. `is_tried`: it may have happened or may yet happen; `is_answered`: the caller has got an answer."""
 
     number: int
     entries: tuple[Entry, ...]
     base: int
     begun_us: int
     done: OnDone
-    epoch: int = -1  # the epoch to begin, -1 for a change within the present one
+    epoch: int = -1  # the epoch to begin, -1 for a change within the current one
     is_tried: bool = False
     is_answered: bool = False
 
     @property
     def due_us(self) -> int:
-        """When who asked has waited long enough."""
+        """When the caller has waited long enough."""
         return (
             NEVER_US
             if self.is_answered
@@ -42,7 +42,7 @@
 
 
 class OfferQueue:
-    """See the head of this file."""
+    """See the module."""
 
     def __init__(self) -> None:
         self._offers: deque[Offer] = deque()
@@ -53,51 +53,54 @@
 
     @property
     def front(self) -> Offer | None:
-        """The next one."""
+        """The change to offer next."""
         return self._offers[0] if self._offers else None
 
     @property
     def is_front_tried(self) -> bool:
-        """Whether the one in front may have happened."""
+        """Whether the change at the front may have happened."""
         return bool(self._offers) and self._offers[0].is_tried
 
     @property
     def is_raising(self) -> bool:
-        """Whether the one in front begins an epoch."""
+        """Whether the change at the front begins an epoch."""
         return bool(self._offers) and self._offers[0].epoch >= 0
 
     @property
     def due_us(self) -> int:
         """When `expire` has something to do."""
-        return min((one.due_us for one in self._offers), default=NEVER_US)
+        return min((offer.due_us for offer in self._offers), default=NEVER_US)
 
     def add(self, entries: tuple[Entry, ...], base: int, done: OnDone, epoch: int, now_us: int) -> bool:
-        """At the end; one that begins an epoch in front, as nothing else may help there. False: there is no room."""
+        """Append a change; one that begins an epoch goes to the front, as nothing else may help then.
+
+        False if the queue is full.
+        """
         if len(self._offers) >= MAX_QUEUED:
             return False
         self._numbers += 1
-        one = Offer(self._numbers, entries, base, now_us, done, epoch)
+        offer = Offer(self._numbers, entries, base, now_us, done, epoch)
         if epoch >= 0 and not self.is_front_tried:
-            self._offers.appendleft(one)
+            self._offers.appendleft(offer)
         else:
-            self._offers.append(one)
+            self._offers.append(offer)
         return True
 
-    def finish_front(self, version: int, why: str = "") -> list[Effect]:
-        """The one in front has come to its end."""
-        one = self._offers.popleft()
-        return [] if one.is_answered else one.done(version, why)
+    def finish_front(self, version: int, reason: str = "") -> list[Effect]:
+        """Remove the change at the front and answer its caller."""
+        offer = self._offers.popleft()
+        return [] if offer.is_answered else offer.done(version, reason)
 
-    def expire(self, why: str, now_us: int) -> list[Effect]:
-        """Those that have waited long enough."""
+    def expire(self, reason: str, now_us: int) -> list[Effect]:
+        """Answer the callers that have waited long enough."""
         if now_us < self.due_us:
             return []
         effects: list[Effect] = []
-        for one in [one for one in self._offers if now_us >= one.due_us]:
-            if one.is_tried:
-                one.is_answered = True
-                effects += one.done(0, "unknown: it may have happened, or may yet")
+        for offer in [offer for offer in self._offers if now_us >= offer.due_us]:
+            if offer.is_tried:
+                offer.is_answered = True
+                effects += offer.done(0, "unknown: it may have happened, or may yet")
             else:
-                self._offers.remove(one)
-                effects += one.done(0, f"not agreed in {UNTRIED_TIMEOUT_US // 1_000_000} s: {why}")
+                self._offers.remove(offer)
+                effects += offer.done(0, f"not agreed in {UNTRIED_TIMEOUT_US // 1_000_000} s: {reason}")
         return effects
