--- a/oatlink/fleet/control/drops.py
+++ b/oatlink/fleet/control/drops.py
@@ -1,20 +1,20 @@
-"""What was not taken of a peer's word: counted by reason and named, at a bounded rate. No I/O."""
+"""Counts what was dropped of peers' messages, by reason, and logs it at a bounded rate. No I/O."""
 
 from oatlink.fleet.messages.effects import Effect, Note
 
-NOTE_INTERVAL_US = 60_000_000  # one line a reason in this time
-MAX_REASONS = 32  # threat: reasons made from what a peer says; those of ours are fewer
+NOTE_INTERVAL_US = 60_000_000  # at most one line per reason in this time
+MAX_REASONS = 32  # more than this code has; bounds memory if a reason ever contained a peer's text
 
 
 class Drops:
-    """Counts by reason; reasons are words of this code, never of a peer."""
+    """Counts drops by reason; reasons are texts of this code, never a peer's."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
         self._noted: dict[str, int] = {}
 
     def add(self, reason: str, peer: str, now_us: int) -> list[Effect]:
-        """Something of `peer` was dropped; a line for the people on call, once a while."""
+        """Count a drop of a message of `peer`; return a log line for it now and then."""
         if reason not in self.counts and len(self.counts) >= MAX_REASONS:
             return []
         self.counts[reason] = self.counts.get(reason, 0) + 1
@@ -25,5 +25,5 @@
         return [Note("control_dropped", f"{reason} of {peer}, {self.counts[reason]} in all")]
 
     def text(self) -> str:
-        """For a line of state."""
+        """Return the counts as text for a status line."""
         return " ".join(f"{reason}={count}" for reason, count in sorted(self.counts.items())) or "nothing"
