--- a/oatlink/fleet/control/slots.py
+++ b/oatlink/fleet/control/slots.py
@@ -1,14 +1,14 @@
-"""What a register of the stream holds, and which register a version lives in. No state."""
+"""Defines what a register of the stream holds, and which register a version is stored in. No state."""
 
 import msgspec
 
 from oatlink.fleet.messages.control import MOST_SCOPE, Entry
 
-SLOTS = 32  # a keeper has room for 4,096 registers: 100 scopes take 3,200 of them, at most 26 MB
+SLOTS = 32  # an acceptor stores at most 4,096 registers: 100 scopes take 3,200 of them, at most 26 MB
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A version, and whose change it is: of all offers only that one has these three."""
+    """A version and the change that made it; source, incarnation and number together identify one offer."""
 
     epoch: int
     version: int
@@ -23,26 +23,26 @@
 
 
 def key_of_slot(scope: str, version: int) -> str:
-    """The register that a version of a scope lives in."""
+    """Return the register in which a version of a scope is stored."""
     return f"control/{scope}/{version % SLOTS}"
 
 
 def scope_of_slot(key: str) -> str:
-    """The scope of a register, empty if it is none of the stream's."""
+    """Return the scope of a register, '' if the register is not one of the stream's."""
     return key[8:].rpartition("/")[0] if key.startswith("control/") and len(key) <= MOST_SCOPE + 16 else ""
 
 
 def encoded(slot: Slot) -> bytes:
-    """As it lies in a register."""
+    """Return a slot as it is stored in a register."""
     return _encoder.encode(slot)
 
 
 def reading(epoch: int, version: int, slot: Slot) -> str:
-    """What the slot of this version says of it.
+    """Return what this slot means for a version.
 
-    taken: it holds it; begun: it holds the first version of a later epoch; later: of a later epoch another one; behind:
-    a later version of this epoch, so this one is not in the registers any more; open: only what may be written over;
-    lost: less than that, so the keepers have lost what they agreed on.
+    taken: it holds the version; begun: it holds the first version of a later epoch; later: it holds another version of
+    a later epoch; behind: it holds a later version of this epoch, so this one is no longer in the registers; open: it
+    holds only what may be overwritten; lost: it holds less than that, so the acceptors have lost what they agreed on.
     """
     if (slot.epoch, slot.version) == (epoch, version):
         return "taken"
@@ -51,12 +51,12 @@
     if slot.epoch == epoch and slot.version > version:
         return "behind"
     if version <= SLOTS:
-        return "open"  # nothing of this epoch was in it yet
+        return "open"  # nothing of this epoch was stored in it yet
     return "open" if (slot.epoch, slot.version) == (epoch, version - SLOTS) else "lost"
 
 
 def decoded(value: bytes) -> Slot | None:
-    """What lies in a register; version 0 where nothing does, None where it is no slot."""
+    """Return the slot in a register; one of version 0 for an empty register, None if the value is no slot."""
     if not value:
         return Slot(0, 0)
     try:
