--- a/oatlink/fleet/control/sums.py
+++ b/oatlink/fleet/control/sums.py
@@ -72,7 +72,7 @@
         """Store a report. Return '' if all of it is stored, else why it or one of its scopes was dropped."""
         sums = self._below.get(child)
         if sums is None or sums.incarnation != report.incarnation:
-            return "report of a stranger"
+            return "report of a process that is no child"
         if not is_report(report):
             return "impossible report"
         reason = ""
@@ -82,7 +82,7 @@
                 reason = "report on a scope not taken"
             elif (lag.head.epoch, lag.head.version) > (table.head.epoch, table.head.version):
                 # It comes by another upstream, and this process has the version soon, or there is no such version.
-                reason = "report ahead of ours"
+                reason = "report ahead of this process"
             else:
                 if lag != sums.lags[lag.head.scope]:
                     self.schedule_report(now_us)
