--- a/oatlink/fleet/control/checks.py
+++ b/oatlink/fleet/control/checks.py
@@ -17,15 +17,15 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def scope_error(scope: str, everything: Entries, anew: bool = False) -> str:
+def scope_error(scope: str, everything: Entries, begins_epoch: bool = False) -> str:
     """Return why no change may be offered in this scope, or ''; `everything` is the state of `all`.
 
-    `anew`: the change begins the scope's history again, which must be possible without that state, too. Prevents
-    changes in a mistyped scope, which would be agreed, take effect nowhere and look as if they did.
+    `begins_epoch`: the change begins the scope's history again, which must be possible without that state, too.
+    Prevents changes in a mistyped scope, which would be agreed, take effect nowhere and look as if they did.
     """
     if not is_scope(scope) or is_names(scope):
         return f"{scope[:64]!r} is no scope for changes"
-    if scope != ALL and not anew and key_of(scope) not in everything:
+    if scope != ALL and not begins_epoch and key_of(scope) not in everything:
         return f"{scope} does not exist: {ALL} has no {key_of(scope)}"
     return ""
 
--- a/oatlink/fleet/control/log.py
+++ b/oatlink/fleet/control/log.py
@@ -151,18 +151,18 @@
         base: int,
         done: OnDone,
         now_us: int,
-        anew: bool = False,
+        begins_epoch: bool = False,
     ) -> list[Effect]:
         """Make this the next version if it passes the checks on the newest state.
 
-        `base`: the version that it was made for, -1 for any. `done` gets the version, or 0 and the reason. `anew`: make
-        it the first version of the next epoch.
+        `base`: the version that it was made for, -1 for any. `done` gets the version, or 0 and the reason.
+        `begins_epoch`: make it the first version of the next epoch.
         """
-        error = change_error(entries) if entries or not anew else ""
-        error = error or (REGISTERS_LOST if self._agreement.are_registers_lost and not anew else "")
+        error = change_error(entries) if entries or not begins_epoch else ""
+        error = error or (REGISTERS_LOST if self._agreement.are_registers_lost and not begins_epoch else "")
         if error:
             return done(0, error)
-        epoch = max(self.head.epoch, self._agreement.newer_epoch) + 1 if anew else -1
+        epoch = max(self.head.epoch, self._agreement.newer_epoch) + 1 if begins_epoch else -1
         if not self._agreement.queue.add(entries, base, done, epoch, now_us):
             return done(0, f"{len(self._agreement.queue)} changes wait already")
         return self.tick(now_us)
--- a/oatlink/fleet/control/logs.py
+++ b/oatlink/fleet/control/logs.py
@@ -1,12 +1,14 @@
-"""All scopes of one source: which there are, what the other sources say of them, how old the whole is. No I/O.
+"""Holds the logs of all scopes of one source, what the other sources report of them, and the age of the whole.
 
-What may live here: opening a scope, handing a word or an answer to its log, serving another source what it lacks, and
-the turn in which next slots are read. What a version means lives elsewhere: `moved` is told of each.
+No I/O.
 
-Freshness. Each register's answer is a majority's word. In turn each scope's next slot is read, two a second at least
-and each scope once in `ROUND_US`, so a version that nobody told of is noticed by then. With an answer that was asked
-for within `FRESH_US` the age is 0, else the time since that. After a time without answers no scope is spoken of until
-its next slot was read again: all of them are, at once.
+This module opens scopes, passes messages and answers to their logs, serves other sources what they lack, and reads the
+next slots in turn. What a version means is decided elsewhere: `moved` is called for each version.
+
+Freshness: each answer of a register comes from a majority. The next slot of each scope is read in turn, at least two
+per second and each scope once in `ROUND_US`, so a version that nobody reported is noticed by then. After an answer to a
+question asked within `FRESH_US` the age is 0, otherwise the time since then. After a time without answers, a scope is
+not reported before its next slot was read again; all of them are read at once.
 """
 
 from collections.abc import Callable
@@ -27,20 +29,17 @@
 
 FRESH_US = 1_000_000
 ROUND_US = 2_000_000
-MAX_LOGS = 100  # scopes; what keepers have room for (`slots`)
-MAX_UNKNOWN_SCOPES = (
-    60  # of them on readers' words alone: 19 zones with their names, 5 regions, some groups nobody made yet
-)
-BEAT_VERSIONS = (
-    SLOTS // 4
-)  # so many versions are told of at once, so that a burst does not wait for a beat to use slots again
-
-# (what is in force, entries that changed or all of them, whether it is all of them, now)
+MAX_LOGS = 100  # scopes that acceptors can store (`slots`)
+MAX_UNKNOWN_SCOPES = 60  # scopes that only readers name: 19 zones with their names, 5 regions, some groups not made yet
+# A beat is sent after so many versions, so that a burst of them need not wait for the next beat to reuse slots.
+BEAT_VERSIONS = SLOTS // 4
+
+# gets the head in force, the entries that changed or all, whether it is all, and now
 Moved = Callable[[c.Head, tuple[c.Entry, ...], bool, int], list[Effect]]
 
 
 class Logs:
-    """See the head of this file. Times are microseconds of the source's own monotonic clock."""
+    """See the module. Times are microseconds of the source's own monotonic clock."""
 
     def __init__(
         self, name: str, incarnation: int, peers: Peers, drift: float, seed: int, checker: Checker, moved: Moved
@@ -52,46 +51,49 @@
         self._majority_us = NEVER_US
         self._next_read_us, self._turn, self._now_us = 0, 0, 0
 
-    # ---- Questions ----
+    # ---- State ----
 
     @property
     def due_us(self) -> int:
-        """When to call `tick` next."""
-        return min(self._next_read_us, *(one.due_us for one in self._logs.values()))
+        """When `tick` has to be called next."""
+        return min(self._next_read_us, *(log.due_us for log in self._logs.values()))
 
     def age_us(self, now_us: int) -> int:
-        """How old the word of this source is at most: 0 while a majority has answered lately."""
+        """Return the greatest possible age of this source's data: 0 while a majority has answered lately."""
         if self._majority_us == NEVER_US:
             return NEVER_US
-        since_us = now_us - self._majority_us
-        return 0 if since_us <= FRESH_US else ceil(since_us / (1 - self._drift))
+        elapsed_us = now_us - self._majority_us
+        return 0 if elapsed_us <= FRESH_US else ceil(elapsed_us / (1 - self._drift))
 
     def covers(self, scope: str) -> bool:
-        """Whether that age speaks of this scope: its next slot was seen open once, and it is not too far behind."""
+        """Return whether that age applies to a scope.
+
+        It does once the next slot was read as open, unless the scope is too far behind since.
+        """
         return scope in self._logs and self._logs[scope].is_caught_up
 
     def beat(self, now_us: int, scope: str = "") -> c.Beat:
-        """How far this source is, in a scope or in all; for other sources."""
-        heads = [self.tables[scope].head] if scope else [one.head for one in self.tables.values()]
+        """Return a beat for other sources with this source's heads, of one scope or of all."""
+        heads = [self.tables[scope].head] if scope else [table.head for table in self.tables.values()]
         return c.Beat(to_ms(self.age_us(now_us)), tuple(heads))
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """For operators."""
+        """Return the state for operators: name and text."""
         age_us = self.age_us(now_us)
         return [
             ("age", "no majority yet" if age_us == NEVER_US else f"{age_us // 1_000} ms"),
-            ("scopes", " ".join(f"{scope}={one.head.epoch}.{one.head.version}" for scope, one in self._logs.items())),
-            ("too far behind", " ".join(scope for scope, one in self._logs.items() if one.needs_snapshot) or "none"),
+            ("scopes", " ".join(f"{scope}={log.head.epoch}.{log.head.version}" for scope, log in self._logs.items())),
+            ("too far behind", " ".join(scope for scope, log in self._logs.items() if log.needs_snapshot) or "none"),
             (
                 "registers lost",
-                " ".join(scope for scope, one in self._logs.items() if one.are_registers_lost) or "none",
+                " ".join(scope for scope, log in self._logs.items() if log.are_registers_lost) or "none",
             ),
         ]
 
-    # ---- What happens ----
+    # ---- Events ----
 
     def open(self, scope: str) -> Log | None:
-        """A scope's log, from now on; None for what is no scope, or one too many."""
+        """Return a scope's log, opened if needed; None for a name that is no scope, or one scope too many."""
         log = self._logs.get(scope)
         if log is None and is_scope(scope) and len(self._logs) < MAX_LOGS:
 
@@ -103,47 +105,55 @@
         return log
 
     def open_for_reader(self, scope: str) -> Log | None:
-        """The same, on a reader's word. Threat: names that somebody makes up, and no room for those that there are."""
+        """Open a scope that a reader names. Prevents made-up names from taking the places of scopes that exist."""
         if scope not in self._logs:
             everything = self.tables[ALL].entries
-            known = [key_of(one.replace("names/", "zone/", 1)) in everything for one in self._logs if one != ALL]
+            exists = [
+                key_of(known_scope.replace("names/", "zone/", 1)) in everything
+                for known_scope in self._logs
+                if known_scope != ALL
+            ]
             if (
                 key_of(scope.replace("names/", "zone/", 1)) not in everything
-                and known.count(False) >= MAX_UNKNOWN_SCOPES
+                and exists.count(False) >= MAX_UNKNOWN_SCOPES
             ):
                 return None
         return self.open(scope)
 
     def restore(self, head: c.Head, entries: Entries, now_us: int) -> None:
-        """What was on disk, before anything else."""
+        """Restore what was on disk, before anything else."""
         log = self.open(head.scope)
         if log is not None:
             log.restore(head, entries)
             self._publish_whole(log, now_us)
 
     def offer(
-        self, scope: str, entries: tuple[c.Entry, ...], base: int, done: OnDone, now_us: int, anew: bool = False
+        self, scope: str, entries: tuple[c.Entry, ...], base: int, done: OnDone, now_us: int, begins_epoch: bool = False
     ) -> list[Effect]:
         """See `Log.offer`."""
         self._now_us, log = now_us, self.open(scope)
-        return done(0, f"{MAX_LOGS} scopes at most") if log is None else log.offer(entries, base, done, now_us, anew)
+        return (
+            done(0, f"{MAX_LOGS} scopes at most")
+            if log is None
+            else log.offer(entries, base, done, now_us, begins_epoch)
+        )
 
     def answered(self, answer: Answer, now_us: int) -> list[Effect]:
-        """What came of a `Read` or `Change`."""
+        """Handle the answer to a `Read` or `Change`."""
         self._now_us, log = now_us, self._logs.get(scope_of_slot(answer.key))
         if log is None:
             return []
         if answer.how != "unknown":
             newest = self._majority_us if self._majority_us != NEVER_US else answer.asked_us
             if answer.asked_us - newest > FRESH_US:
-                # Threat: one scope's answer after a cut, by which all that was missed in the others counts as fresh.
-                for one in self._logs.values():
-                    one.distrust(now_us)
+                # After a cut, one scope's answer must not make what was missed in the others count as fresh.
+                for each in self._logs.values():
+                    each.distrust(now_us)
             self._majority_us = max(newest, answer.asked_us)
         return log.answered(answer, now_us)
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect] | None:
-        """A word of another source; None for one that is not on versions."""
+        """Handle a message of another source; None if it is not about versions."""
         self._now_us = now_us
         match message:
             case c.Committed():
@@ -151,7 +161,7 @@
                 return log.receive_committed(sender, message.delta, now_us) if log is not None else []
             case c.Beat():
                 for head in message.heads:
-                    # What only readers of another source speak of needs no log here.
+                    # A scope that only readers of another source name needs no log here.
                     log = self.open(head.scope) if head.version else self._logs.get(head.scope)
                     if log is not None:
                         log.peer_has(sender, head, now_us)
@@ -162,7 +172,7 @@
                 self._peers.answer_received(message.scope, now_us)
                 log = self._logs.get(message.scope)
                 deltas = message.deltas if log is not None else ()
-                return [one for delta in deltas if log for one in log.receive_committed(sender, delta, now_us)]
+                return [effect for delta in deltas if log for effect in log.receive_committed(sender, delta, now_us)]
             case c.Page():
                 self._peers.answer_received(message.scope, now_us)
                 log = self._logs.get(message.scope)
@@ -171,10 +181,10 @@
                 return None
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Time has passed."""
+        """Do what is due."""
         self._now_us = now_us
         if now_us >= self._next_read_us:
-            # Threat: a version whose source told nobody before it was cut off.
+            # Finds a version whose source was cut off before it told any other.
             logs = list(self._logs.values())
             self._turn += 1
             logs[self._turn % len(logs)].request_read(now_us)
@@ -187,14 +197,14 @@
                 effects += self._pull_missing(log, now_us)
         return effects
 
-    # ---- Parts ----
+    # ---- Helpers ----
 
     def _on_agreed(self, scope: str, delta: c.Delta, own: bool) -> list[Effect]:
         log = self._logs[scope]
-        words: list[Message] = [c.Committed(scope, delta)] if own else []
+        messages: list[Message] = [c.Committed(scope, delta)] if own else []
         if delta.version % BEAT_VERSIONS == 0:
-            words.append(self.beat(self._now_us, scope))
-        effects: list[Effect] = [Tell(one.name, word) for one in self._peers.others for word in words]
+            messages.append(self.beat(self._now_us, scope))
+        effects: list[Effect] = [Tell(peer.name, message) for peer in self._peers.others for message in messages]
         if delta.version == 1 and delta.epoch > 0:
             return effects + self._publish_whole(log, self._now_us)
         return effects + self._moved(log.head, delta.entries, False, self._now_us)
@@ -203,24 +213,24 @@
         entries = tuple(c.Entry(key, value) for key, value in log.table.entries.items())
         return self._moved(log.head, entries, True, now_us)
 
-    def _check(self, scope: str, now: Entries, entries: tuple[c.Entry, ...]) -> str:
-        """The caller's check, but for what sources say themselves."""
-        if is_names(scope) or (scope == ALL and entries and all(one.key.startswith(COUNTS) for one in entries)):
+    def _check(self, scope: str, current: Entries, entries: tuple[c.Entry, ...]) -> str:
+        """Run the caller's check, except on what sources write themselves."""
+        if is_names(scope) or (scope == ALL and entries and all(entry.key.startswith(COUNTS) for entry in entries)):
             return ""
-        return self._checker(scope, now, entries)
+        return self._checker(scope, current, entries)
 
     def _pull_missing(self, log: Log, now_us: int) -> list[Effect]:
         """Ask another source for what the registers do not hold any more."""
-        whom = self._peers.next_to_ask(log.scope, now_us)
+        source = self._peers.next_to_ask(log.scope, now_us)
         gathering = log.table.snapshot_progress
         resume = ((log.scope, *gathering),) if gathering is not None else ()
-        return [Tell(whom, c.Subscribe(self._incarnation, (log.head,), resume))] if whom else []
+        return [Tell(source, c.Subscribe(self._incarnation, (log.head,), resume))] if source else []
 
-    def _serve_peer(self, sender: str, asked: c.Subscribe) -> list[Effect]:
-        """Another source's question: the next part of what it lacks, and no memory of it."""
-        words: list[Message] = []
-        resume = {scope: (epoch, first, after) for scope, epoch, first, after in asked.resume}
-        for head in asked.heads[: c.MOST_SCOPES]:
+    def _serve_peer(self, sender: str, request: c.Subscribe) -> list[Effect]:
+        """Answer another source with the next part of what it lacks; nothing is remembered of it."""
+        messages: list[Message] = []
+        resume = {scope: (epoch, first, after) for scope, epoch, first, after in request.resume}
+        for head in request.heads[: c.MOST_SCOPES]:
             table = self.tables.get(head.scope)
             if table is None or (head.epoch, head.version) >= (table.head.epoch, table.head.version):
                 continue
@@ -230,8 +240,8 @@
                 deltas, page = table.changes_since(c.Head(head.scope, epoch, first)), table.page(first, after)
             elif deltas is None:
                 page = table.page(table.head.version, "")
-            if deltas is None and page is None:  # what it has begun is not kept any more
+            if deltas is None and page is None:  # the snapshot it has begun is not kept any more
                 page = table.page(table.head.version, "")
-            words += [c.Changes(head.scope, deltas)] if deltas else []
-            words += [page] if page is not None else []
-        return [Tell(sender, word) for word in words]
+            messages += [c.Changes(head.scope, deltas)] if deltas else []
+            messages += [page] if page is not None else []
+        return [Tell(sender, message) for message in messages]
--- a/oatlink/fleet/control/roster.py
+++ b/oatlink/fleet/control/roster.py
@@ -1,10 +1,11 @@
-"""A source's people at the door: joins answered, names made changes, who is heard told on. No I/O.
+"""Answers joins at a source, turns them into changes of the names, and passes on which processes are alive. No I/O.
 
-What may live here: what a word about processes means for names and seats, and what is said for it. Who may have a name
-is `members`', who sits where `seats`', how a change is agreed the log's.
+This module decides what a message about processes means for names and seats, and what is sent for it. Which process may
+have a name is decided in `members`, where a process sits in `seats`, and how a change is agreed in the log.
 
-A process is answered when its name is agreed; where no majority answers, after `UNNAMED_SEAT_US` all the same: the seat
-saves work and the name can wait. What one source hears of processes it tells the others once, as it came.
+A process is answered when its name is agreed. If no majority answers, it is answered after `UNNAMED_SEAT_US` all the
+same: a seat makes processes ask no further, and the name can wait. What a source hears of processes it passes on to the
+other sources once, as it came.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,16 +22,16 @@
 from oatlink.fleet.messages.effects import Effect, Note, Tell
 
 UNNAMED_SEAT_US = 1_000_000  # a reader asks another source after 2 s
-COUNT_INTERVAL_US = 60_000_000  # between two changes of how many are there; one for a new zone is offered at once
-RETRY_US = 1_000_000  # after a change of names that came to nothing without a race
+COUNT_INTERVAL_US = 60_000_000  # between two changes of the counts; the first count of a zone is offered at once
+RETRY_US = 1_000_000  # after a change of names that failed without a race
 MIN_WAIT_MS = 1_000
 
-# (scope, entries, the version they are made for, done, now) -> what is to be done; `OnDone` is told how it ended
+# gets scope, entries, the version that they are made for, done and now; `OnDone` gets the outcome
 OfferOwn = Callable[[str, tuple[c.Entry, ...], int, OnDone, int], list[Effect]]
 
 
 class Roster:
-    """See the head of this file. `tables` are the source's, by scope; only the entries and versions are read."""
+    """See the module. `tables` are the source's, by scope; only entries and versions are read."""
 
     def __init__(
         self,
@@ -51,78 +52,81 @@
 
     @property
     def due_us(self) -> int:
-        """When to call `tick` next."""
+        """When `tick` has to be called next."""
         return min(self.members.due_us, self._sweep_us)
 
     def rows(self) -> list[tuple[str, str]]:
-        """For operators."""
+        """Return the state for operators: name and text."""
         zones = self.members.names.zones
         return [
             ("names", f"{len(self.members.names)}, {self.members.pending_count} waiting"),
-            ("silent", " ".join(f"{scope[6:]}={len(one.silent)}" for scope, one in zones.items() if one.silent) or "0"),
-            ("relays", " ".join(f"{scope[6:]}={len(one.relays)}" for scope, one in zones.items()) or "none"),
+            (
+                "silent",
+                " ".join(f"{scope[6:]}={len(zone.silent)}" for scope, zone in zones.items() if zone.silent) or "0",
+            ),
+            ("relays", " ".join(f"{scope[6:]}={len(zone.relays)}" for scope, zone in zones.items()) or "none"),
         ]
 
-    # ---- What is said ----
+    # ---- Messages ----
 
     def handle_join(self, sender: str, join: c.Join, now_us: int) -> list[Effect]:
-        """Somebody wants a place."""
+        """Handle a process that asks for a seat."""
         self._seats.upstream_lost(sender, join.lost, now_us)
-        how = self.members.request_name(sender, join, self._peers.hears_majority(now_us), now_us)
-        if how == "waits":
+        outcome = self.members.request_name(sender, join, self._peers.hears_majority(now_us), now_us)
+        if outcome == "waits":
             return []
-        if how == "here":
+        if outcome == "here":
             return [*self.handle_report(sender, join.incarnation, (), 0, now_us), *self._seat(sender, join, now_us)]
-        return self._refuse(sender, join.incarnation, how, now_us)
+        return self._refuse(sender, join.incarnation, outcome, now_us)
 
     def handle_leave(self, sender: str, incarnation: int, now_us: int) -> None:
-        """An orderly end."""
+        """Handle an orderly end."""
         self.members.leave(sender, incarnation, now_us)
 
     def handle_report(
         self, sender: str, incarnation: int, alive: tuple[tuple[str, int], ...], children: int, now_us: int
     ) -> list[Effect]:
-        """A reader of ours speaks, and tells of those below it: told to all other sources, too."""
+        """Note that a child and the processes below it are alive, and pass that on to all other sources."""
         self.mark_alive(((sender, incarnation), *alive), children, now_us)
-        word = c.Report(self._incarnation, (), children, ((sender, incarnation), *alive))
-        return [Tell(one.name, word) for one in self._peers.others]
+        report = c.Report(self._incarnation, (), children, ((sender, incarnation), *alive))
+        return [Tell(peer.name, report) for peer in self._peers.others]
 
     def mark_alive(self, alive: tuple[tuple[str, int], ...], children: int, now_us: int) -> None:
-        """These are alive; the first has so many below it. Costs as much as they are many."""
+        """Note that these are alive; the first has so many children. Costs one step for each."""
         for name, incarnation in alive:
             self.members.names.mark_heard(name, incarnation, now_us)
         if alive:
             self._seats.set_children(alive[0][0], children)
 
-    # ---- What is agreed ----
+    # ---- Agreed versions ----
 
-    def apply(self, scope: str, entries: tuple[c.Entry, ...], whole: bool, now_us: int) -> list[Effect]:
-        """A version of a scope of names is in force; who waited for it is answered."""
+    def apply(self, scope: str, entries: tuple[c.Entry, ...], is_whole: bool, now_us: int) -> list[Effect]:
+        """Apply a version of a scope of names, and answer the processes that waited for it."""
         self._now_us = now_us
-        if whole:
-            self.members.names.replace(scope, {one.key: one.value for one in entries}, now_us)
+        if is_whole:
+            self.members.names.replace(scope, {entry.key: entry.value for entry in entries}, now_us)
         else:
             self.members.names.apply(scope, entries, now_us)
         self._seats.add_zone(scope)
-        for one in entries:
-            if not one.value:
-                self._seats.forget(one.key)
+        for entry in entries:
+            if not entry.value:
+                self._seats.forget(entry.key)
         effects: list[Effect] = []
         for name, pending in self.members.take_named(scope, now_us):
             effects += [] if pending.answered else self._seat(name, pending.join, now_us)
         return effects
 
-    # ---- What is due ----
+    # ---- Timers ----
 
-    def tick(self, fresh: bool, now_us: int) -> list[Effect]:
-        """Time has passed. `fresh`: a majority has answered lately."""
+    def tick(self, is_fresh: bool, now_us: int) -> list[Effect]:
+        """Do what is due. `is_fresh`: a majority has answered lately."""
         self._now_us = now_us
         effects: list[Effect] = []
         for scope in self.members.due_scopes(now_us):
             effects += self._offer_change(scope, now_us)
         if now_us >= self._sweep_us:
             self._sweep_us = now_us + SWEEP_US
-            for name, pending in self.members.take_overdue(now_us - UNNAMED_SEAT_US, fresh, now_us):
+            for name, pending in self.members.take_overdue(now_us - UNNAMED_SEAT_US, is_fresh, now_us):
                 effects += self._seat(name, pending.join, now_us, may_relay=pending.serves > 0)
             if self._peers.is_leader(now_us):
                 self.members.sweep(self._peers.hears_majority(now_us), now_us)
@@ -133,36 +137,36 @@
         base = self._tables[scope].head.version
         entries, refused = self.members.next_change(scope, self._peers.hears_majority(now_us), now_us)
         effects: list[Effect] = []
-        for name, (incarnation, why) in refused.items():
-            effects += self._refuse(name, incarnation, why, now_us)
+        for name, (incarnation, reason) in refused.items():
+            effects += self._refuse(name, incarnation, reason, now_us)
 
-        def done(version: int, why: str) -> list[Effect]:
-            # A lost race is run again at once: each round of it one source gets through.
-            raced = not version and self._tables[scope].head.version != base
-            self.members.change_finished(scope, self._now_us + (BATCH_US if version else 0 if raced else RETRY_US))
+        def done(version: int, reason: str) -> list[Effect]:
+            # After a lost race the change is offered again at once: one source succeeds in each round.
+            lost_race = not version and self._tables[scope].head.version != base
+            self.members.change_finished(scope, self._now_us + (BATCH_US if version else 0 if lost_race else RETRY_US))
             return []
 
         return effects + (self._offer(scope, entries, base, done, now_us) if entries else [])
 
     def _offer_counts(self, now_us: int) -> list[Effect]:
-        """How many are where, as entries of `all`."""
+        """Offer how many processes are where, as entries of `all`."""
         if self._counting:
             return []
-        found: dict[str, int] = {}
+        counts: dict[str, int] = {}
         for scope, zone in self.members.names.zones.items():
             region, _ = zone_of(scope)
-            found[key_of(scope.replace("names/", "zone/", 1))] = len(zone)
+            counts[key_of(scope.replace("names/", "zone/", 1))] = len(zone)
             region_key = key_of(f"region/{region}")
-            found[region_key] = found.get(region_key, 0) + len(zone)
-        now = self._tables[ALL].entries
-        late = now_us >= self._count_us
-        entries = [c.Entry(key, b"%d" % many) for key, many in found.items() if key not in now or late]
-        entries = [one for one in entries if now.get(one.key) != one.value]
+            counts[region_key] = counts.get(region_key, 0) + len(zone)
+        current = self._tables[ALL].entries
+        is_due = now_us >= self._count_us
+        entries = [c.Entry(key, b"%d" % count) for key, count in counts.items() if key not in current or is_due]
+        entries = [entry for entry in entries if current.get(entry.key) != entry.value]
         if not entries:
             return []
         self._counting, self._count_us = True, now_us + COUNT_INTERVAL_US
 
-        def done(version: int, why: str) -> list[Effect]:
+        def done(version: int, reason: str) -> list[Effect]:
             self._counting = False
             return []
 
@@ -175,18 +179,18 @@
         if wait_us is None:
             return self._refuse(name, join.incarnation, "full", now_us)
         scope = names_of(join.region, join.zone)
-        there = partial(self._peers.is_heard, now_us=now_us)
-        upstream, spare = self._seats.choose(name, scope, there, now_us, may_relay)
-        # A relay takes its turn, but comes at once: others wait for what it has.
+        is_heard = partial(self._peers.is_heard, now_us=now_us)
+        upstream, spare = self._seats.choose(name, scope, is_heard, now_us, may_relay)
+        # A relay takes a turn, but may connect at once: others wait for its data.
         wait_ms = 0 if self._seats.is_relay(name) else wait_us // 1_000
         return [Tell(name, c.Seat(join.incarnation, upstream, spare, wait_ms))]
 
-    def _refuse(self, name: str, incarnation: int, why: str, now_us: int) -> list[Effect]:
+    def _refuse(self, name: str, incarnation: int, reason: str, now_us: int) -> list[Effect]:
         wait_ms = MIN_WAIT_MS
-        if why == "twice":
+        if reason == "twice":
             wait_ms += self.members.name_wait_us(name, now_us) // 1_000
-        elif why == "full":
+        elif reason == "full":
             wait_ms += MAX_WAIT_US // 1_000
-        word = c.Refused(incarnation, why, min(MAX_WAIT_MS, wait_ms))
-        effects: list[Effect] = [Tell(name, word)]
-        return [*effects, Note("control_twice", f"{name} {incarnation}")] if why == "twice" else effects
+        refusal = c.Refused(incarnation, reason, min(MAX_WAIT_MS, wait_ms))
+        effects: list[Effect] = [Tell(name, refusal)]
+        return [*effects, Note("control_twice", f"{name} {incarnation}")] if reason == "twice" else effects
--- a/tests/fleet/control/test_source.py
+++ b/tests/fleet/control/test_source.py
@@ -124,7 +124,7 @@
     world.take("s1", "s0", c.Beat(0, (c.Head("no scope", 9, 9),)))
     world.run(SECOND)
     rows = dict(world.cores["s0"].rows(world.now))
-    assert "reader does not say=3" in rows["dropped"] and "source does not say=1" in rows["dropped"]
+    assert "reader does not send=3" in rows["dropped"] and "source does not send=1" in rows["dropped"]
     assert "impossible report=1" in rows["dropped"] and rows["scopes"] == "all=0.0" and not world.written
 
 
