--- a/oatlink/fleet/control/__init__.py
+++ b/oatlink/fleet/control/__init__.py
@@ -1,4 +1,5 @@
-"""A versioned stream of control: from a few sources, by relays, to every gateway (docs/design/control.md).
+"""A versioned stream of control: from a few sources through relays to every gateway (docs/design/control.md).
 
-Cores without I/O, told `now_us`, seeded; each returns `messages.Effect`s. Off without a `control` part in the settings.
+All modules are cores without I/O that get `now_us` and a seed; their methods return `messages.Effect`s. The stream is
+off unless the settings have a `control` part.
 """
--- a/oatlink/fleet/control/participant.py
+++ b/oatlink/fleet/control/participant.py
@@ -1,10 +1,10 @@
 """One process in the stream of control: a source with its registers, or a reader. No I/O.
 
-What may live here: which of them a process is by its settings, and which part a message or a register's answer is for.
-What is left of the effects is the shell's: `Tell`, `Keep`, `Known`, `InForce`, `Replied`, `Note`.
+This module decides by the settings which of the two a process is, and which part gets a message or a register's answer.
+The effects that are left are the shell's: `Tell`, `Keep`, `Known`, `InForce`, `Replied`, `Note`.
 
-Threat: a process that the key has proved, and that no settings list, which asks the keepers for registers: only sources
-are heard on them.
+Only sources are heard on registers. This prevents a process that the key has proved, but that no settings list, from
+asking the acceptors for registers.
 """
 
 from collections import Counter, deque
@@ -33,7 +33,10 @@
 
 
 class Participant:
-    """Effects come back in the order in which they must be carried out. Times are microseconds of the own clock."""
+    """Returns effects in the order in which they must be carried out.
+
+    Times are microseconds of the own monotonic clock.
+    """
 
     def __init__(
         self,
@@ -45,12 +48,12 @@
         now_us: int,
         keeper: Acceptor | None = None,
     ) -> None:
-        """`incarnation` is above that of any process before under this name; `keeper`: this source's own."""
+        """`incarnation` is above that of any earlier process with this name; `keeper` is this source's own acceptor."""
         self.name, self.keeper = fleet.node, keeper
         self.dropped: Counter[str] = Counter()
         place = c.Place(fleet.node, fleet.own.address)
-        sources = tuple(c.Place(one.name, one.address) for one in control.sources)
-        self.sources = tuple(one.name for one in sources)
+        sources = tuple(c.Place(source.name, source.address) for source in control.sources)
+        self.sources = tuple(source.name for source in sources)
         self.source: Source | None = None
         self.reader: Reader | None = None
         self._proposer: Proposer | None = None
@@ -79,39 +82,39 @@
 
     @property
     def due_us(self) -> int:
-        """When `tick` has something to do, if nothing comes before."""
+        """When `tick` has to be called next, if nothing comes before."""
         parts = (self.keeper, self._proposer, self._core)
-        return min(one.due_us for one in parts if one is not None)
+        return min(part.due_us for part in parts if part is not None)
 
-    # ---- Questions ----
+    # ---- State ----
 
     def head(self, scope: str) -> c.Head:
-        """What is in force here."""
+        """Return the version in force here."""
         return self._core.head(scope)
 
     def entries(self, scope: str) -> Mapping[str, bytes]:
-        """The entries in force."""
+        """Return the entries in force."""
         return self._core.entries(scope)
 
     def age_us(self, now_us: int) -> int:
-        """How old what is known here is at most; `NEVER_US` where no source was ever heard."""
+        """Return the greatest possible age of the data; `NEVER_US` if no source was ever heard."""
         return self._core.age_us(now_us)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """What this process believes, for operators: name and text."""
+        """Return the state of this process for operators: name and text."""
         rows = self._core.rows(now_us)
         if self.keeper is not None:
             rows.append(("keeper", "votes" if self.keeper.begun else "does not vote yet"))
         return rows
 
-    # ---- What happens ----
+    # ---- Events ----
 
     def receive(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
-        """A message has come from a process whose name the key has proved."""
+        """Handle a message of a process whose name the key has proved."""
         return self._run(self._take(sender, message, now_us), now_us)
 
     def tick(self, now_us: int) -> list[f.Effect]:
-        """Time has passed."""
+        """Do what is due."""
         effects: list[f.Effect] = []
         for part in (self.keeper, self._proposer, self._core):
             if part is not None:
@@ -119,42 +122,42 @@
         return self._run(effects, now_us)
 
     def link_failed(self, peer: str, now_us: int) -> list[f.Effect]:
-        """A link to it has failed."""
+        """Handle a failed link to a peer."""
         return self._run(self._core.link_failed(peer, now_us), now_us)
 
     def offer(self, ticket: int, scope: str, entries: tuple[c.Entry, ...], base: int, now_us: int) -> list[f.Effect]:
-        """An operator's change, made for version `base` (-1: any); a `Replied` follows."""
+        """Offer an operator's change, made for version `base` (-1: any); a `Replied` follows."""
         if self.source is None:
             return [f.Replied(ticket, f"refused: no source; offer it at one of {' '.join(self.sources)}")]
         return self._run(self.source.offer(ticket, scope, entries, base, now_us), now_us)
 
     def restore(self, head: c.Head, entries: Mapping[str, bytes], now_us: int) -> None:
-        """What this source had on disk of a scope, before anything else."""
+        """Restore what this source had on disk of a scope, before anything else."""
         if self.source is not None:
             self.source.restore(head, entries, now_us)
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """An orderly end."""
+        """Handle an orderly end."""
         return self._run(self._core.leave(now_us), now_us)
 
     # ---- Between the parts ----
 
     def _run(self, effects: list[f.Effect], now_us: int) -> list[f.Effect]:
-        """Carry effects from part to part until only the shell's are left."""
-        queue, out = deque(effects), []
+        """Pass effects from part to part until only the shell's are left."""
+        queue, shell_effects = deque(effects), []
         while queue:
-            one = queue.popleft()
-            if isinstance(one, f.Read) and self._proposer is not None:
-                queue.extend(self._proposer.read(one.ask, one.key, now_us))
-            elif isinstance(one, f.Change) and self._proposer is not None:
-                queue.extend(self._proposer.change(one.ask, one.key, one.fence, one.value, now_us))
-            elif isinstance(one, f.Answer):
-                queue.extend(self.source.answered(one, now_us) if self.source is not None else [])
-            elif isinstance(one, f.Tell) and one.to == self.name:
-                queue.extend(self._take(self.name, one.message, now_us))
+            effect = queue.popleft()
+            if isinstance(effect, f.Read) and self._proposer is not None:
+                queue.extend(self._proposer.read(effect.ask, effect.key, now_us))
+            elif isinstance(effect, f.Change) and self._proposer is not None:
+                queue.extend(self._proposer.change(effect.ask, effect.key, effect.fence, effect.value, now_us))
+            elif isinstance(effect, f.Answer):
+                queue.extend(self.source.answered(effect, now_us) if self.source is not None else [])
+            elif isinstance(effect, f.Tell) and effect.to == self.name:
+                queue.extend(self._take(self.name, effect.message, now_us))
             else:
-                out.append(one)
-        return out
+                shell_effects.append(effect)
+        return shell_effects
 
     def _take(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
         if not isinstance(message, REGISTERS):
