--- a/oatlink/fleet/control/logs.py
+++ b/oatlink/fleet/control/logs.py
@@ -3,7 +3,7 @@
 No I/O.
 
 This module opens scopes, passes messages and answers to their logs, serves other sources what they lack, and reads the
-next slots in turn. What a version means is decided elsewhere: `moved` is called for each version.
+next slots in turn. What a version means is decided elsewhere: `state_changed` is called for each version.
 
 Freshness: each answer of a register comes from a majority. The next slot of each scope is read in turn, at least two
 per second and each scope once in `ROUND_US`, so a version that nobody reported is noticed by then. After an answer to a
@@ -35,19 +35,26 @@
 BEAT_VERSIONS = SLOTS // 4
 
 # gets the head in force, the entries that changed or all, whether it is all, and now
-Moved = Callable[[c.Head, tuple[c.Entry, ...], bool, int], list[Effect]]
+StateChanged = Callable[[c.Head, tuple[c.Entry, ...], bool, int], list[Effect]]
 
 
 class Logs:
     """See the module. Times are microseconds of the source's own monotonic clock."""
 
     def __init__(
-        self, name: str, incarnation: int, peers: Peers, drift: float, seed: int, checker: Checker, moved: Moved
+        self,
+        name: str,
+        incarnation: int,
+        peers: Peers,
+        drift: float,
+        seed: int,
+        checker: Checker,
+        state_changed: StateChanged,
     ) -> None:
         self.tables: dict[str, Table] = {}
         self._logs: dict[str, Log] = {}
         self._name, self._incarnation, self._peers, self._drift, self._seed = name, incarnation, peers, drift, seed
-        self._checker, self._moved = checker, moved
+        self._checker, self._state_changed = checker, state_changed
         self._majority_us = NEVER_US
         self._next_read_us, self._turn, self._now_us = 0, 0, 0
 
@@ -147,8 +154,8 @@
             newest = self._majority_us if self._majority_us != NEVER_US else answer.asked_us
             if answer.asked_us - newest > FRESH_US:
                 # After a cut, one scope's answer must not make what was missed in the others count as fresh.
-                for each in self._logs.values():
-                    each.distrust(now_us)
+                for scope_log in self._logs.values():
+                    scope_log.distrust(now_us)
             self._majority_us = max(newest, answer.asked_us)
         return log.answered(answer, now_us)
 
@@ -207,11 +214,11 @@
         effects: list[Effect] = [Tell(peer.name, message) for peer in self._peers.others for message in messages]
         if delta.version == 1 and delta.epoch > 0:
             return effects + self._publish_whole(log, self._now_us)
-        return effects + self._moved(log.head, delta.entries, False, self._now_us)
+        return effects + self._state_changed(log.head, delta.entries, False, self._now_us)
 
     def _publish_whole(self, log: Log, now_us: int) -> list[Effect]:
         entries = tuple(c.Entry(key, value) for key, value in log.table.entries.items())
-        return self._moved(log.head, entries, True, now_us)
+        return self._state_changed(log.head, entries, True, now_us)
 
     def _check(self, scope: str, current: Entries, entries: tuple[c.Entry, ...]) -> str:
         """Run the caller's check, except on what sources write themselves."""
--- a/tests/fleet/control/test_downstream.py
+++ b/tests/fleet/control/test_downstream.py
@@ -59,7 +59,7 @@
         return [(at, len(word.deltas)) for at, word in found if isinstance(word, c.Changes)]
 
 
-def test_news_at_once_and_gathered_where_more_comes() -> None:
+def test_a_change_is_sent_at_once_and_more_of_them_are_batched() -> None:
     relay = Relay()
     relay.child("a")
     relay.run(SECOND)
@@ -73,7 +73,7 @@
     assert rest[-1][0] <= began + f.BATCH_US
 
 
-def test_a_beat_tells_of_nothing_that_was_not_sent_before_it() -> None:
+def test_a_beat_names_no_version_that_was_not_sent_before_it() -> None:
     relay = Relay()
     relay.child("a")
     for _ in range(100):
@@ -86,7 +86,7 @@
         assert not isinstance(word, c.Beat) or word.heads[0].version <= sent
 
 
-def test_at_most_so_many_children_each_told_each_second_and_who_is_silent_goes() -> None:
+def test_children_are_bounded_get_a_beat_each_second_and_are_removed_when_silent() -> None:
     relay = Relay(most=50)
     for n in range(50):
         (first,) = relay.child(f"c{n}")
@@ -104,7 +104,7 @@
     assert len(relay.down) == 0 and not relay.down.feed.has_takers("all") and relay.sums.children == 0
 
 
-def test_those_behind_share_a_rate_resume_where_they_stopped_and_do_not_keep_news_waiting() -> None:
+def test_children_behind_share_a_rate_resume_where_they_stopped_and_do_not_delay_changes() -> None:
     relay = Relay()
     relay.commit(3_000, 100)
     relay.child("near", relay.tables["all"].head.version)
@@ -138,7 +138,7 @@
         assert again.count("") == 1, "a snapshot was begun anew"
 
 
-def test_a_child_that_is_ahead_gets_nothing_and_one_that_asks_the_impossible_is_refused() -> None:
+def test_a_child_that_is_ahead_gets_nothing_and_an_impossible_subscription_is_refused() -> None:
     relay = Relay()
     relay.commit(5)
     assert [type(one.message) for one in relay.child("ahead", 9)] == [c.Beat]
@@ -181,7 +181,7 @@
     assert "of a" in str(note) and sum(relay.drops.counts.values()) == 1 and relay.sums.lag("all") == before
 
 
-def test_sums_name_who_is_behind_and_hide_nobody_by_an_old_report() -> None:
+def test_sums_name_laggards_and_an_old_report_hides_none() -> None:
     relay = Relay()
     relay.commit(5)
     relay.child("a", 5)
@@ -197,7 +197,7 @@
     assert relay.sums.lag("all") == c.Lag(c.Head("all", 0, 6), 3, 6) and not relay.sums.report(1, 1, 0).alive
 
 
-def test_reports_go_up_now_and_then_and_after_news_at_a_bounded_rate() -> None:
+def test_reports_are_sent_now_and_then_and_after_changes_at_a_bounded_rate() -> None:
     relay, sent = Relay(), []
     relay.child("a")
     for now in range(0, 60 * SECOND, 20 * MS):
--- a/tests/fleet/control/test_gateways.py
+++ b/tests/fleet/control/test_gateways.py
@@ -28,7 +28,7 @@
 
 
 @scene(lived)
-async def test_an_operators_change_comes_to_a_gateway_and_bad_words_are_one_line(world: World) -> None:
+async def test_an_operators_change_reaches_a_gateway_and_bad_commands_get_one_line(world: World) -> None:
     world.changed = {at: part(world, at) for at in range(4)}
     sources = await world.started(0, 1, 2)
     (reader,) = await world.started(3)
@@ -59,7 +59,7 @@
 
 
 @scene(lived)
-async def test_without_the_part_there_is_no_such_word(world: World) -> None:
+async def test_without_control_settings_the_command_is_refused(world: World) -> None:
     with_fleet, without = world.gateway(0), world.gateway(1, fleet=False)
     for one, answer in ((with_fleet, "no control in the fleet's settings"), (without, "-ERR no fleet in the settings")):
         await one.start()
--- a/tests/fleet/control/test_log.py
+++ b/tests/fleet/control/test_log.py
@@ -7,7 +7,7 @@
 from oatlink.fleet.control.log import Log
 from oatlink.fleet.control.slots import SLOTS
 from oatlink.fleet.messages import control as c
-from tests.fleet.control.source_world import MS, SECOND, World, allowed
+from tests.fleet.control.source_world import MS, SECOND, World, refuse_bad
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
@@ -27,12 +27,12 @@
             world.run(world.rng.randrange(steps * MS))
             world.start(name)
         if world.rng.random() < 0.15:
-            world.rng.choice((world.cut, world.deaf)).add(world.rng.choice(sorted(world.cores)))
+            world.rng.choice((world.isolated, world.unlinked)).add(world.rng.choice(sorted(world.cores)))
         elif world.rng.random() < 0.3:
-            world.cut.clear()
-            world.deaf.clear()
-    world.cut.clear()
-    world.deaf.clear()
+            world.isolated.clear()
+            world.unlinked.clear()
+    world.isolated.clear()
+    world.unlinked.clear()
     world.unknown = world.loss = 0.0
     world.run(50 * SECOND)
     heads = {core.head("all") for core in world.cores.values()}
@@ -45,7 +45,7 @@
 def test_sources_that_race_agree_on_each_version(seed: int, count: int, unknown: float) -> None:
     world = World(seed, count, unknown, loss=0.2).run(50 * MS)
     tickets = raced(world, 20, 300)
-    world.judge(tickets)
+    world.check_invariants(tickets)
 
 
 def test_a_crash_at_any_step_of_a_race_leaves_one_history() -> None:
@@ -60,18 +60,18 @@
         world.start("s0")
         world.unknown = 0.0
         world.run(8 * SECOND)
-        world.judge(tickets)
+        world.check_invariants(tickets)
         assert world.cores["s0"].head("all") == world.cores["s1"].head("all") and len(world.written) >= 3
 
 
-def test_while_an_end_is_unknown_only_the_slot_tells_whose_a_version_is() -> None:
+def test_only_the_slot_shows_whose_version_it_is_while_an_outcome_is_unknown() -> None:
     ends: list[int] = []
 
     def done(version: int, _: str) -> list[f.Effect]:
         ends.append(version)
         return []
 
-    one = Log("all", "s0", 1, ("s0", "s1"), allowed, 1, lambda *_: [])
+    one = Log("all", "s0", 1, ("s0", "s1"), refuse_bad, 1, lambda *_: [])
     (read,) = one.tick(0)
     assert isinstance(read, f.Read)
     one.answered(f.Answer(read.ask, read.key, "found", 0, b"", 0), 0)
@@ -86,23 +86,23 @@
     assert one.head.version == 1 and ends == [1]
 
 
-def test_slots_are_used_again_when_most_have_their_version() -> None:
+def test_slots_are_reused_once_a_majority_has_their_version() -> None:
     world = World(1, 3).run(50 * MS)
-    world.cut |= {"s1", "s2"}
+    world.isolated |= {"s1", "s2"}
     for ticket in range(SLOTS + 1):
         world.offer("s0", ticket, "all", ("k", b"%d" % ticket))
         world.run(30 * MS)
     assert world.cores["s0"].head("all").version == SLOTS
     world.run(12 * SECOND)
-    assert world.replied[SLOTS].startswith("refused: not agreed")
-    world.cut.clear()
+    assert world.replies[SLOTS].startswith("refused: not agreed")
+    world.isolated.clear()
     world.run(3 * SECOND)
     world.offer("s0", 99, "all", ("k", b"99"))
     world.run(SECOND)
-    assert world.replied[99] == f"all is at version {SLOTS + 1}"
+    assert world.replies[99] == f"all is at version {SLOTS + 1}"
 
 
-def test_one_that_is_further_behind_than_slots_takes_a_snapshot_while_changes_go_on() -> None:
+def test_a_source_too_far_behind_for_the_slots_takes_a_snapshot_while_changes_go_on() -> None:
     world = World(2, 3).run(50 * MS)
     world.crash("s2")
     for ticket in range(80):  # more than the others keep
@@ -113,9 +113,9 @@
         world.offer("s0", ticket, "all", (f"k{ticket}", b"x"))
         world.run(20 * MS)
     world.run(10 * SECOND)
-    assert any(move.whole for who, move in world.moves if who == "s2/2")
+    assert any(move.whole for who, move in world.in_force if who == "s2/2")
     assert world.cores["s2"].head("all").version == 90
-    world.judge({})
+    world.check_invariants({})
 
 
 def test_a_change_is_checked_again_after_a_lost_race() -> None:
@@ -124,10 +124,10 @@
     world.offer("s1", 2, "all", ("k", b"2"), base=0)
     world.offer("s1", 3, "all", ("k", b"3"))
     world.run(SECOND)
-    assert sorted(world.replied.values())[0] == "all is at version 1"
-    assert sum(text == "refused: made for version 0, now 1" for text in world.replied.values()) == 1
+    assert sorted(world.replies.values())[0] == "all is at version 1"
+    assert sum(text == "refused: made for version 0, now 1" for text in world.replies.values()) == 1
     world.offer("s0", 4, "all", ("k", b"1"), ("k", b"2"))
-    assert world.replied[4] == "refused: a key twice in one change"
+    assert world.replies[4] == "refused: a key twice in one change"
     assert len(world.written) == 2
 
 
@@ -153,7 +153,7 @@
     world = World(4, 1).run(50 * MS)
     world.offer("s0", 1, scope, *entries.items(), base=base)
     world.run(SECOND)
-    assert world.replied[1].startswith("refused: ") and why in world.replied[1] and not world.written
+    assert world.replies[1].startswith("refused: ") and why in world.replies[1] and not world.written
 
 
 def test_scopes_of_a_process() -> None:
@@ -166,21 +166,21 @@
     assert not any(map(scopes.scope_of, ("k", "readers/", "readers/a/b/c", "group/", "names/r/z", "")))
 
 
-def test_lost_registers_take_nothing_until_the_epoch_is_raised() -> None:
+def test_lost_registers_accept_no_change_until_the_epoch_is_raised() -> None:
     world = World(6, 3).run(50 * MS)
     for ticket in range(SLOTS + 3):
         world.offer("s0", ticket, "all", (f"k{ticket}", b"x"))
         world.run(100 * MS)
-    world.kept.clear()
+    world.registers.clear()
     world.offer("s1", 100, "all", ("k", b"y"))
     world.run(12 * SECOND)
-    assert "raise the epoch" in world.replied[100]
+    assert "raise the epoch" in world.replies[100]
     core = world.cores["s1"]
-    world.carry("s1", core.begin_epoch(101, "all", (c.Entry("new", b"z"),), world.now))
+    world.carry_out("s1", core.begin_epoch(101, "all", (c.Entry("new", b"z"),), world.now))
     world.run(3 * SECOND)
-    assert world.replied[101] == "all is at version 1"
+    assert world.replies[101] == "all is at version 1"
     assert {one.head("all") for one in world.cores.values()} == {c.Head("all", 1, 1)}
     world.offer("s2", 102, "all", ("k", b"y"))
     world.run(SECOND)
     assert dict(world.cores["s0"].entries("all")) == {"new": b"z", "k": b"y"}
-    world.judge({})
+    world.check_invariants({})
--- a/tests/fleet/control/test_members.py
+++ b/tests/fleet/control/test_members.py
@@ -39,7 +39,7 @@
     assert not one.names.mark_heard("a", 1, 9 * ALIVE)
 
 
-def test_who_listens_where_the_one_before_did_has_its_name_at_once() -> None:
+def test_a_process_with_the_address_of_the_one_before_gets_the_name_at_once() -> None:
     one = joined("a")
     assert one.request_name("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
     assert agree(one, 0) == ["a"]
@@ -52,7 +52,7 @@
     assert one.request_name("a", c.Join(1, "r", "y", "a:1"), True, 9 * ALIVE) == "twice"
 
 
-def test_who_leaves_frees_its_name_at_once() -> None:
+def test_a_process_that_leaves_frees_its_name_at_once() -> None:
     one = joined("a")
     one.leave("a", 1, 0)
     assert one.request_name("a", c.Join(2, "r", "z", "a:1"), False, 0) == "waits"
@@ -63,7 +63,7 @@
     assert agree(one, 0) == ["a"] and len(one.names) == 0
 
 
-def test_a_name_in_two_zones_is_the_higher_incarnations_in_either_order() -> None:
+def test_a_name_in_two_zones_belongs_to_the_higher_incarnation_in_either_order() -> None:
     for order in (("y", "z"), ("z", "y")):
         one = Members(1)
         for zone in order:
@@ -76,7 +76,7 @@
         assert one.names.get("a") is found and not one.names.zone("names/r/y").stale
 
 
-def test_joins_are_gathered_into_changes_that_fit() -> None:
+def test_joins_are_batched_into_changes_that_fit() -> None:
     one = joined(*(f"gateway-{number:04}.region.example" for number in range(190)))
     assert 50 < len(one.names) < 190
     assert one.due_scopes(0) == ["names/r/z"]
@@ -87,7 +87,7 @@
         assert said == ("waits" if number < members.MAX_PENDING_JOINS else "full")
 
 
-def test_who_is_silent_goes_a_few_a_second_and_only_with_most_sources_heard() -> None:
+def test_silent_processes_are_removed_at_a_bounded_rate_and_only_with_a_majority_heard() -> None:
     one = joined(*(f"n{number}" for number in range(100)))
     while one.pending_count:
         agree(one, 0)
@@ -124,19 +124,19 @@
 # ---- Over sources ----
 
 
-def test_of_two_that_join_at_two_sources_in_one_moment_one_is_refused() -> None:
+def test_of_two_processes_that_join_at_two_sources_at_once_one_is_refused() -> None:
     world = World(1, 3).run(SECOND)
-    world.join("g", "s0", born=1)
-    world.join("g", "s1", born=2)
+    world.join("g", "s0", incarnation=1)
+    world.join("g", "s1", incarnation=2)
     world.run(3 * SECOND)
-    seats = [one for one in world.words("g") if isinstance(one, c.Seat)]
-    refused = [one for one in world.words("g") if isinstance(one, c.Refused)]
+    seats = [one for one in world.messages_to("g") if isinstance(one, c.Seat)]
+    refused = [one for one in world.messages_to("g") if isinstance(one, c.Refused)]
     assert len(seats) == len(refused) == 1 and refused[0].reason == "twice"
     assert seats[0].incarnation + refused[0].incarnation == 3
     assert all(len(core.entries("names/r0/z")) == 1 for core in world.cores.values())
 
 
-def test_joins_that_come_one_after_the_other_are_gathered() -> None:
+def test_joins_that_come_one_after_the_other_are_batched() -> None:
     world = World(4, 1).run(SECOND)
     for number in range(40):
         world.join(f"g{number}")
@@ -146,29 +146,29 @@
     assert len(world.cores["s0"].entries("names/r0/z")) == 40
 
 
-def test_a_report_at_one_source_keeps_the_name_at_all() -> None:
+def test_a_report_at_one_source_keeps_the_name_at_all_sources() -> None:
     world = World(2, 3).run(SECOND)
     world.join("g")
     world.run(SECOND)
-    world.take("g", "s0", c.Subscribe(1, (c.Head("all"),)))
+    world.deliver("g", "s0", c.Subscribe(1, (c.Head("all"),)))
     for _ in range(20):
         world.run(5 * SECOND)
-        world.take("g", "s0", c.Report(1, ()))
-        world.join("g", "s2", born=2)
+        world.deliver("g", "s0", c.Report(1, ()))
+        world.join("g", "s2", incarnation=2)
     world.run(SECOND)
-    assert [one.incarnation for one in world.words("g") if isinstance(one, c.Seat)] == [1]
+    assert [one.incarnation for one in world.messages_to("g") if isinstance(one, c.Seat)] == [1]
     assert all("g" in core.entries("names/r0/z") for core in world.cores.values())
     world.run(70 * SECOND)
     assert not any(core.entries("names/r0/z") for core in world.cores.values())
 
 
-def test_names_begun_anew_come_back_by_joins() -> None:
+def test_names_of_a_new_epoch_come_back_by_joins() -> None:
     world = World(5, 2).run(SECOND)
     world.join("g")
     world.run(2 * SECOND)
-    world.carry("s1", world.cores["s1"].begin_epoch(1, "names/r0/z", (), world.now))
+    world.carry_out("s1", world.cores["s1"].begin_epoch(1, "names/r0/z", (), world.now))
     world.run(SECOND)
-    assert world.replied[1] == "names/r0/z is at version 1"
+    assert world.replies[1] == "names/r0/z is at version 1"
     assert not any(core.entries("names/r0/z") for core in world.cores.values())
     world.join("g")
     world.run(SECOND)
@@ -186,4 +186,4 @@
     assert world.cores["s0"].head("all").version <= 3
     world.offer("s1", 1, "zone/r0/y", ("k", b"x"))
     world.run(SECOND)
-    assert world.replied[1] == "zone/r0/y is at version 1"
+    assert world.replies[1] == "zone/r0/y is at version 1"
--- a/tests/fleet/control/test_processes.py
+++ b/tests/fleet/control/test_processes.py
@@ -72,7 +72,7 @@
 
 
 @scene(streamed, *RELAYS, *READERS)
-async def test_a_change_is_in_force_everywhere_whoever_is_killed_or_stands_still(place: Place) -> None:
+async def test_a_change_is_in_force_everywhere_whichever_process_is_killed_or_paused(place: Place) -> None:
     await began(place, *READERS, relays=RELAYS)
     s0, s1, s2 = (place.all[one] for one in SOURCES)
     readers = [place.all[one] for one in READERS]
@@ -149,7 +149,7 @@
 
 
 @scene(streamed, "r0", "g0", "g1", "g2", "g3")
-async def test_without_a_majority_a_change_waits_and_nobody_goes_back(place: Place) -> None:
+async def test_without_a_majority_a_change_waits_and_no_version_goes_back(place: Place) -> None:
     await began(place, "r0", "g0", "g1")
     await others_under_a_name_or_key(place)
     s0, g0 = place.all["s0"], place.all["g0"]
--- a/tests/fleet/control/test_seats.py
+++ b/tests/fleet/control/test_seats.py
@@ -26,7 +26,7 @@
     return upstream.name, spare.name
 
 
-def test_the_zone_then_the_region_then_a_source() -> None:
+def test_upstreams_come_from_the_zone_then_the_region_then_the_sources() -> None:
     _, one = seated({"a": ("z", 9), "b": ("z", 9), "c": ("y", 9)})
     assert sorted(given_to(one, "g")) == ["a", "b"]
     assert given_to(one, "g", zone="y")[0] in "abc" and "c" in given_to(one, "h", zone="y")
@@ -35,7 +35,7 @@
     assert given_to(seated({})[1], "g") == ("s0", "s1"), "the region's own source first, one that is not heard last"
 
 
-def test_a_relay_that_is_full_or_silent_is_not_given() -> None:
+def test_a_relay_that_is_full_or_silent_is_not_assigned() -> None:
     known, one = seated({"a": ("z", 9), "b": ("z", 9), "c": ("z", 9)})
     one.set_children("a", 9)
     assert "a" not in given_to(one, "g")
@@ -51,7 +51,7 @@
     assert max(map(found.count, "abcd")) <= 35
 
 
-def test_what_was_lost_is_not_given_again_for_a_while() -> None:
+def test_a_lost_upstream_is_not_assigned_again_for_a_while() -> None:
     known, one = seated({"a": ("z", 90), "b": ("z", 90), "c": ("z", 90)})
     one.upstream_lost("g", "a", 0)
     assert "a" not in given_to(one, "g")
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("joins, worst_s", [(190, 1.9), (720, 7.2), (3_600, 36.0)])
-def test_the_pace_of_one_source(joins: int, worst_s: float) -> None:
+def test_the_rate_of_seats_of_one_source(joins: int, worst_s: float) -> None:
     _, one = seated({})
     waits = [one.reserve_turn(0) for _ in range(joins)]
     assert None not in waits and waits == sorted(filter(lambda us: us is not None, waits))  # type: ignore[type-var]
@@ -97,7 +97,7 @@
     st.integers(0, 1_000),
     st.lists(st.tuples(st.integers(0, 11), st.booleans(), st.integers(0, 14)), max_size=40),
 )
-def test_nobody_hears_himself_nor_a_circle_and_relays_hear_sources(
+def test_no_process_hears_itself_or_a_cycle_and_relays_hear_sources(
     seed: int, steps: list[tuple[int, bool, int]]
 ) -> None:
     """Joins, new incarnations and losses in any order at two sources that each know their own part of the loads."""
@@ -106,12 +106,12 @@
     for who, again, wait in steps:
         name, lost = f"g{who}", upstream.get(f"g{who}", "")
         if again:
-            world.take(name, f"s{who % 2}", c.Leave(born[who]))
+            world.deliver(name, f"s{who % 2}", c.Leave(born[who]))
             born[who] += 1
-        said = len(world.said)
+        said = len(world.reader_messages)
         world.join(name, f"s{(who + wait) % 2}", born[who], f"z{who % 2}", relays=who % 3, lost=lost)
         world.run(wait * SECOND)
-        for to, word in world.said[said:]:
+        for to, word in world.reader_messages[said:]:
             if isinstance(word, c.Seat) and word.incarnation == born[int(to[1:])]:
                 assert to not in (word.upstream.name, word.spare.name)
                 assert word.upstream != word.spare
@@ -126,14 +126,14 @@
 def circles() -> None:
     """For the guards: a zone that needs more relays as it grows, whose processes lose their upstream now and then."""
     steps = [(number % 12, number >= 24, number % 5) for number in range(36)]
-    test_nobody_hears_himself_nor_a_circle_and_relays_hear_sources.hypothesis.inner_test(1, steps)  # type: ignore[attr-defined]
+    test_no_process_hears_itself_or_a_cycle_and_relays_hear_sources.hypothesis.inner_test(1, steps)  # type: ignore[attr-defined]
 
 
-def test_the_source_tells_those_beyond_its_patience_to_ask_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_source_tells_processes_beyond_its_longest_wait_to_ask_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(seats, "MAX_WAIT_US", 100_000)
     world = World(4, 1).run(SECOND)
     for number in range(20):
         world.join(f"g{number}")
     world.run(SECOND)
-    refused = [word for _, word in world.said if isinstance(word, c.Refused)]
+    refused = [word for _, word in world.reader_messages if isinstance(word, c.Refused)]
     assert len(refused) == 9 and all(one.reason == "full" and one.wait_ms for one in refused)
--- a/tests/fleet/control/test_shell.py
+++ b/tests/fleet/control/test_shell.py
@@ -28,7 +28,7 @@
     return c.InForce(c.Head("all", 0, number), tuple(c.Entry(*one) for one in entries), whole)
 
 
-def test_what_a_source_keeps_is_what_was_in_force() -> None:
+def test_a_source_stores_what_was_in_force() -> None:
     records: Records = {}
     kept = ScopeRecords(records)
     put(records, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
@@ -38,7 +38,7 @@
     assert found_in(records) == [(c.Head("all", 0, 9), {"d": b"9"})]
 
 
-def test_half_a_version_on_disk_is_none() -> None:
+def test_a_version_stored_only_in_part_is_not_restored() -> None:
     before: Records = {}
     kept = ScopeRecords(before)
     put(before, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
@@ -51,7 +51,7 @@
     assert found_in(before) == [(c.Head("all", 0, 2), {"a": b"2", "b": b"2"})]
 
 
-def test_a_record_taken_out_goes_when_the_file_is_made_anew(tmp_path: Path) -> None:
+def test_a_removed_record_is_gone_when_the_file_is_rewritten(tmp_path: Path) -> None:
     async def write() -> None:
         journal, *_ = Journal.open(str(tmp_path / "state"), "s", 1)
         for number in range(40):
@@ -113,12 +113,12 @@
         (("PUT", "all", "k", "1" * 4_097), "a value 4096 at most"),
     ],
 )
-def test_a_bad_word_is_refused_in_one_line(words: tuple[str | bytes, ...], why: str) -> None:
+def test_a_bad_command_is_refused_in_one_line(words: tuple[str | bytes, ...], why: str) -> None:
     answer = spoken("s0", *words)
     assert answer.startswith("refused: ") and why in answer and "\n" not in answer
 
 
-def test_a_reader_says_where_to_offer_and_any_process_tells_its_state() -> None:
+def test_a_reader_names_the_sources_and_any_process_shows_its_state() -> None:
     assert spoken("g", "PUT", "all", "k", "1") == "refused: no source; offer it at one of s0 s1 s2"
     assert spoken("g", "STATUS").startswith("node: g\ncontrol: behind, never heard")
     assert spoken("s0").startswith("node: s0\nsource: s0 1")
--- a/tests/fleet/control/test_source_guards.py
+++ b/tests/fleet/control/test_source_guards.py
@@ -31,7 +31,7 @@
     """The worlds of `test_sources_that_race_agree_on_each_version`, without shrinking."""
     for seed in range(60):
         world = World(seed, 3, (0.2, 0.6)[seed % 2], loss=0.2).run(50 * MS)
-        world.judge(of_log.raced(world, 20, 300))
+        world.check_invariants(of_log.raced(world, 20, 300))
 
 
 def bad_changes() -> None:
@@ -40,12 +40,12 @@
 
 
 def pace() -> None:
-    of_seats.test_the_pace_of_one_source(190, 1.9)
+    of_seats.test_the_rate_of_seats_of_one_source(190, 1.9)
 
 
 def bad_joins() -> None:
     for word in of_source.BAD:
-        of_source.test_a_join_that_cannot_be_is_refused(word)
+        of_source.test_an_impossible_join_is_refused(word)
 
 
 GUARDS = Guards[Callable[[], None]]()
@@ -62,7 +62,7 @@
 
 put(
     "slots written over at any time",
-    of_log.test_slots_are_used_again_when_most_have_their_version,
+    of_log.test_slots_are_reused_once_a_majority_has_their_version,
     Log,
     _has_majority=yes,
 )
@@ -81,19 +81,22 @@
 put("a cut zone", of_members.test_a_zone_that_is_cut_off_is_not_emptied, members, CUT_OFF_DIVISOR=0)
 put(
     "few a second",
-    of_members.test_who_is_silent_goes_a_few_a_second_and_only_with_most_sources_heard,
+    of_members.test_silent_processes_are_removed_at_a_bounded_rate_and_only_with_a_majority_heard,
     members,
     MAX_REMOVALS=99,
 )
-put("joins are gathered", of_members.test_joins_that_come_one_after_the_other_are_gathered, members, BATCH_US=0)
+put("joins are gathered", of_members.test_joins_that_come_one_after_the_other_are_batched, members, BATCH_US=0)
 put(
-    "reports told on", of_members.test_a_report_at_one_source_keeps_the_name_at_all, Roster, handle_report=lambda *_: []
+    "reports told on",
+    of_members.test_a_report_at_one_source_keeps_the_name_at_all_sources,
+    Roster,
+    handle_report=lambda *_: [],
 )
 put("the rate of counts", of_members.test_counts_are_entries_of_all_at_a_bounded_rate, roster, COUNT_INTERVAL_US=0)
 put("relays hear sources", of_seats.circles, SeatPlanner, is_relay=lambda *_: False)
 put(
     "what was lost",
-    of_seats.test_what_was_lost_is_not_given_again_for_a_while,
+    of_seats.test_a_lost_upstream_is_not_assigned_again_for_a_while,
     SeatPlanner,
     upstream_lost=lambda *_: None,
 )
@@ -105,13 +108,18 @@
     is_relay_needed=lambda serves, *_: serves > 0,
 )
 put("freshness", of_source.test_age_is_0_with_a_majority_and_grows_without, logs, FRESH_US=10**12)
-put("slots read in turn", of_source.test_a_version_that_nobody_told_of_is_noticed, logs, ROUND_US=10**9, FRESH_US=10**9)
 put(
-    "heads in beats", of_source.test_a_lost_word_of_a_version_is_noticed_by_the_next_beat, Log, peer_has=lambda *_: None
+    "slots read in turn", of_source.test_a_version_that_nobody_reported_is_noticed, logs, ROUND_US=10**9, FRESH_US=10**9
+)
+put(
+    "heads in beats",
+    of_source.test_a_lost_message_on_a_version_is_noticed_by_the_next_beat,
+    Log,
+    peer_has=lambda *_: None,
 )
 put(
     "room for scopes",
-    of_source.test_made_up_scopes_take_no_room_from_those_that_there_are,
+    of_source.test_made_up_scopes_leave_room_for_scopes_that_exist,
     logs,
     MAX_UNKNOWN_SCOPES=999,
 )
@@ -119,13 +127,13 @@
 put("bounds of a join", bad_joins, members, _is_sound=yes)
 put(
     "most sources heard",
-    of_source.test_one_without_the_others_removes_nobody_and_one_does_it_for_all,
+    of_source.test_a_source_alone_removes_nobody_and_only_the_leader_removes_names,
     Peers,
     hears_majority=yes,
 )
 
 
-@instead_of(agreement, "reading", of_log.test_lost_registers_take_nothing_until_the_epoch_is_raised)
+@instead_of(agreement, "reading", of_log.test_lost_registers_accept_no_change_until_the_epoch_is_raised)
 def lost_slots_are_open(honest: Honest, *given: Any) -> str:
     how: str = honest(*given)
     return "open" if how == "lost" else how
@@ -140,7 +148,7 @@
     return honest(one, answer, now_us)  # type: ignore[no-any-return]
 
 
-@found_by(of_log.test_while_an_end_is_unknown_only_the_slot_tells_whose_a_version_is)
+@found_by(of_log.test_only_the_slot_shows_whose_version_it_is_while_an_outcome_is_unknown)
 def another_source_is_believed_while_an_end_is_unknown(patch: Patch) -> None:
     """Version n by another source's word, while an own change for it may have happened."""
     patch.setattr(OfferQueue, "is_front_tried", property(lambda _: False))
@@ -151,25 +159,27 @@
     return honest(one, name, join, True, now)  # type: ignore[no-any-return]
 
 
-@instead_of(Members, "sweep", of_members.test_who_is_silent_goes_a_few_a_second_and_only_with_most_sources_heard)
+@instead_of(
+    Members, "sweep", of_members.test_silent_processes_are_removed_at_a_bounded_rate_and_only_with_a_majority_heard
+)
 def removal_without_most_sources(honest: Honest, one: Members, _: bool, now: int) -> None:
     honest(one, True, now)
 
 
-@instead_of(Logs, "offer", of_members.test_of_two_that_join_at_two_sources_in_one_moment_one_is_refused)
+@instead_of(Logs, "offer", of_members.test_of_two_processes_that_join_at_two_sources_at_once_one_is_refused)
 def names_are_offered_for_any_version(
     honest: Honest, one: Logs, scope: str, entries: object, base: int, done: object, now: int, anew: bool = False
 ) -> list[Effect]:
     return honest(one, scope, entries, -1, done, now, anew)  # type: ignore[no-any-return]
 
 
-@instead_of(Log, "distrust", of_source.test_after_a_cut_no_scope_is_spoken_of_before_its_next_slot_was_read)
+@instead_of(Log, "distrust", of_source.test_after_a_cut_no_scope_is_reported_before_its_next_slot_was_read)
 def the_first_answer_after_a_cut_speaks_for_all_scopes(honest: Honest, one: Log, now: int) -> None:
     pass
 
 
 @instead_of(
-    Members, "take_overdue", of_source.test_a_seat_is_given_without_a_majority_and_who_may_become_a_relay_hears_a_source
+    Members, "take_overdue", of_source.test_a_seat_is_assigned_without_a_majority_and_a_possible_relay_hears_a_source
 )
 def one_that_is_answered_may_become_a_relay(honest: Honest, *given: Any) -> list[Any]:
     found: list[Any] = honest(*given)
@@ -178,7 +188,7 @@
     return found
 
 
-@instead_of(Names, "_put", of_members.test_a_name_in_two_zones_is_the_higher_incarnations_in_either_order)
+@instead_of(Names, "_put", of_members.test_a_name_in_two_zones_belongs_to_the_higher_incarnation_in_either_order)
 def the_last_of_two_zones_has_the_name(honest: Honest, one: Names, scope: str, name: str, *given: Any) -> None:
     one._known.pop(name, None)
     honest(one, scope, name, *given)
--- a/tests/fleet/control/test_table.py
+++ b/tests/fleet/control/test_table.py
@@ -59,7 +59,7 @@
     st.lists(st.sampled_from(("commit", "commit", "send", "arrive", "lose", "double", "overtake", "subscribe"))),
     st.integers(0, 99),
 )
-def test_whole_versions_only_never_back_and_in_the_end_the_newest(steps: list[str], seed: int) -> None:
+def test_only_whole_versions_in_order_and_in_the_end_the_newest(steps: list[str], seed: int) -> None:
     both = Both(Random(seed))
     for step in [*("commit",) * 20, *steps * 4]:
         if step in ("commit", "send", "subscribe"):
@@ -81,7 +81,7 @@
     assert both.reader.head == both.sender.head and both.reader.snapshot_progress is None
 
 
-def test_a_word_that_breaks_a_bound_or_belongs_to_another_epoch_changes_nothing() -> None:
+def test_a_message_that_breaks_a_bound_or_belongs_to_another_epoch_changes_nothing() -> None:
     table = Table("all")
     table.apply(Delta(0, 1, (Entry("a", b"1"),)))
     for bad in (Entry("", b"1"), Entry("k" * 129, b"1"), Entry("a", bytes(4_097))):
@@ -93,7 +93,7 @@
     assert table.add_page(Page("all", 1, 0, 0, 0, "", (), True)) and table.entries == {}  # a history begun anew
 
 
-def test_what_is_kept_is_bounded_and_a_snapshot_that_changes_have_passed_is_given_up() -> None:
+def test_kept_changes_are_bounded_and_a_snapshot_that_changes_have_passed_is_discarded() -> None:
     sender, reader = Table("all", KEPT), Table("all", KEPT)
     for version in range(1, 200):
         sender.apply(Delta(0, version, (Entry(f"k{version % 5}", bytes(20)),)))
@@ -115,7 +115,7 @@
         assert late.version < 300
 
 
-def test_a_snapshot_whose_changes_did_not_all_come_is_not_in_force() -> None:
+def test_a_snapshot_without_all_its_changes_is_not_in_force() -> None:
     for come, whole in ((1, False), (2, True)):
         reader = Table("all")
         assert not reader.add_page(Page("all", 0, 5, 5, 5, "", (Entry("a", b"1"),)))
--- a/tests/fleet/control/test_upstream.py
+++ b/tests/fleet/control/test_upstream.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "link", "refused", "leaves"])
-def test_the_spare_at_once_and_a_new_spare_is_asked_for_later(how: str) -> None:
+def test_the_spare_is_used_at_once_and_a_new_spare_is_asked_for_later(how: str) -> None:
     one, now = seated()
     one.beat_received(now, False)
     effects: list[Effect] = []
@@ -93,7 +93,7 @@
     assert asked == 4  # in 5 s, one of which followed the first subscription
 
 
-def test_an_upstream_whose_word_is_old_is_kept_but_a_seat_is_taken() -> None:
+def test_an_upstream_with_stale_data_is_kept_until_a_seat_is_taken() -> None:
     one, now = seated()
     one.beat_received(now, False)
     asked: list[str] = []
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("zone", [20, 190, 720])
-def test_a_zone_that_has_lost_all_asks_without_a_herd_and_less_often_while_nobody_answers(zone: int) -> None:
+def test_a_zone_without_upstreams_spreads_its_questions_and_asks_less_often_while_nobody_answers(zone: int) -> None:
     ones = [upstream(f"reader-{n}", n) for n in range(zone)]
     for one in ones:
         one.set_zone_readers(zone)
