--- a/tests/fleet/control/reader_world.py
+++ b/tests/fleet/control/reader_world.py
@@ -1,7 +1,7 @@
-"""Two scripted sources, relays and readers of the stream of control on one simulated clock, over links that fail.
+"""Simulates two scripted sources, and relays and readers of the stream of control, over links that fail, on one clock.
 
-It checks at every step, by true time: what is in force is a whole version of the history, never one before; and whoever
-says that he knows all up to some age has in force all that was agreed by then.
+At every step it checks by true time that what is in force is a whole version of the history and never an older one, and
+that a process which reports some age has in force all that was agreed by then.
 """
 
 import heapq
@@ -38,8 +38,8 @@
         self.plan_count += 1
         plan = self.plan_count
         if due_us < NEVER_US:
-            at = max(self.world.now + 1, ceil((due_us - self.offset) / self.rate))
-            self.world.schedule(at, lambda: self.wake() if self.is_up and plan == self.plan_count else None)
+            wake_us = max(self.world.now + 1, ceil((due_us - self.offset) / self.rate))
+            self.world.schedule(wake_us, lambda: self.wake() if self.is_up and plan == self.plan_count else None)
 
     def wake(self) -> None:
         raise NotImplementedError
@@ -49,7 +49,7 @@
 
 
 class Source(Node):
-    """Scripted: it has each version when it is agreed, unless it is cut off, and seats who asks."""
+    """A scripted source: it has each version as soon as that is agreed, unless it is cut off, and assigns seats."""
 
     def __init__(self, world: "World", name: str) -> None:
         super().__init__(world, name)
@@ -61,7 +61,7 @@
             Drops(),
             64,
             self.age,
-            lambda scopes: all(one in self.tables for one in scopes),
+            lambda scopes: all(scope in self.tables for scope in scopes),
             self.tables.__contains__,
             1,
             self.clock(),
@@ -95,22 +95,22 @@
     def make_seat(self, sender: str, join: c.Join) -> c.Seat:
         world = self.world
         world.joins[world.now // SECOND] += 1
-        relays = [name for name, one in world.nodes.items() if name.startswith("relay") and name != join.lost]
+        relays = [name for name, node in world.nodes.items() if name.startswith("relay") and name != join.lost]
         self.seat_count += 1
-        others = world.sources if join.relays or not relays else relays
-        first = self.seat_count % len(others)
-        spare = others[(first + 1) % len(others)] if len(others) > 1 else world.sources[0]
-        return c.Seat(join.incarnation, c.Place(others[first], "a"), c.Place(spare, "a"))
+        upstreams = world.sources if join.relays or not relays else relays
+        first = self.seat_count % len(upstreams)
+        spare = upstreams[(first + 1) % len(upstreams)] if len(upstreams) > 1 else world.sources[0]
+        return c.Seat(join.incarnation, c.Place(upstreams[first], "a"), c.Place(spare, "a"))
 
     def carry_out(self, effects: list[Effect]) -> None:
-        for one in effects:
-            if isinstance(one, Tell):
-                self.world.send(self.name, one)
+        for effect in effects:
+            if isinstance(effect, Tell):
+                self.world.send(self.name, effect)
         self.schedule_wake(self.children.due_us)
 
 
 class Process(Node):
-    """A reader, or a relay where `relays` is over 0."""
+    """A reader, or a relay if `relays` is over 0."""
 
     def __init__(self, world: "World", name: str, relays: int, groups: tuple[str, ...]) -> None:
         super().__init__(world, name)
@@ -121,7 +121,7 @@
     def start(self) -> None:
         self.is_up, self.incarnation = True, self.incarnation + 1
         self.versions: dict[str, int] = {}
-        sources = tuple(c.Place(one, "a") for one in self.world.sources)
+        sources = tuple(c.Place(source, "a") for source in self.world.sources)
         place, seed = c.Place(self.name, "a"), self.world.seed
         self.core = Reader(
             place, "r", "z", self.groups, self.incarnation, sources, self.relays, DRIFT, seed, self.clock()
@@ -136,29 +136,29 @@
         self.carry_out(self.core.receive(sender, message, self.clock()))
 
     def carry_out(self, effects: list[Effect]) -> None:
-        for one in effects:
-            if isinstance(one, c.Known):
-                self.known_peers.pop(one.place.name, None)
-                if not one.forget:
-                    self.known_peers[one.place.name] = None
-            elif isinstance(one, Tell):
-                assert one.to not in self.world.nodes or one.to in self.known_peers, (
-                    "spoke to somebody that the shell does not know"
+        for effect in effects:
+            if isinstance(effect, c.Known):
+                self.known_peers.pop(effect.place.name, None)
+                if not effect.forget:
+                    self.known_peers[effect.place.name] = None
+            elif isinstance(effect, Tell):
+                assert effect.to not in self.world.nodes or effect.to in self.known_peers, (
+                    "sent to a peer that the shell does not know"
                 )
-                self.world.send(self.name, one)
-            elif isinstance(one, Note):
-                self.notes.append(one)
-            elif isinstance(one, c.InForce):
-                assert one.head.version > self.versions.get(one.head.scope, 0), "told as in force again"
-                self.versions[one.head.scope] = one.head.version
+                self.world.send(self.name, effect)
+            elif isinstance(effect, Note):
+                self.notes.append(effect)
+            elif isinstance(effect, c.InForce):
+                assert effect.head.version > self.versions.get(effect.head.scope, 0), "reported as in force twice"
+                self.versions[effect.head.scope] = effect.head.version
         for scope in self.scopes():
             head = self.core.head(scope)
-            assert head.version == self.versions.get(scope, 0), "in force and not told, or never in force"
+            assert head.version == self.versions.get(scope, 0), "in force and not reported, or never in force"
             assert self.core.entries(scope) == self.world.history[scope][head.version][1]
         self.schedule_wake(self.core.due_us)
 
     def scopes(self) -> tuple[str, ...]:
-        return (*SCOPES[:3], *(f"group/{one}" for one in self.groups))
+        return (*SCOPES[:3], *(f"group/{group}" for group in self.groups))
 
     def age(self) -> int:
         return self.core.age_us(self.clock())
@@ -168,48 +168,56 @@
 
 
 class World:
-    """`loss`, `double`, `late`: parts of all words that are lost, come twice, come up to 900 ms later than others."""
+    """The simulated fleet. `fault_rate`: part of the messages that are lost, come twice, or come up to 900 ms late."""
 
     def __init__(
-        self, seed: int, readers: int = 4, relays: int = 2, trouble: float = 0.0, kept: int = 4_000, groups: bool = True
+        self,
+        seed: int,
+        readers: int = 4,
+        relays: int = 2,
+        fault_rate: float = 0.0,
+        kept_bytes: int = 4_000,
+        groups: bool = True,
     ) -> None:
         self.seed, self.draw, self.now, self.serial = seed, Random(seed), 0, 0
-        self.fault_rate, self.kept_bytes = trouble, kept
+        self.fault_rate, self.kept_bytes = fault_rate, kept_bytes
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.history: dict[str, list[tuple[int, dict[str, bytes]]]] = {scope: [(0, {})] for scope in SCOPES}
         self.joins: Counter[int] = Counter()
-        self.message_counts: Counter[tuple[str, int]] = Counter()  # words from one process in one second
-        self.is_cut: Callable[[str, str], bool] = lambda one, other: False
-        self.delay_us: Callable[[str, str], int] = lambda one, other: 0
+        self.message_counts: Counter[tuple[str, int]] = Counter()  # messages from one process in one second
+        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.delay_us: Callable[[str, str], int] = lambda sender, receiver: 0
         self.sent: list[tuple[str, str, Message]] = []
         self.sources = ("source-0", "source-1")
         self.nodes: dict[str, Node] = {}
         for name in self.sources:
             self.nodes[name] = Source(self, name)
-        for n in range(relays):
-            self.nodes[f"relay-{n}"] = Process(self, f"relay-{n}", 16, ())
-        for n in range(readers):
-            self.nodes[f"reader-{n}"] = Process(self, f"reader-{n}", 0, (("g",), ("h",), ())[n % 3] if groups else ())
+        for number in range(relays):
+            self.nodes[f"relay-{number}"] = Process(self, f"relay-{number}", 16, ())
+        for number in range(readers):
+            self.nodes[f"reader-{number}"] = Process(
+                self, f"reader-{number}", 0, (("g",), ("h",), ())[number % 3] if groups else ()
+            )
 
     def processes(self) -> list[Process]:
-        return [one for one in self.nodes.values() if isinstance(one, Process) and one.is_up]
+        return [node for node in self.nodes.values() if isinstance(node, Process) and node.is_up]
 
     def source(self, number: int) -> Source:
-        one = self.nodes[f"source-{number}"]
-        assert isinstance(one, Source)
-        return one
+        node = self.nodes[f"source-{number}"]
+        assert isinstance(node, Source)
+        return node
 
-    def schedule(self, when: int, what: Callable[[], None]) -> None:
+    def schedule(self, at_us: int, action: Callable[[], None]) -> None:
         self.serial += 1
-        heapq.heappush(self.queue, (when, self.serial, what))
+        heapq.heappush(self.queue, (at_us, self.serial, action))
 
     def run(self, us: int) -> None:
-        end = self.now + us
-        while self.queue and self.queue[0][0] <= end:
-            self.now, _, what = heapq.heappop(self.queue)
-            assert self.serial < 1_000_000, "somebody is due without end"
-            what()
-        self.now = end
+        end_us = self.now + us
+        while self.queue and self.queue[0][0] <= end_us:
+            self.now, _, action = heapq.heappop(self.queue)
+            assert self.serial < 1_000_000, "a process is due without end"
+            action()
+        self.now = end_us
         self.check_ages()
 
     def run_in_steps(self, us: int, step_us: int = 250 * MS) -> None:
@@ -217,13 +225,15 @@
             self.run(step_us)
 
     def check_ages(self) -> None:
-        """Whoever says that he knows all up to some age has it."""
-        for one in self.processes():
-            known_us = self.now - one.age()
-            for scope in one.scopes():
-                version = one.core.head(scope).version
+        """Check that each process has in force all that it claims to know by its age."""
+        for process in self.processes():
+            known_us = self.now - process.age()
+            for scope in process.scopes():
+                version = process.core.head(scope).version
                 later = self.history[scope][version + 1 :]
-                assert not later or later[0][0] > known_us, f"{one.name} says {one.age()} us and lacks {scope}"
+                assert not later or later[0][0] > known_us, (
+                    f"{process.name} claims an age of {process.age()} us and lacks {scope}"
+                )
 
     def send(self, sender: str, tell: Tell) -> None:
         self.sent.append((sender, tell.to, tell.message))
@@ -231,21 +241,21 @@
         for _ in range(1 + (self.draw.random() < self.fault_rate)):
             if self.draw.random() < self.fault_rate or self.is_cut(sender, tell.to):
                 continue
-            late = self.draw.randrange(1, 900 * MS if self.draw.random() < self.fault_rate else 5 * MS)
-            self.schedule(self.now + late + self.delay_us(sender, tell.to), lambda: self.deliver(sender, tell))
+            late_us = self.draw.randrange(1, 900 * MS if self.draw.random() < self.fault_rate else 5 * MS)
+            self.schedule(self.now + late_us + self.delay_us(sender, tell.to), lambda: self.deliver(sender, tell))
 
     def deliver(self, sender: str, tell: Tell) -> None:
-        one = self.nodes.get(tell.to)
-        if one is not None and one.is_up and not self.is_cut(sender, tell.to):
-            one.receive(sender, tell.message)
+        node = self.nodes.get(tell.to)
+        if node is not None and node.is_up and not self.is_cut(sender, tell.to):
+            node.receive(sender, tell.message)
 
     def commit(self, scope: str, *entries: c.Entry) -> None:
-        """A version is agreed now."""
+        """Agree on a version now."""
         state = dict(self.history[scope][-1][1])
-        for one in entries:
-            state.pop(one.key, None)
-            if one.value:
-                state[one.key] = one.value
+        for entry in entries:
+            state.pop(entry.key, None)
+            if entry.value:
+                state[entry.key] = entry.value
         self.history[scope].append((self.now, state))
         delta = c.Delta(0, len(self.history[scope]) - 1, entries)
         for name in self.sources:
@@ -255,7 +265,7 @@
                 source.apply_change(scope, delta)
 
     def commit_random(self, count: int = 1, size: int = 40) -> None:
-        """Random changes."""
+        """Agree on random changes."""
         for _ in range(count):
             key, value = f"k{self.draw.randrange(60)}", self.draw.randbytes(size if self.draw.random() < 0.8 else 0)
             self.commit(self.draw.choice(SCOPES), c.Entry(key, value))
@@ -264,10 +274,10 @@
         self.nodes[name].is_up = False
         self.nodes[name].plan_count += 1
 
-    def run_until_current(self, most_us: int) -> int:
-        """How long until everybody has the newest versions and says that it is no older than the bound."""
+    def run_until_current(self, max_us: int) -> int:
+        """Return how long it takes until all processes have the newest versions and an age within the bound."""
         began = self.now
-        while not all(one.has_all() and one.age() < 5 * SECOND for one in self.processes()):
+        while not all(process.has_all() and process.age() < 5 * SECOND for process in self.processes()):
             self.run(100 * MS)
-            assert self.now - began <= most_us, [one.core.rows(one.clock()) for one in self.processes()]
+            assert self.now - began <= max_us, [process.core.rows(process.clock()) for process in self.processes()]
         return self.now - began
--- a/tests/fleet/control/test_reader.py
+++ b/tests/fleet/control/test_reader.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_only_whole_versions_are_in_force_through_crashes_and_cuts_and_then_the_newest(seed: int) -> None:
-    world = World(seed, trouble=0.05, kept=1_500)
+    world = World(seed, fault_rate=0.05, kept_bytes=1_500)
     draw = world.draw
     for _ in range(60):
         world.commit_random(draw.randrange(4))
