--- a/tests/fleet/control/test_log.py
+++ b/tests/fleet/control/test_log.py
@@ -1,3 +1,5 @@
+"""Tests that sources agree on one history of a scope, whatever fails, and what they refuse."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,7 +15,10 @@
 
 
 def raced(world: World, offers: int, steps: int) -> dict[int, tuple[str, c.Entry]]:
-    """Offers at all sources at once, crashes and cuts between them; then all is well for a while."""
+    """Offer changes at all sources at once, with crashes and cuts in between; then let all recover.
+
+    Returns the scope and entry of each offer by its ticket.
+    """
     tickets = {}
     for ticket in range(1, offers + 1):
         entry = c.Entry(f"k{ticket % 3}", b"%d" % ticket)
@@ -36,7 +41,7 @@
     world.unknown = world.loss = 0.0
     world.run(50 * SECOND)
     heads = {core.head("all") for core in world.cores.values()}
-    assert len(heads) == 1, f"not in step: {heads}"
+    assert len(heads) == 1, f"different heads: {heads}"
     return tickets
 
 
@@ -65,25 +70,25 @@
 
 
 def test_only_the_slot_shows_whose_version_it_is_while_an_outcome_is_unknown() -> None:
-    ends: list[int] = []
+    outcomes: list[int] = []
 
     def done(version: int, _: str) -> list[f.Effect]:
-        ends.append(version)
+        outcomes.append(version)
         return []
 
-    one = Log("all", "s0", 1, ("s0", "s1"), refuse_bad, 1, lambda *_: [])
-    (read,) = one.tick(0)
+    log = Log("all", "s0", 1, ("s0", "s1"), refuse_bad, 1, lambda *_: [])
+    (read,) = log.tick(0)
     assert isinstance(read, f.Read)
-    one.answered(f.Answer(read.ask, read.key, "found", 0, b"", 0), 0)
-    (change,) = one.offer((c.Entry("k", b"1"),), 0, done, 0)
+    log.answered(f.Answer(read.ask, read.key, "found", 0, b"", 0), 0)
+    (change,) = log.offer((c.Entry("k", b"1"),), 0, done, 0)
     assert isinstance(change, f.Change)
-    one.answered(f.Answer(change.ask, change.key, "unknown", 0, b"", 0), 0)
-    one.receive_committed("s1", c.Delta(0, 1, (c.Entry("k", b"1"),)), 0)
-    assert one.head.version == 0 and not ends
-    (read,) = one.tick(SECOND)
+    log.answered(f.Answer(change.ask, change.key, "unknown", 0, b"", 0), 0)
+    log.receive_committed("s1", c.Delta(0, 1, (c.Entry("k", b"1"),)), 0)
+    assert log.head.version == 0 and not outcomes
+    (read,) = log.tick(SECOND)
     assert isinstance(read, f.Read)
-    one.answered(f.Answer(read.ask, read.key, "found", 1, change.value, 0), SECOND)
-    assert one.head.version == 1 and ends == [1]
+    log.answered(f.Answer(read.ask, read.key, "found", 1, change.value, 0), SECOND)
+    assert log.head.version == 1 and outcomes == [1]
 
 
 def test_slots_are_reused_once_a_majority_has_their_version() -> None:
@@ -105,7 +110,7 @@
 def test_a_source_too_far_behind_for_the_slots_takes_a_snapshot_while_changes_go_on() -> None:
     world = World(2, 3).run(50 * MS)
     world.crash("s2")
-    for ticket in range(80):  # more than the others keep
+    for ticket in range(80):  # more changes than the other sources keep
         world.offer("s0", ticket, "all", (f"k{ticket % 20}", b"%04000d" % ticket))
         world.run(100 * MS)
     world.start("s2")
@@ -113,7 +118,7 @@
         world.offer("s0", ticket, "all", (f"k{ticket}", b"x"))
         world.run(20 * MS)
     world.run(10 * SECOND)
-    assert any(move.whole for who, move in world.in_force if who == "s2/2")
+    assert any(change.whole for process, change in world.in_force if process == "s2/2")
     assert world.cores["s2"].head("all").version == 90
     world.check_invariants({})
 
@@ -148,12 +153,12 @@
 ]
 
 
-@pytest.mark.parametrize("scope, entries, base, why", BAD)
-def test_a_bad_change_is_refused_and_changes_nothing(scope: str, entries: State, base: int, why: str) -> None:
+@pytest.mark.parametrize("scope, entries, base, reason", BAD)
+def test_a_bad_change_is_refused_and_changes_nothing(scope: str, entries: State, base: int, reason: str) -> None:
     world = World(4, 1).run(50 * MS)
     world.offer("s0", 1, scope, *entries.items(), base=base)
     world.run(SECOND)
-    assert world.replies[1].startswith("refused: ") and why in world.replies[1] and not world.written
+    assert world.replies[1].startswith("refused: ") and reason in world.replies[1] and not world.written
 
 
 def test_scopes_of_a_process() -> None:
@@ -179,7 +184,7 @@
     world.carry_out("s1", core.begin_epoch(101, "all", (c.Entry("new", b"z"),), world.now))
     world.run(3 * SECOND)
     assert world.replies[101] == "all is at version 1"
-    assert {one.head("all") for one in world.cores.values()} == {c.Head("all", 1, 1)}
+    assert {source.head("all") for source in world.cores.values()} == {c.Head("all", 1, 1)}
     world.offer("s2", 102, "all", ("k", b"y"))
     world.run(SECOND)
     assert dict(world.cores["s0"].entries("all")) == {"new": b"z", "k": b"y"}
