--- a/tests/fleet/control/test_shell.py
+++ b/tests/fleet/control/test_shell.py
@@ -1,4 +1,4 @@
-"""The shell of the stream by values: what a source keeps on disk, operators' words, who may ask the keepers."""
+"""Tests the shell of the stream: what a source stores on disk, commands, and who reaches the acceptors."""
 
 import asyncio
 import tempfile
@@ -19,35 +19,35 @@
 from tests.fleet.life_world import SECRET
 
 
-def put(records: Records, rows: list[Row]) -> None:
+def store(records: Records, rows: list[Row]) -> None:
     for row in rows:
         records[row.kind, row.key] = row.payload
 
 
 def version(number: int, *entries: tuple[str, bytes], whole: bool = False) -> c.InForce:
-    return c.InForce(c.Head("all", 0, number), tuple(c.Entry(*one) for one in entries), whole)
+    return c.InForce(c.Head("all", 0, number), tuple(c.Entry(*entry) for entry in entries), whole)
 
 
 def test_a_source_stores_what_was_in_force() -> None:
     records: Records = {}
     kept = ScopeRecords(records)
-    put(records, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
-    put(records, kept.rows(version(2, ("a", b""), ("c", b"2"))))
+    store(records, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
+    store(records, kept.rows(version(2, ("a", b""), ("c", b"2"))))
     assert found_in(records) == [(c.Head("all", 0, 2), {"b": b"1", "c": b"2"})]
-    put(records, ScopeRecords(records).rows(version(9, ("d", b"9"), whole=True)))
+    store(records, ScopeRecords(records).rows(version(9, ("d", b"9"), whole=True)))
     assert found_in(records) == [(c.Head("all", 0, 9), {"d": b"9"})]
 
 
 def test_a_version_stored_only_in_part_is_not_restored() -> None:
     before: Records = {}
     kept = ScopeRecords(before)
-    put(before, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
+    store(before, kept.rows(version(1, ("a", b"1"), ("b", b"1"))))
     rows = kept.rows(version(2, ("a", b"2"), ("b", b"2")))
-    for whole in range(1, len(rows)):
+    for row_count in range(1, len(rows)):
         records = dict(before)
-        put(records, rows[:whole])
+        store(records, rows[:row_count])
         assert found_in(records) == []
-    put(before, rows)
+    store(before, rows)
     assert found_in(before) == [(c.Head("all", 0, 2), {"a": b"2", "b": b"2"})]
 
 
@@ -67,9 +67,9 @@
     assert (tmp_path / "state" / "keeper.journal").stat().st_size < COMPACT_BYTES + 100_000
 
 
-# ---- Words ----
+# ---- Commands ----
 
-SOURCES = tuple(FleetNode(f"s{at}", f"127.0.0.1:{at + 1}", True) for at in range(3))
+SOURCES = tuple(FleetNode(f"s{number}", f"127.0.0.1:{number + 1}", True) for number in range(3))
 
 
 def fleet(node: str, folder: str) -> Fleet:
@@ -80,26 +80,26 @@
     return Fleet(node, (own,), (str(key),), folder, control=Control(SOURCES, "r", "z"))
 
 
-def spoken(node: str, *words: str | bytes) -> str:
-    """What an operator is told by a process whose sockets are not open."""
+def answer_to(node: str, *words: str | bytes) -> str:
+    """Return the answer to an operator of a process whose sockets are not open."""
 
     async def ask(folder: str) -> str:
-        part = fleet(node, folder)
-        assert part.control is not None
-        one = ControlNode(part, 1, lambda event, text: None)
-        one._participant = Participant(part, part.control, 1, 1, mistake_in, 0)
+        settings = fleet(node, folder)
+        assert settings.control is not None
+        control_node = ControlNode(settings, 1, lambda event, text: None)
+        control_node._participant = Participant(settings, settings.control, 1, 1, mistake_in, 0)
         try:
-            said = [word.encode() if isinstance(word, str) else word for word in words]
-            return await one.word("control", msgspec.msgpack.encode(said))
+            command = [word.encode() if isinstance(word, str) else word for word in words]
+            return await control_node.word("control", msgspec.msgpack.encode(command))
         finally:
-            await one.stop()
+            await control_node.stop()
 
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(ask(folder))
 
 
 @pytest.mark.parametrize(
-    ("words", "why"),
+    ("words", "reason"),
     [
         (("PUT", "all", "k"), SPOKEN),
         (("PUT", "all", "k", "1", "2", "3"), SPOKEN),
@@ -113,15 +113,15 @@
         (("PUT", "all", "k", "1" * 4_097), "a value 4096 at most"),
     ],
 )
-def test_a_bad_command_is_refused_in_one_line(words: tuple[str | bytes, ...], why: str) -> None:
-    answer = spoken("s0", *words)
-    assert answer.startswith("refused: ") and why in answer and "\n" not in answer
+def test_a_bad_command_is_refused_in_one_line(words: tuple[str | bytes, ...], reason: str) -> None:
+    answer = answer_to("s0", *words)
+    assert answer.startswith("refused: ") and reason in answer and "\n" not in answer
 
 
 def test_a_reader_names_the_sources_and_any_process_shows_its_state() -> None:
-    assert spoken("g", "PUT", "all", "k", "1") == "refused: no source; offer it at one of s0 s1 s2"
-    assert spoken("g", "STATUS").startswith("node: g\ncontrol: behind, never heard")
-    assert spoken("s0").startswith("node: s0\nsource: s0 1")
+    assert answer_to("g", "PUT", "all", "k", "1") == "refused: no source; offer it at one of s0 s1 s2"
+    assert answer_to("g", "STATUS").startswith("node: g\ncontrol: behind, never heard")
+    assert answer_to("s0").startswith("node: s0\nsource: s0 1")
 
 
 def test_a_value_is_json() -> None:
@@ -131,9 +131,9 @@
 
 def test_only_sources_are_heard_on_registers() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        part = fleet("s0", folder)
-    assert part.control is not None
-    one = Participant(part, part.control, 1, 1, mistake_in, 0)
+        settings = fleet("s0", folder)
+    assert settings.control is not None
+    participant = Participant(settings, settings.control, 1, 1, mistake_in, 0)
     for message in (m.Prepare("k", m.Ballot(1, "g", 1)), m.Copy(1), m.Outbid("k", m.Ballot(), m.Ballot(9, "g", 1))):
-        assert one.receive("g", message, 0) == []
-    assert one.dropped["register"] == 3
+        assert participant.receive("g", message, 0) == []
+    assert participant.dropped["register"] == 3
