--- a/oatlink/fleet/control/feed.py
+++ b/oatlink/fleet/control/feed.py
@@ -47,7 +47,7 @@
         self._queue: deque[str] = deque()
         self._queued: dict[str, None] = {}
         self._due_changes: dict[str, int] = {}  # changed scopes, and when their changes are sent
-        self._flushed: dict[str, int] = {}
+        self._sent_us: dict[str, int] = {}
         self._budget_bytes, self._budget_us = float(CATCH_UP_BURST_BYTES), now_us
 
     @property
@@ -98,7 +98,7 @@
             takers.pop(child, None)
             if not takers:
                 del self._takers[scope]
-                self._flushed.pop(scope, None)
+                self._sent_us.pop(scope, None)
 
     def _enqueue(self, child: str) -> None:
         if child not in self._queued:
@@ -110,7 +110,7 @@
     def scope_changed(self, scope: str, now_us: int) -> None:
         """Schedule a send after the table of this scope has changed."""
         if scope not in self._due_changes and scope in self._takers:
-            self._due_changes[scope] = max(now_us, self._flushed.get(scope, now_us - BATCH_US) + BATCH_US)
+            self._due_changes[scope] = max(now_us, self._sent_us.get(scope, now_us - BATCH_US) + BATCH_US)
 
     def tick(self, now_us: int) -> list[Tell]:
         """Return the changes that are due, then messages for children that are behind, as far as the rate allows."""
@@ -118,7 +118,7 @@
         for scope in [changed_scope for changed_scope, at_us in self._due_changes.items() if now_us >= at_us]:
             del self._due_changes[scope]
             if scope in self._takers:
-                self._flushed[scope] = now_us
+                self._sent_us[scope] = now_us
                 tells += self._flush(scope)
         self._budget_bytes = min(
             CATCH_UP_BURST_BYTES, self._budget_bytes + self._rate * max(0, now_us - self._budget_us) / 1_000_000
--- a/oatlink/fleet/control/log.py
+++ b/oatlink/fleet/control/log.py
@@ -91,10 +91,8 @@
     def peer_has(self, source: str, head: Head, now_us: int) -> None:
         """Note which version another source has. If it is ahead, the next slot is read at once."""
         if source in self._sources:
-            self._heads[source] = (
-                head.epoch,
-                head.version,
-            )  # the last report, not the highest: its history may have begun anew
+            # The last report counts, not the highest: the history of that source may have begun again.
+            self._heads[source] = head.epoch, head.version
         if (head.epoch, head.version) > (self.head.epoch, self.head.version):
             self._agreement.newer_epoch = max(self._agreement.newer_epoch, head.epoch)
             self.request_read(now_us)
--- a/oatlink/fleet/control/peers.py
+++ b/oatlink/fleet/control/peers.py
@@ -21,7 +21,7 @@
             sorted((source for source in sources if source.name != name), key=lambda source: source.name)
         )
         self.all = tuple(sorted((name, *(source.name for source in self.others))))
-        self.beat_us = now_us + Random(f"{seed}/{name}/beat").randrange(BEAT_INTERVAL_US)
+        self.next_beat_us = now_us + Random(f"{seed}/{name}/beat").randrange(BEAT_INTERVAL_US)
         self._name = name
         self._heard_us: dict[str, int] = {}
         self._asked: dict[str, tuple[int, int]] = {}  # by scope: when it was last requested, and the turn
--- a/oatlink/fleet/control/roster.py
+++ b/oatlink/fleet/control/roster.py
@@ -47,13 +47,13 @@
         self.members = Members(seed)
         self._incarnation, self._peers, self._tables, self._offer = incarnation, peers, tables, offer
         self._seats = SeatPlanner(self.members.names, place.name, region, (place, *peers.others), seed, now_us)
-        self._now_us, self._sweep_us = now_us, now_us + SWEEP_US
-        self._count_us, self._counting = now_us, False
+        self._now_us, self._next_sweep_us = now_us, now_us + SWEEP_US
+        self._next_count_us, self._is_counting = now_us, False
 
     @property
     def due_us(self) -> int:
         """When `tick` has to be called next."""
-        return min(self.members.due_us, self._sweep_us)
+        return min(self.members.due_us, self._next_sweep_us)
 
     def rows(self) -> list[tuple[str, str]]:
         """Return the state for operators: name and text."""
@@ -124,8 +124,8 @@
         effects: list[Effect] = []
         for scope in self.members.due_scopes(now_us):
             effects += self._offer_change(scope, now_us)
-        if now_us >= self._sweep_us:
-            self._sweep_us = now_us + SWEEP_US
+        if now_us >= self._next_sweep_us:
+            self._next_sweep_us = now_us + SWEEP_US
             for name, pending in self.members.take_overdue(now_us - UNNAMED_SEAT_US, is_fresh, now_us):
                 effects += self._seat(name, pending.join, now_us, may_relay=pending.serves > 0)
             if self._peers.is_leader(now_us):
@@ -150,7 +150,7 @@
 
     def _offer_counts(self, now_us: int) -> list[Effect]:
         """Offer how many processes are where, as entries of `all`."""
-        if self._counting:
+        if self._is_counting:
             return []
         counts: dict[str, int] = {}
         for scope, zone in self.members.names.zones.items():
@@ -159,15 +159,15 @@
             region_key = key_of(f"region/{region}")
             counts[region_key] = counts.get(region_key, 0) + len(zone)
         current = self._tables[ALL].entries
-        is_due = now_us >= self._count_us
+        is_due = now_us >= self._next_count_us
         entries = [c.Entry(key, b"%d" % count) for key, count in counts.items() if key not in current or is_due]
         entries = [entry for entry in entries if current.get(entry.key) != entry.value]
         if not entries:
             return []
-        self._counting, self._count_us = True, now_us + COUNT_INTERVAL_US
+        self._is_counting, self._next_count_us = True, now_us + COUNT_INTERVAL_US
 
         def done(version: int, reason: str) -> list[Effect]:
-            self._counting = False
+            self._is_counting = False
             return []
 
         return self._offer(ALL, tuple(entries), -1, done, now_us)
--- a/oatlink/fleet/control/seats.py
+++ b/oatlink/fleet/control/seats.py
@@ -58,11 +58,11 @@
 
     children: int = 0
     lost_by: dict[str, int] = msgspec.field(default_factory=dict)
-    shunned_us: int = 0
+    excluded_until_us: int = 0
 
 
 class SeatPlanner:
-    """Assigns seats at one source. `sources` are all of them; `is_there` tells which can be assigned."""
+    """Assigns seats at one source. `sources` are all of them."""
 
     def __init__(
         self, names: Names, source: str, region: str, sources: tuple[Place, ...], seed: int, now_us: int
@@ -71,7 +71,7 @@
         self._sources = {one.name: one for one in sources}
         self._loads: dict[str, _Load] = {}
         self._lost: OrderedDict[str, tuple[str, int]] = OrderedDict()
-        self._next_us = now_us
+        self._next_turn_us = now_us
         self._zones: dict[str, list[str]] = {}  # by region
 
     # ---- Reports ----
@@ -94,17 +94,17 @@
             load.lost_by = {name: us for name, us in load.lost_by.items() if now_us - us < LOST_UPSTREAM_US}
             load.lost_by[asker] = now_us
             if len(load.lost_by) >= WITNESSES:
-                load.shunned_us = now_us + LOST_UPSTREAM_US
+                load.excluded_until_us = now_us + LOST_UPSTREAM_US
                 load.lost_by.clear()
 
     # ---- Assignments ----
 
     def reserve_turn(self, now_us: int) -> int | None:
         """Return how many microseconds the next process has to wait; None if that is longer than any may be told."""
-        turn_us = max(self._next_us, now_us)
+        turn_us = max(self._next_turn_us, now_us)
         if turn_us - now_us > MAX_WAIT_US:
             return None
-        self._next_us = turn_us + 1_000_000 // SEATS_PER_S
+        self._next_turn_us = turn_us + 1_000_000 // SEATS_PER_S
         return turn_us - now_us
 
     def choose(
@@ -117,22 +117,22 @@
         `may_relay`: the process may be about to become a relay and gets the places of one.
         """
         lost_upstream, until_us = self._lost.get(asker, ("", 0))
-        shunned = lost_upstream if now_us < until_us else ""
+        excluded = lost_upstream if now_us < until_us else ""
         chosen: list[str] = []
         if not may_relay and not self.is_relay(asker):
             region, _ = zone_of(scope)
             for zone in (scope, *self._other_zones(scope, region)):
-                chosen += self._relays(asker, zone, shunned, now_us)[: 2 - len(chosen)]
+                chosen += self._relays(asker, zone, excluded, now_us)[: 2 - len(chosen)]
                 if len(chosen) == 2:
                     break
             chosen.sort(key=self._load_ratio)  # the less loaded one first
         if len(chosen) < 2:
-            chosen += self._choose_sources(asker, scope, shunned, is_heard)[: 2 - len(chosen)]
+            chosen += self._choose_sources(asker, scope, excluded, is_heard)[: 2 - len(chosen)]
         if chosen[0] in self._loads:
             self._loads[chosen[0]].children += 1
         return self._place_of(chosen[0]), self._place_of(chosen[-1])
 
-    def _relays(self, asker: str, scope: str, shunned: str, now_us: int) -> list[str]:
+    def _relays(self, asker: str, scope: str, excluded: str, now_us: int) -> list[str]:
         """Return the relays of a zone that may be assigned, the first choice first.
 
         Costs one step per relay of the zone.
@@ -144,21 +144,23 @@
         for name, serves in zone.relays.items():
             load = self._loads.setdefault(name, _Load())
             is_usable = (
-                name not in (asker, shunned) and now_us >= load.shunned_us and self._names.is_alive(name, now_us)
+                name not in (asker, excluded)
+                and now_us >= load.excluded_until_us
+                and self._names.is_alive(name, now_us)
             )
             if is_usable and load.children < serves:
                 candidates.append(name)
         ranked = order(self._seed, asker, candidates)
         return sorted(ranked, key=lambda name: CAPACITY_FACTOR * self._loads[name].children >= zone.relays[name])
 
-    def _choose_sources(self, asker: str, scope: str, shunned: str, is_heard: Callable[[str], bool]) -> list[str]:
+    def _choose_sources(self, asker: str, scope: str, excluded: str, is_heard: Callable[[str], bool]) -> list[str]:
         """Return all sources, best first: heard and not lost, then this one for its own region, then by hash."""
         region, _ = zone_of(scope)
         ranked = order(self._seed, asker, self._sources)
         return sorted(
             ranked,
             key=lambda source: (
-                source == shunned,
+                source == excluded,
                 not is_heard(source),
                 not (source == self._source and region == self._region),
             ),
--- a/oatlink/fleet/control/source.py
+++ b/oatlink/fleet/control/source.py
@@ -63,7 +63,7 @@
         """When `tick` has to be called next."""
         if self._is_stopped or not self._has_met_peers:
             return NEVER_US if self._is_stopped else 0
-        return min(self._peers.beat_us, self._logs.due_us, self._downstream.due_us, self._roster.due_us)
+        return min(self._peers.next_beat_us, self._logs.due_us, self._downstream.due_us, self._roster.due_us)
 
     def head(self, scope: str) -> c.Head:
         """Return the version in force here."""
@@ -139,8 +139,8 @@
             return []
         effects: list[Effect] = [] if self._has_met_peers else [c.Known(peer) for peer in self._peers.others]
         self._has_met_peers = True
-        if now_us >= self._peers.beat_us:
-            self._peers.beat_us = now_us + BEAT_INTERVAL_US
+        if now_us >= self._peers.next_beat_us:
+            self._peers.next_beat_us = now_us + BEAT_INTERVAL_US
             beat = self._logs.beat(now_us)
             effects += [Tell(peer.name, beat) for peer in self._peers.others]
         effects += self._roster.tick(self.age_us(now_us) == 0, now_us)
--- a/oatlink/fleet/control/sums.py
+++ b/oatlink/fleet/control/sums.py
@@ -44,13 +44,13 @@
         self._below: dict[str, _ChildSums] = {}
         self._draw = Random(f"sums/{seed}/{name}")
         self._sent_us = now_us - MIN_REPORT_GAP_US
-        self._round_us = now_us + self._draw.randrange(REPORT_INTERVAL_US)
-        self._news_us = NEVER_US
+        self._full_report_us = now_us + self._draw.randrange(REPORT_INTERVAL_US)
+        self._change_report_us = NEVER_US
 
     @property
     def due_us(self) -> int:
         """When a report is due."""
-        return min(self._round_us, self._news_us)
+        return min(self._full_report_us, self._change_report_us)
 
     # ---- Children ----
 
@@ -147,18 +147,18 @@
     def schedule_report(self, now_us: int) -> None:
         """Schedule a report after a version came into force here or below."""
         at_us = max(now_us + self._draw.randrange(MAX_REPORT_DELAY_US), self._sent_us + MIN_REPORT_GAP_US)
-        self._news_us = min(self._news_us, at_us)
+        self._change_report_us = min(self._change_report_us, at_us)
 
     def report(self, incarnation: int, mark: int, now_us: int) -> Report:
         """Build the report for the upstream; call it when one is due."""
-        is_full = now_us >= self._round_us
+        is_full = now_us >= self._full_report_us
         if is_full:
-            self._round_us = (
+            self._full_report_us = (
                 now_us + REPORT_INTERVAL_US + self._draw.randrange(-REPORT_INTERVAL_US // 10, REPORT_INTERVAL_US // 10)
             )
         else:
-            self._round_us = max(self._round_us, now_us + MIN_REPORT_GAP_US)
-        self._sent_us, self._news_us = now_us, NEVER_US
+            self._full_report_us = max(self._full_report_us, now_us + MIN_REPORT_GAP_US)
+        self._sent_us, self._change_report_us = now_us, NEVER_US
         # Includes scopes that no process below takes any more: otherwise their old sum would stay at the upstream.
         lags = tuple(map(self.lag, self._tables))
         return Report(incarnation, lags, self.children, self.alive() if is_full else (), mark)
--- a/tests/fleet/control/test_source.py
+++ b/tests/fleet/control/test_source.py
@@ -229,7 +229,9 @@
 
     def __post_init__(self) -> None:
         self.registers_world = registers_world.World(self.seed, clients=0)
-        self.acceptors = [one for one in self.registers_world.nodes.values() if isinstance(one, registers_world.Keeper)]
+        self.acceptors = [
+            node for node in self.registers_world.nodes.values() if isinstance(node, registers_world.Keeper)
+        ]
         self.proposers: dict[str, Proposer] = {}
         self.now = self.registers_world.now
         super().__post_init__()
--- a/tests/fleet/control/test_source_guards.py
+++ b/tests/fleet/control/test_source_guards.py
@@ -66,7 +66,7 @@
     Log,
     _has_majority=always_true,
 )
-put("which source made a version", race, Agreement, is_own=lambda one, _: one.queue.is_front_tried)
+put("which source made a version", race, Agreement, is_own=lambda instance, _: instance.queue.is_front_tried)
 put("which version is the source's own", race, Agreement, is_own=lambda *_: False)
 put("the caller's check", bad_changes, agreement, state_error=no_error)
 put("the bounds of a change", bad_changes, log, change_error=no_error)
@@ -182,9 +182,9 @@
     base: int,
     done: object,
     now_us: int,
-    anew: bool = False,
+    begins_epoch: bool = False,
 ) -> list[Effect]:
-    return original(instance, scope, entries, -1, done, now_us, anew)  # type: ignore[no-any-return]
+    return original(instance, scope, entries, -1, done, now_us, begins_epoch)  # type: ignore[no-any-return]
 
 
 @instead_of(Log, "distrust", of_source.test_after_a_cut_no_scope_is_reported_before_its_next_slot_was_read)
