--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -1,9 +1,9 @@
-"""The control stream in a process: sockets, the keeper's file and one timer around the station.
+"""The control stream in a process: sockets, the keeper's file and one timer around the participant.
 
-It decides nothing except how to read an operator's command: inputs are handed to the station, and the effects that the
-station returns are carried out in order. Only a source stores anything, in the keeper's file: its registers, and each
-version before another source is told that this one has it. Prevents a slot from being overwritten while its version is
-on no disk, which would lose the version if all sources restarted.
+It decides nothing except how to read an operator's command: inputs are handed to the participant, and the effects that
+the participant returns are carried out in order. Only a source stores anything, in the keeper's file: its registers,
+and each version before another source is told that this one has it. Prevents a slot from being overwritten while its
+version is on no disk, which would lose the version if all sources restarted.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 import msgspec
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.control.station import Station
+from oatlink.fleet.control.participant import Participant
 from oatlink.fleet.messages import control as c
 from oatlink.fleet.shell.control_commands import find_mistake, parse_command
 from oatlink.fleet.shell.keeper_store import KeeperStore
@@ -61,7 +61,7 @@
         self._store = KeeperStore(fleet, self._send_stored, note)
         self._scope_records: ScopeRecords | None = None  # only at a source
         self._other_sources = sources - {fleet.node}
-        self._station: Station | None = None
+        self._participant: Participant | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tickets: dict[int, asyncio.Future[str]] = {}
         self._last_ticket = 0
@@ -72,9 +72,9 @@
         return self._transport.counters
 
     @property
-    def station(self) -> Station | None:
+    def participant(self) -> Participant | None:
         """The cores, None while this process does not take part."""
-        return self._station
+        return self._participant
 
     # ---- Start and stop ----
 
@@ -94,25 +94,25 @@
             self._store.open()
             self._scope_records = ScopeRecords(self._store.records)
         keeper = self._store.acceptor(self._seed) if self._fleet.own_node.keeper else None
-        self._station = Station(
+        self._participant = Participant(
             self._fleet, self._control, self._incarnation, self._seed, find_mistake, now_us(), keeper
         )
-        self._restore(self._station)
+        self._restore(self._participant)
         self._transport.start()
         self._tick()
 
-    def _restore(self, station: Station) -> None:
+    def _restore(self, participant: Participant) -> None:
         try:
             for head, entries in scopes_in(self._store.records):
-                station.restore(head, entries, now_us())
+                participant.restore(head, entries, now_us())
         except (msgspec.MsgspecError, ValueError) as error:
             self._note("control", f"what was on disk is not restored: {error}")
 
     async def stop(self) -> None:
         """Tell the peers that this process leaves, and close."""
-        if self._station is not None:
-            self._do(self._station.leave(now_us()))
-            self._station = None
+        if self._participant is not None:
+            self._do(self._participant.leave(now_us()))
+            self._participant = None
         if self._timer is not None:
             self._timer.cancel()
         self._store.stop()
@@ -139,7 +139,7 @@
         """Carry out an operator's command, and return the reply: one line, except for the status."""
         if word != "control":
             return "no versions in the fleet's settings"
-        if self._station is None:
+        if self._participant is None:
             return "the fleet is off here"
         command = parse_command(text)
         if isinstance(command, str):
@@ -150,7 +150,7 @@
 
     async def offer(self, scope: str, entries: tuple[c.Entry, ...], base: int = -1) -> str:
         """Offer a change that was made for version `base` (-1: any), and return its outcome in one line."""
-        if self._station is None:
+        if self._participant is None:
             return "refused: the fleet is off here"
         self._last_ticket += 1
         ticket = self._last_ticket
@@ -158,7 +158,7 @@
         self._tickets[ticket] = future
         try:
             async with asyncio.timeout(COMMAND_S):
-                self._do(self._station.offer(ticket, scope, entries, base, now_us()))
+                self._do(self._participant.offer(ticket, scope, entries, base, now_us()))
                 return await future
         except TimeoutError:
             return "unknown: it may have happened, or may yet"
@@ -167,21 +167,21 @@
 
     def rows(self) -> list[tuple[str, str]]:
         """Status rows for operators."""
-        if self._station is None:
+        if self._participant is None:
             return [("node", "off")]
-        counts = dict(self.counters) | {f"dropped_{name}": count for name, count in self._station.dropped.items()}
+        counts = dict(self.counters) | {f"dropped_{name}": count for name, count in self._participant.dropped.items()}
         links = ("links", " ".join(f"{name}={count}" for name, count in sorted(counts.items())))
-        return [("node", self._fleet.node), *self._store.rows(self._station.rows(now_us())), links]
+        return [("node", self._fleet.node), *self._store.rows(self._participant.rows(now_us())), links]
 
-    # ---- Inputs and effects of the station ----
+    # ---- Inputs and effects of the participant ----
 
     def _received(self, sender: str, message: f.AnyMessage) -> None:
-        if self._station is not None:
-            self._do(self._station.receive(sender, message, now_us()))
+        if self._participant is not None:
+            self._do(self._participant.receive(sender, message, now_us()))
 
     def _failed(self, peer: str) -> None:
-        if self._station is not None:
-            self._do(self._station.silent(peer, now_us()))
+        if self._participant is not None:
+            self._do(self._participant.link_failed(peer, now_us()))
 
     def _send_stored(self, tell: f.Tell) -> None:
         """Send a message that waited for the keeper's file."""
@@ -192,8 +192,8 @@
 
     def _tick(self) -> None:
         self._timer = None
-        if self._station is not None:
-            self._do(self._station.tick(now_us()))
+        if self._participant is not None:
+            self._do(self._participant.tick(now_us()))
 
     def _do(self, effects: list[f.Effect]) -> None:
         """Carry out effects, in order."""
@@ -234,7 +234,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._station is not None:
-            wait_s = (self._station.due_us - now_us()) / 1e6
+        if self._participant is not None:
+            wait_s = (self._participant.due_us - now_us()) / 1e6
             wait_s = min(MAX_WAIT_S, max(MIN_WAIT_S, wait_s))
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
