--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -18,7 +18,11 @@
 from oatlink.interface import Outcome, Role
 
 SAMPLE_WAIT_US = 10_000  # a replica's check waits so long for the primary's offset to compare with
-SEEN = {"late": "hung", "refused": "refused", "reset": "reset"}  # how a probe or an attempt ended: evidence for others
+EVIDENCE_BY_ENDING = {
+    "late": "hung",
+    "refused": "refused",
+    "reset": "reset",
+}  # how a probe or an attempt ended: evidence for others
 KEPT_ELECTIONS = 16  # a bank, for operators
 
 
@@ -56,7 +60,7 @@
             report = state.report
             if report is not None and report.replid == seen.history and 0 <= report.offset < seen.offset:
                 # What it has applied of one history only grows; what is asked from now on shows as much.
-                state.report, state.told_us = msgspec.structs.replace(report, offset=seen.offset), self._now
+                state.report, state.report_received_us = msgspec.structs.replace(report, offset=seen.offset), self._now
         elif seen.act == "later" and seen.until_us <= self._now:
             self._doubt(state, (0, 0))
         elif state.heard_us < seen.at_us:
@@ -75,7 +79,7 @@
         """An operator wants to know: every box is asked, the primaries' offsets first."""
         ordered = sorted(self._boxes.values(), key=lambda one: one.box.name != self._groups[one.box.bank].primary)
         for state in ordered:
-            state.refreshing = True
+            state.refresh_pending = True
             self._probe(state)
 
     def _on_listed(self, given: m.AnyInput) -> None:
@@ -102,29 +106,29 @@
         self._route(api.Roster(api.RosterKind.WHOLE, tuple(entries)))
         if self._gate.on:
             self._out.append(m.Listing(given.boxes))
-        if not self._listed:
-            self._listed = True
+        if not self._has_roster:
+            self._has_roster = True
             self._on_inspected(given)  # a gateway that starts asks every box once, before anyone waits for it
 
     def _part(self, state: BoxState) -> None:
         """A box has left, or another has its name now: nothing of it is awaited."""
         name = state.box.name
-        self._check_waits.pop(name, None)
+        self._waiting_checks.pop(name, None)
         for session in self._sessions.values():
             if session.lease_box == name:
                 # Threat: EXEC at whoever has that name next, where nothing is watched.
                 session.lease_lost = True
         for key in [one for one in self._races if one[0] == name]:
             del self._races[key]  # the next link of that name counts its dials from 1 again
-        if state.report is not None and self._runs.get(state.report.run_id) == name:
-            del self._runs[state.report.run_id]
+        if state.report is not None and self._box_by_run_id.get(state.report.run_id) == name:
+            del self._box_by_run_id[state.report.run_id]
 
     def _number(self, name: str) -> int:
         self._last_member += 1
-        self._names[self._last_member] = name
-        if len(self._names) > 16 * (len(self._boxes) + 64):
+        self._box_names[self._last_member] = name
+        if len(self._box_names) > 16 * (len(self._boxes) + 64):
             live = {one.member for one in self._boxes.values()}
-            self._names = {one: self._names[one] for one in sorted(live | {self._last_member})}
+            self._box_names = {one: self._box_names[one] for one in sorted(live | {self._last_member})}
         return self._last_member
 
     def _entry(self, state: BoxState) -> api.RosterEntry:
@@ -142,7 +146,7 @@
         for group in self._groups:
             group.positions.gap(self._now - 2)  # what is asked in this very instant counts
         for state in list(self._boxes.values()):
-            state.report, state.asked_us = None, 0
+            state.report, state.report_asked_us = None, 0
             self._renew(state, "is asked anew after a gap in the clock")
         self._on_inspected(given)
 
@@ -156,12 +160,12 @@
         report = parse_info(given.info)
         how = given.how if given.info or given.how != "reply" else "bad reply"
         how = self._shown(state, address, how, report, given.asked_us, given.took_us, probe=True)
-        if how in SEEN:
-            self._observe(state, SEEN[how])
+        if how in EVIDENCE_BY_ENDING:
+            self._observe(state, EVIDENCE_BY_ENDING[how])
         race = self._races.get((given.box, REPORT))
         if race is None or address not in race.out:  # asked for the path's sake
             if how == "reply":
-                self._hear(state, report, given.asked_us)
+                self._apply_report(state, report, given.asked_us)
             return
         race.out.remove(address)
         if how != "reply":
@@ -170,30 +174,30 @@
             if race.out or race.queue:
                 return  # another path has been asked
         del self._races[given.box, REPORT]
-        state.probe_out = False
+        state.probe_pending = False
         if how == "reply":
-            self._hear(state, report, given.asked_us)
+            self._apply_report(state, report, given.asked_us)
             if state.doubt[0] and given.asked_us > state.doubt[0]:
                 self._observe(state, "served")  # others hear that it answers here
                 self._doubt(state, (0, 0))
-            if state.check_out or state.refreshing:
-                state.check_out = state.refreshing = False
+            if state.check_pending or state.refresh_pending:
+                state.check_pending = state.refresh_pending = False
                 # An old primary on its island lives, but nothing that it holds is the group's word.
                 island = report.role == "primary" and report.replid != self._groups[state.box.bank].positions.current
                 ended = Outcome.MISS if report.loading or island else Outcome.SERVED
-                self._route(api.Checked(state.member, ended, given.took_us, self._report(state, given.asked_us)))
-        elif state.check_out:
-            state.check_out = state.refreshing = False
+                self._route(api.Checked(state.member, ended, given.took_us, self._router_report(state, given.asked_us)))
+        elif state.check_pending:
+            state.check_pending = state.refresh_pending = False
             self._route(api.Checked(state.member, outcomes.ENDINGS[how], given.took_us))
         else:
-            state.refreshing = False
+            state.refresh_pending = False
         group = self._groups[state.box.bank]
         if given.box == group.primary:
-            for other in list(self._check_waits.values()):
+            for other in list(self._waiting_checks.values()):
                 if other.box.bank == state.box.bank:
                     self._probe(other)
 
-    def _hear(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
+    def _apply_report(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
         """Take in what a box says of itself: identity first, then the primary's offset as a sample."""
         old = state.report
         if not report.run_id and old is not None:  # asked behind an answer: the connection has proven the run
@@ -203,14 +207,14 @@
         lower = old is not None and not again and report.replid == old.replid and 0 <= report.offset < old.offset
         # Threat: two reports on the way at once, over two paths. Only one that was asked for when the higher offset was
         # known already shows that the box has gone back; another one is older news, however it came.
-        back = lower and asked_us >= state.told_us
+        back = lower and asked_us >= state.report_received_us
         first = old is None
         if report.run_id and (old is None or again):
-            if old is not None and self._runs.get(old.run_id) == state.box.name:
-                del self._runs[old.run_id]
-            self._runs[report.run_id] = state.box.name
-        if old is None or again or back or (asked_us >= state.asked_us and not lower):
-            state.report, state.asked_us, state.told_us = report, asked_us, self._now
+            if old is not None and self._box_by_run_id.get(old.run_id) == state.box.name:
+                del self._box_by_run_id[old.run_id]
+            self._box_by_run_id[report.run_id] = state.box.name
+        if old is None or again or back or (asked_us >= state.report_asked_us and not lower):
+            state.report, state.report_asked_us, state.report_received_us = report, asked_us, self._now
         state.heard_us = self._now
         group = self._groups[state.box.bank]
         if report.role == "primary" and not report.loading and report.offset >= 0:
@@ -225,7 +229,10 @@
             )
             if counted and group.primary != state.box.name:
                 group.elections += bool(group.primary)
-                group.recent = [*group.recent[1 - KEPT_ELECTIONS :], (self._now, group.primary, state.box.name)]
+                group.recent_elections = [
+                    *group.recent_elections[1 - KEPT_ELECTIONS :],
+                    (self._now, group.primary, state.box.name),
+                ]
                 group.primary = state.box.name
                 self._observe(state, "elected")
                 self._observe(state, "primary", report.replid, report.offset)
@@ -246,14 +253,14 @@
         gone = self._entry(state)
         gone = api.RosterEntry(gone.member, gone.group, gone.zone, gone.kind, api.Listing.GONE)
         state.member = self._number(state.box.name)
-        state.check_out = False
+        state.check_pending = False
         self._out.append(m.Note("box", f"{state.box.name} {why}"))
         self._out.append(m.DropIdle(state.box.name))
         self._route(api.Roster(api.RosterKind.CHANGES, (gone, self._entry(state))))
         if state.report is not None and not state.report.loading:
-            self._route(api.Checked(state.member, Outcome.SERVED, 0, self._report(state, state.asked_us)))
+            self._route(api.Checked(state.member, Outcome.SERVED, 0, self._router_report(state, state.report_asked_us)))
 
-    def _report(self, state: BoxState, asked_us: int) -> api.Report | None:
+    def _router_report(self, state: BoxState, asked_us: int) -> api.Report | None:
         """What the Router may believe: role, and the offset as a time where that is proven."""
         report = state.report
         if report is None:
@@ -268,31 +275,31 @@
             )
         return None
 
-    def _check(self, member: int) -> None:
+    def _start_check(self, member: int) -> None:
         """The Router wants a report. A replica's offset is compared with the primary's: that is asked first."""
-        state = self._boxes.get(self._names.get(member, ""))
+        state = self._boxes.get(self._box_names.get(member, ""))
         if state is None or state.member != member:
             return
-        state.check_out = True
+        state.check_pending = True
         group = self._groups[state.box.bank]
         primary = self._boxes.get(group.primary)
-        fresh = self._now - group.positions.newest_us() <= self._sample_us
-        others = primary is not None and primary is not state and not state.check_waits_us
-        if primary is not None and others and not fresh and self._sample(primary):
-            state.check_waits_us = self._now + SAMPLE_WAIT_US
-            self._check_waits[state.box.name] = state
+        fresh = self._now - group.positions.newest_us() <= self._sample_interval_us
+        others = primary is not None and primary is not state and not state.check_deadline_us
+        if primary is not None and others and not fresh and self._sample_offset(primary):
+            state.check_deadline_us = self._now + SAMPLE_WAIT_US
+            self._waiting_checks[state.box.name] = state
             return
         self._probe(state)
 
-    def _sample(self, primary: BoxState) -> bool:
+    def _sample_offset(self, primary: BoxState) -> bool:
         """Ask a primary for its offset, once at a time. Whether an answer is now awaited."""
-        if not primary.probe_out and self._now - primary.informed_us >= self._sample_us // PROBE_PARTS:
-            primary.informed_us = self._now
+        if not primary.probe_pending and self._now - primary.offset_asked_us >= self._sample_interval_us // PROBE_PARTS:
+            primary.offset_asked_us = self._now
             self._probe(primary)
             return True
-        return primary.probe_out and self._now - primary.informed_us < SAMPLE_WAIT_US
+        return primary.probe_pending and self._now - primary.offset_asked_us < SAMPLE_WAIT_US
 
-    def _refresh(self, number: int) -> None:
+    def _refresh_positions(self, number: int) -> None:
         """Keep the replicas' positions known while reads come that need one.
 
         Threat: the Router asks for a position only when no known one fits, so one replica whose answers keep it
@@ -301,33 +308,33 @@
         group = self._groups[number]
         if self._now < group.refresh_us:
             return
-        group.refresh_us = self._now + self._refresh_us // PROBE_PARTS
+        group.refresh_us = self._now + self._refresh_interval_us // PROBE_PARTS
         for state in self._boxes.values():
-            since = self._now - max(state.asked_us, state.refreshed_us)
+            since = self._now - max(state.report_asked_us, state.refreshed_us)
             if (
                 state.box.bank == number
-                and since >= self._refresh_us
+                and since >= self._refresh_interval_us
                 and state.report is not None
                 and state.report.role == "replica"
                 and state.box.state == "ready"
-                and not state.probe_out
+                and not state.probe_pending
             ):
-                state.refreshing, state.refreshed_us = True, self._now
+                state.refresh_pending, state.refreshed_us = True, self._now
                 self._probe(state)
 
     def _probe(self, state: BoxState) -> None:
-        if state.check_waits_us:
-            state.check_waits_us = 0
-            self._check_waits.pop(state.box.name, None)
-        if not state.probe_out:
-            state.probe_out = True
+        if state.check_deadline_us:
+            state.check_deadline_us = 0
+            self._waiting_checks.pop(state.box.name, None)
+        if not state.probe_pending:
+            state.probe_pending = True
             self._attempt(state, REPORT)
 
-    def _again(self, state: BoxState) -> api.Report | None:
+    def _updated_position(self, state: BoxState) -> api.Report | None:
         """A replica's last offset compared with the samples since: it may be proven more recent by now."""
         if state.report is None or state.report.role != "replica":
             return None
-        found = self._report(state, state.asked_us)
+        found = self._router_report(state, state.report_asked_us)
         # The role is as old as that report; only the position is told.
         return api.Report(found.position_us) if found is not None and found.position_us is not None else None
 
--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -34,8 +34,8 @@
             if ask.started:
                 self._route(api.Departure(str(ask.id)))
             if not ask.open:
-                self._forget(ask.id)
-                self._at_gate.pop(ask.id, None)
+                self._forget_request(ask.id)
+                self._waiting_for_grant.pop(ask.id, None)
 
     def _on_broken(self, given: m.AnyInput) -> None:
         """Outside the protocol: the error in its turn, then the end of the connection."""
@@ -69,12 +69,12 @@
         session = self._sessions.get(given.client)
         if session is None or session.closing:
             return
-        self._late_us, self._behind = given.late_us, given.behind
+        self._late_us, self._waiting_client_count = given.late_us, given.behind
         self._waited_us = max(given.late_us, given.waited_us)
         # Threat: a long pipeline that is served as fast as it can be, refused for its own length. What lay behind its
         # client's own commands loses that time only where one of them hung meanwhile.
         has_hung = session.hung_us >= self._now - self._waited_us - given.own_us
-        self._own_us = given.own_us if has_hung else 0
+        self._pipeline_wait_us = given.own_us if has_hung else 0
         args = given.args
         if session.admin:
             self._administer(session, args)
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -48,8 +48,8 @@
         """Take one input and return the effects it calls for, in order. Time must not run backwards."""
         self._now = max(self._now, now_us)
         self._out, self.fresh = [], False
-        self._late_us = self._waited_us = self._own_us = 0
-        self._more = False
+        self._late_us = self._waited_us = self._pipeline_wait_us = 0
+        self._more_follows = False
         self._handlers[type(given)](given)
         self._due()
         return self._out
@@ -57,7 +57,7 @@
     @property
     def names(self) -> dict[int, str]:
         """The boxes behind the Router's member numbers."""
-        return self._names
+        return self._box_names
 
     @property
     def gate(self) -> Gate:
@@ -66,7 +66,7 @@
 
     def _on_started(self, given: m.AnyInput) -> None:
         assert isinstance(given, m.Started)
-        self._code = given.code
+        self._program_form = given.code
         self._route(api.Start())
 
     def _on_ticked(self, given: m.AnyInput) -> None:
@@ -93,20 +93,22 @@
         if now >= self._router_due:
             self._router_due = 2**62
             self._route(api.TimerFired("due"))
-        while self._ends and self._ends[0][0] <= now:
-            self._expire(heapq.heappop(self._ends)[1])
-        while self._looks and self._looks[0][0] <= now:
-            self._looked(*heapq.heappop(self._looks))
-        if now >= self._gate_due:
-            self._ask_gate()
-        waits = self._looks[0][0] if self._looks else 2**62
-        for state in list(self._check_waits.values()):
-            if state.check_waits_us:
-                if now >= state.check_waits_us:
+        while self._deadlines and self._deadlines[0][0] <= now:
+            self._expire(heapq.heappop(self._deadlines)[1])
+        while self._path_checks and self._path_checks[0][0] <= now:
+            self._run_path_check(*heapq.heappop(self._path_checks))
+        if now >= self._quota_retry_us:
+            self._retry_quota_checks()
+        waits = self._path_checks[0][0] if self._path_checks else 2**62
+        for state in list(self._waiting_checks.values()):
+            if state.check_deadline_us:
+                if now >= state.check_deadline_us:
                     self._probe(state)
                 else:
-                    waits = min(waits, state.check_waits_us)
-        next_us = min(self._router_due, self._ends[0][0] if self._ends else 2**62, waits, self._gate_due)
+                    waits = min(waits, state.check_deadline_us)
+        next_us = min(
+            self._router_due, self._deadlines[0][0] if self._deadlines else 2**62, waits, self._quota_retry_us
+        )
         if next_us < self._wake_us:
             self._wake_us = next_us
             self._out.append(m.Wake(next_us))
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -23,19 +23,19 @@
 class Gated(Boxes):
     """Requests before the fleet's gate."""
 
-    def busy(self) -> tuple[int, ...]:
+    def versions_in_use(self) -> tuple[int, ...]:
         """The versions that requests are out for, or held for."""
-        return tuple(self._busy)
+        return tuple(self._open_by_version)
 
-    def _forget(self, request: int) -> None:
+    def _forget_request(self, request: int) -> None:
         """Nothing of a request is out any more, and it is owed no answer."""
         ask = self._asks.pop(request, None)
         if ask is not None and ask.version:
-            self._busy[ask.version] -= 1
-            if not self._busy[ask.version]:
-                del self._busy[ask.version]
+            self._open_by_version[ask.version] -= 1
+            if not self._open_by_version[ask.version]:
+                del self._open_by_version[ask.version]
 
-    def _version(self, session: Session, rule: RequestClass, slots: list[int]) -> tuple[int, int]:
+    def _choose_version(self, session: Session, rule: RequestClass, slots: list[int]) -> tuple[int, int]:
         """The version that a request is made for, and, where it is not served here now, when to come back."""
         found = self._gate.layout(session.name, session.pinned, self._now)
         back_us = found.back_us
@@ -50,7 +50,7 @@
             session.pinned = found.version
         return found.version, back_us
 
-    def _fits(self, state: BoxState, ask: Ask) -> bool:
+    def _serves_version(self, state: BoxState, ask: Ask) -> bool:
         """Whether a box may take a request of that version now: the last look before it is sent.
 
         Threat: a request that was held past the end of the version's term, a primary that failed over without the
@@ -61,7 +61,7 @@
         marker = self._gate.marker(self.settings.banks[state.box.bank].name, ask.version)
         return marker is None or self._applied(state, marker)
 
-    def _step_us(self, ask: Ask) -> int | None:
+    def _version_position_us(self, ask: Ask) -> int | None:
         """The position, as a time, from which on a replica surely has applied the step that a version needs.
 
         Where no sample shows it yet, only the primary is left: nothing is as recent as this instant.
@@ -78,9 +78,9 @@
             Place(report.replid, report.offset, report.replid2, report.second_offset), marker
         )
 
-    def _turn_back(self, ask: Ask, state: BoxState) -> None:
+    def _reject_unserved(self, ask: Ask, state: BoxState) -> None:
         """The box that was chosen does not offer the request's version: it is asked, and the client told at once."""
-        state.refreshing = True
+        state.refresh_pending = True
         self._probe(state)
         self.counts["unserved"] = self.counts.get("unserved", 0) + 1
         self._out.append(m.Counted(ask.rule.name, "unserved", self._now - ask.arrived_us))
@@ -96,10 +96,10 @@
             bank = self.settings.banks[state.box.bank].name
             markers = [self._gate.marker(bank, one) for one in self._gate.versions]
             if any(one is not None and not self._applied(state, one) for one in markers):
-                state.refreshing = True
+                state.refresh_pending = True
                 self._probe(state)
 
-    def _over_quota(self, session: Session, rule: RequestClass, command: str, keys: list[bytes], cost: int) -> int:
+    def _check_quota(self, session: Session, rule: RequestClass, command: str, keys: list[bytes], cost: int) -> int:
         """0: go on; `HELD`: let it wait; above 0: refuse it, and when to come back, in microseconds."""
         back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now)
         if back_us > 0:
@@ -107,12 +107,12 @@
             self._out.append(m.Counted(rule.name, "over quota", 0))
         return back_us
 
-    def _hold_at_gate(self, ask: Ask, command: str, keys: list[bytes], cost: int) -> None:
+    def _wait_for_grant(self, ask: Ask, command: str, keys: list[bytes], cost: int) -> None:
         """Let a request wait for the gate's word."""
         ask.gated = (command, keys[:1], cost)
-        if not self._at_gate:
-            self._gate_due = self._now + HELD_LOOK_US
-        self._at_gate[ask.id] = ask
+        if not self._waiting_for_grant:
+            self._quota_retry_us = self._now + HELD_LOOK_US
+        self._waiting_for_grant[ask.id] = ask
         self._out.append(m.Seek())
 
     def _on_told(self, given: m.AnyInput) -> None:
@@ -123,11 +123,11 @@
             return
         if self._gate.hear(given.news, self._now):
             self._serve_versions()
-        self._ask_gate()
+        self._retry_quota_checks()
 
-    def _ask_gate(self) -> None:
+    def _retry_quota_checks(self) -> None:
         """Ask again for what waits at the gate; past its patience it says yes or no."""
-        waiting, self._at_gate, self._gate_due = self._at_gate, {}, 2**62
+        waiting, self._waiting_for_grant, self._quota_retry_us = self._waiting_for_grant, {}, 2**62
         for ask in waiting.values():
             session = self._sessions.get(ask.client)
             if session is None or ask.gated is None or ask.place.answer is not None:
@@ -135,8 +135,8 @@
             command, keys, cost = ask.gated
             back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
             if back_us == HELD:
-                self._gate_due = self._now + HELD_LOOK_US
-                self._at_gate[ask.id] = ask
+                self._quota_retry_us = self._now + HELD_LOOK_US
+                self._waiting_for_grant[ask.id] = ask
                 continue
             ask.gated = None
             if back_us > 0:
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -50,7 +50,7 @@
     def _verdict(self, state: BoxState) -> Verdict:
         report = state.report or BoxReport()
         believed = belief_of(self.router, state.member)
-        at = self._report(state, state.asked_us)
+        at = self._router_report(state, state.report_asked_us)
         age = -1 if at is None or at.position_us is None else (self._now - at.position_us) // 1_000
         if believed is None or state.box.state != "ready":
             takes = "nothing: draining"
@@ -186,7 +186,7 @@
                         }
                     )
                     for number, group in enumerate(self._groups)
-                    for at_us, old, new in group.recent
+                    for at_us, old, new in group.recent_elections
                 )
             )
         if name == b"SESSIONS":
@@ -226,7 +226,7 @@
             for number, one in enumerate(self._groups)
         }
         return {
-            "server": {**server_section(self._started_us, self._now), "oatlink_code": self._code or "unknown"},
+            "server": {**server_section(self._started_us, self._now), "oatlink_code": self._program_form or "unknown"},
             "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._asks)},
             "stats": {f"requests_{name}": count for name, count in self.counts.items()},
             "replication": {"role": "master", "connected_slaves": 0},
--- a/oatlink/core/overload.py
+++ b/oatlink/core/overload.py
@@ -75,7 +75,7 @@
             self.worth += 0.02 * (rule.worth - self.worth)
             # Threat: a limit that outlives its flood. Where a command has hardly waited there is no queue, so no limit.
             waits = late_us > self.target_us / 4 and open_now >= FLOODING * self.limit
-            if past(waited_us, rule) or (waits and open_now >= self._limit_of(now_us, rule, party)):
+            if is_too_late(waited_us, rule) or (waits and open_now >= self._limit_of(now_us, rule, party)):
                 self.refused += 1
                 self.draws += 1
                 return round(self.back_us * (0.5 + drawn(self.draws, self.seed)))
@@ -124,7 +124,7 @@
         self.parties[party] = now_us, had_now
 
 
-def past(waited_us: int, rule: RequestClass) -> bool:
+def is_too_late(waited_us: int, rule: RequestClass) -> bool:
     """Whether a command has waited so long that an answer is worth nothing."""
     return waited_us > 1_000 * (rule.aim_ms if rule.late_worth <= 0 else rule.deadline_ms)
 
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -10,11 +10,11 @@
 from oatlink import interface as api
 from oatlink.core import messages as m
 from oatlink.core import outcomes
-from oatlink.core.boxes import SEEN
+from oatlink.core.boxes import EVIDENCE_BY_ENDING
 from oatlink.core.classify import PINNED, slots_of
 from oatlink.core.commands import Kind, Spec
 from oatlink.core.gated import Gated
-from oatlink.core.overload import past
+from oatlink.core.overload import is_too_late
 from oatlink.core.reports import parse_info
 from oatlink.core.sessions import Ask, Place, Session, failure, over_quota, refusal, unserved
 from oatlink.interface import Outcome, Role
@@ -53,20 +53,20 @@
 
     def _route(self, event: api.Event) -> None:
         """Hand the Router an event and turn its actions into effects."""
-        for action in self.router.handle(event, self._now, self._more):
+        for action in self.router.handle(event, self._now, self._more_follows):
             if isinstance(action, api.Send):
                 self._send(action)
             elif isinstance(action, api.SetTimer):
                 self._router_due = min(self._router_due, action.at_us)
             elif isinstance(action, api.Check):
-                self._check(action.member)
+                self._start_check(action.member)
             elif isinstance(action, api.Refuse):
                 self._refuse(self._asks[int(action.request)], action.retry_after_us)
             elif isinstance(action, api.Fail):
                 self._fail(self._asks[int(action.request)])
             elif isinstance(action, api.DropIdle):
-                if action.member in self._names:
-                    self._out.append(m.DropIdle(self._names[action.member]))
+                if action.member in self._box_names:
+                    self._out.append(m.DropIdle(self._box_names[action.member]))
             elif isinstance(action, api.Log):
                 self._out.append(m.Note("router", self._named(action.text)))
 
@@ -78,17 +78,17 @@
             if bare.isdigit():
                 if at and words[at - 1] == "group":
                     words[at] = self.settings.banks[int(bare)].name + word[len(bare) :]
-                elif int(bare) in self._names:
-                    words[at] = self._names[int(bare)]
+                elif int(bare) in self._box_names:
+                    words[at] = self._box_names[int(bare)]
         return " ".join(words)
 
     def _send(self, action: api.Send) -> None:
         """An attempt begins. The Router's count of a request's sends is the attempt's number."""
         ask = self._asks[int(action.request)]
-        name = self._names[action.member]
+        name = self._box_names[action.member]
         state = self._boxes[name]
         attempt, ask.attempts = ask.attempts, ask.attempts + 1
-        address = self._hand(state)
+        address = self._choose_path(state)
         ask.open[attempt] = (action.member, name, self._now, address)
         until_us = self._due_of(ask)
         if attempt == 0:
@@ -109,19 +109,21 @@
                 if ask.executes or ask.watches:
                     # Threat: EXEC on a connection that watches nothing, WATCH on one that others share.
                     del ask.open[attempt]
-                    self._path_ended(state, address, "", "unsent", self._now, 0)
+                    self._end_on_path(state, address, "", "unsent", self._now, 0)
                     self._end_unwatched(ask)
                     self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
                     return
-        if ask.version and not self._fits(state, ask):
+        if ask.version and not self._serves_version(state, ask):
             del ask.open[attempt]
-            self._path_ended(state, address, "", "unsent", self._now, 0)
-            self._turn_back(ask, state)
+            self._end_on_path(state, address, "", "unsent", self._now, 0)
+            self._reject_unserved(ask, state)
             self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
             return
-        wants = self._now - state.informed_us >= self._sample_us // 2 and not ask.transaction and not ask.alone
+        wants = (
+            self._now - state.offset_asked_us >= self._sample_interval_us // 2 and not ask.transaction and not ask.alone
+        )
         if wants:
-            state.informed_us = self._now
+            state.offset_asked_us = self._now
         run_id = state.report.run_id if state.report is not None else ""
         self._out.append(
             m.Send(
@@ -156,7 +158,7 @@
             ask.may_have_run = True
             state = self._boxes.get(box)
             if state is not None:
-                self._path_ended(state, address, "", "late", sent_us, 0)
+                self._end_on_path(state, address, "", "late", sent_us, 0)
                 self._observe(state, "hung")
             self._route(
                 api.AttemptEnded(str(request), attempt, member, Outcome.LATE, self._now - sent_us, over=answered)
@@ -166,21 +168,21 @@
             # The Router gives up held work in time by itself; this is the last guard of the first rule.
             self._route(api.Departure(str(request)))
             self._fail(ask)
-        self._forget(request)
+        self._forget_request(request)
 
     def _on_ended(self, given: m.AnyInput) -> None:
         """An attempt has ended: what it says of the box, then of the request."""
         assert isinstance(given, m.Ended)
-        self._more = given.more
+        self._more_follows = given.more
         state = self._boxes.get(given.box)
         if given.info and state is not None:
-            self._hear(state, parse_info(given.info), given.sent_us)
+            self._apply_report(state, parse_info(given.info), given.sent_us)
         ask = self._asks.get(given.request)
         entry = ask.open.pop(given.attempt, None) if ask is not None else None
         if ask is None or entry is None:
             return  # its time was up before
         member = entry[0]
-        only_path = state is not None and self._path_ended(
+        only_path = state is not None and self._end_on_path(
             state, entry[3], given.address, given.how, entry[2], given.took_us
         )
         if given.how == "reply":
@@ -194,8 +196,8 @@
                 outcome = Outcome.ERROR  # it has run, but too few replicas hold it yet: not yet an answer
         else:
             # A path that was lost while the box lives says nothing of the box; what was on it may still have run.
-            if state is not None and not only_path and given.how in SEEN:
-                self._observe(state, SEEN[given.how])
+            if state is not None and not only_path and given.how in EVIDENCE_BY_ENDING:
+                self._observe(state, EVIDENCE_BY_ENDING[given.how])
             outcome = Outcome.CANCELLED if only_path else outcomes.ENDINGS[given.how]
         ask.may_have_run = ask.may_have_run or outcome.may_have_run
         report = answer = None
@@ -206,7 +208,7 @@
                 answer = api.Report(self._now)
                 report = api.Report(given.sent_us, Role.PRIMARY)
             else:
-                report = self._report(state, given.sent_us) if given.info else self._again(state)
+                report = self._router_report(state, given.sent_us) if given.info else self._updated_position(state)
         if ask.lease and given.how != "reply":
             self._lose_lease(ask)
         over = ask.place.answer is not None
@@ -215,7 +217,7 @@
             over = True
         self._route(api.AttemptEnded(str(ask.id), given.attempt, member, outcome, given.took_us, over, answer, report))
         if ask.place.answer is not None and not ask.open:
-            self._forget(ask.id)
+            self._forget_request(ask.id)
 
     def _serve(self, ask: Ask, given: m.Ended, member: int) -> None:
         """The first good answer goes to the client."""
@@ -259,7 +261,7 @@
             return
         ask.place.answer = data
         if not ask.open:
-            self._forget(ask.id)
+            self._forget_request(ask.id)
         session = self._sessions.get(ask.client)
         if session is None:
             return
@@ -295,7 +297,7 @@
             rule = PINNED
         party = session.user or f"#{session.client}"
         back_us = self._admission.admit(
-            self._now, self._late_us, rule, party, len(self._asks) + self._behind, self._waited_us
+            self._now, self._late_us, rule, party, len(self._asks) + self._waiting_client_count, self._waited_us
         )
         if back_us and not session.lease:
             self._shed(session, rule, back_us)
@@ -303,18 +305,18 @@
         session.shed = 0
         gated = version = 0
         if self._gate.on:
-            version, away_us = self._version(session, rule, slots)
+            version, away_us = self._choose_version(session, rule, slots)
             if away_us:
                 self._say(session, unserved(version, away_us))
                 return
-            gated = self._over_quota(session, rule, spec.name, keys, 1)
+            gated = self._check_quota(session, rule, spec.name, keys, 1)
             if gated > 0:
                 self._say(session, over_quota(gated))
                 return
         ask = self._ask(session, rule, slots, writes, encode_command(args))
         ask.version = version
         if gated:
-            self._hold_at_gate(ask, spec.name, keys, 1)
+            self._wait_for_grant(ask, spec.name, keys, 1)
         if session.lease:
             ask.lease = session.lease
         elif rule.wait_replicas:
@@ -332,7 +334,7 @@
         self._say(session, refusal(back_us))
         # Threat: a command that came before its time and lies unread is still owed an answer within its own.
         # Threat: a connection shared by many, refused once: what comes in the pause is too late by it, and so on.
-        if not past(self._waited_us, rule):
+        if not is_too_late(self._waited_us, rule):
             pause_us = min(back_us, self._first_pause_us << min(session.shed, 8), self._longest_pause_us)
             session.shed += 1
             self._out.append(m.Pause(session.client, self._now + pause_us))
@@ -370,7 +372,7 @@
             writes,
             payload,
             replies,
-            self._now - self._waited_us - self._own_us,  # the client's time runs since its command was there
+            self._now - self._waited_us - self._pipeline_wait_us,  # the client's time runs since its command was there
             session.protocol,
         )
 
@@ -378,8 +380,8 @@
         """Start a request, or let it wait for its client's earlier ones."""
         self._asks[ask.id] = session.asks[ask.id] = ask
         if ask.version:
-            self._busy[ask.version] = self._busy.get(ask.version, 0) + 1
-        heapq.heappush(self._ends, (self._due_of(ask), ask.id))
+            self._open_by_version[ask.version] = self._open_by_version.get(ask.version, 0) + 1
+        heapq.heappush(self._deadlines, (self._due_of(ask), ask.id))
         free = session.may_start(ask)
         session.enter(ask)
         if not free:
@@ -406,10 +408,10 @@
         if rule.freshness in ("bounded", "session"):
             group = self._groups[ask.group]
             primary = self._boxes.get(group.primary)
-            if primary is not None and self._now - group.positions.newest_us() > self._sample_us:
-                self._sample(primary)
-            self._refresh(ask.group)
+            if primary is not None and self._now - group.positions.newest_us() > self._sample_interval_us:
+                self._sample_offset(primary)
+            self._refresh_positions(ask.group)
         name = session.name if self.settings.sessions == "client-name" and session.name else f"#{session.client}"
         left = ask.arrived_us + rule.deadline_ms * 1_000 - self._now
-        needs_us = self._step_us(ask) if ask.version else None
+        needs_us = self._version_position_us(ask) if ask.version else None
         self._route(api.Arrival(str(ask.id), rule.name, ask.group, left, f"{name}@{ask.group}", needs_us=needs_us))
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -35,16 +35,16 @@
     paths: Paths
     report: BoxReport | None = None
     heard_us: int = 0
-    asked_us: int = 0  # when the report was asked for
-    told_us: int = 0  # when it came
+    report_asked_us: int = 0  # when the report was asked for
+    report_received_us: int = 0  # when it came
     started_us: int = 0
-    check_out: bool = False  # the Router has asked for a check
-    probe_out: bool = False
-    refreshing: bool = False  # the engine itself wants its position
+    check_pending: bool = False  # the Router has asked for a check
+    probe_pending: bool = False
+    refresh_pending: bool = False  # the engine itself wants its position
     refreshed_us: int = -(2**62)
-    check_waits_us: int = 0  # a check waits for the primary's sample, at most until then
+    check_deadline_us: int = 0  # a check waits for the primary's sample, at most until then
     doubt: tuple[int, int] = (0, 0)  # what others saw of it (`api.RosterEntry.doubt`)
-    informed_us: int = -(2**62)  # when a report was last asked for behind an answer
+    offset_asked_us: int = -(2**62)  # when a report was last asked for behind an answer
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     positions: Positions
     primary: str = ""
     elections: int = 0
-    recent: list[tuple[int, str, str]] = field(default_factory=list)  # when seen, from, to: the last ones
+    recent_elections: list[tuple[int, str, str]] = field(default_factory=list)  # when seen, from, to: the last ones
     refresh_us: int = 0  # when to look next which replica's position has grown old
 
 
@@ -66,23 +66,23 @@
         self.router = Router(router_settings(settings, self._classifier))
         self._groups = [GroupState(Positions()) for _ in settings.banks]
         self._boxes: dict[str, BoxState] = {}
-        self._check_waits: dict[str, BoxState] = {}
-        self._runs: dict[str, str] = {}  # run id: the box that has it
+        self._waiting_checks: dict[str, BoxState] = {}
+        self._box_by_run_id: dict[str, str] = {}  # run id: the box that has it
         self._races: dict[tuple[str, int], Race] = {}  # box and dial
-        self._looks: list[tuple[int, str, int]] = []  # when, box, and what to look at (`ways`)
-        self._dialling = 0
-        self._dials_wait: deque[tuple[str, int]] = deque()
+        self._path_checks: list[tuple[int, str, int]] = []  # when, box, and what to look at (`ways`)
+        self._open_dial_count = 0
+        self._waiting_dials: deque[tuple[str, int]] = deque()
         self._gate: Gate = gate_of(settings)
-        self._at_gate: dict[int, Ask] = {}  # wait for the gate's word
-        self._gate_due = 2**62
-        self._busy: dict[int, int] = {}  # by version: requests of it that are not over
-        self._names: dict[int, str] = {}  # member: box
+        self._waiting_for_grant: dict[int, Ask] = {}  # wait for the gate's word
+        self._quota_retry_us = 2**62
+        self._open_by_version: dict[int, int] = {}  # by version: requests of it that are not over
+        self._box_names: dict[int, str] = {}  # member: box
         self._last_member = 0
         self._sessions: dict[int, Session] = {}
         self._asks: dict[int, Ask] = {}
         self._last_request = 0
         self._last_lease = 0
-        self._ends: list[tuple[int, int]] = []  # (when, request)
+        self._deadlines: list[tuple[int, int]] = []  # (when, request)
         self._router_due = 2**62
         self._wake_us = 2**62
         self._draining = False
@@ -91,11 +91,11 @@
         self._out: list[m.AnyEffect] = []
         self._late_us = 0  # how long the input has lain in this process
         self._waited_us = 0  # how long ago it came
-        self._own_us = 0  # and before that, behind its client's own earlier commands
-        self._behind = 0  # clients that wait for this process
-        self._more = False  # inputs of the same read follow: what is held is placed after the last of them
-        self._code = ""  # the form of the program, as `Started` said
-        self._listed = False  # discovery has spoken once
+        self._pipeline_wait_us = 0  # and before that, behind its client's own earlier commands
+        self._waiting_client_count = 0  # clients that wait for this process
+        self._more_follows = False  # inputs of the same read follow: what is held is placed after the last of them
+        self._program_form = ""  # the form of the program, as `Started` said
+        self._has_roster = False  # discovery has spoken once
         self.fresh = True  # no input yet, nothing taken over
         self.counts: dict[str, int] = {"served": 0, "refused": 0, "failed": 0, "local": 0, "shed": 0}
 
@@ -104,8 +104,8 @@
         self.settings = settings
         self._classifier = Classifier(settings)
         bounds = [one.staleness_ms for one in settings.classes if one.freshness == "bounded"]
-        self._sample_us = min(bounds, default=1_000) * 1_000 // PROBE_PARTS
-        self._refresh_us = max(2 * self._sample_us, settings.peers * 1_000_000 // PROBES_A_S)
+        self._sample_interval_us = min(bounds, default=1_000) * 1_000 // PROBE_PARTS
+        self._refresh_interval_us = max(2 * self._sample_interval_us, settings.peers * 1_000_000 // PROBES_A_S)
         self._local = Local(settings, self._info)
         self._admission = admission(settings.seed, self._classifier.classes, settings.limits.client_pipeline)
         self._first_pause_us = min(one.aim_ms for one in self._classifier.classes) * 250
@@ -119,25 +119,25 @@
     def _on_inspected(self, given: m.AnyInput) -> None:
         raise NotImplementedError
 
-    def _hear(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
+    def _apply_report(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
         raise NotImplementedError
 
-    def _report(self, state: BoxState, asked_us: int) -> api.Report | None:
+    def _router_report(self, state: BoxState, asked_us: int) -> api.Report | None:
         raise NotImplementedError
 
-    def _path_ended(self, state: BoxState, handed: str, over: str, how: str, sent_us: int, took_us: int) -> bool:
+    def _end_on_path(self, state: BoxState, handed: str, over: str, how: str, sent_us: int, took_us: int) -> bool:
         raise NotImplementedError
 
-    def _check(self, member: int) -> None:
+    def _start_check(self, member: int) -> None:
         raise NotImplementedError
 
-    def _sample(self, primary: BoxState) -> bool:
+    def _sample_offset(self, primary: BoxState) -> bool:
         raise NotImplementedError
 
-    def _refresh(self, number: int) -> None:
+    def _refresh_positions(self, number: int) -> None:
         raise NotImplementedError
 
-    def _again(self, state: BoxState) -> api.Report | None:
+    def _updated_position(self, state: BoxState) -> api.Report | None:
         raise NotImplementedError
 
     def _end_lease(self, ask: Ask) -> None:
@@ -175,7 +175,7 @@
     def _start(self, session: Session, ask: Ask) -> None:
         raise NotImplementedError
 
-    def _forget(self, request: int) -> None:
+    def _forget_request(self, request: int) -> None:
         raise NotImplementedError
 
     def _queue(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -75,12 +75,12 @@
         gated, key = 0, queued[0][0][1:2] if queued else []
         version = 0
         if self._gate.on and queued:
-            version, away_us = self._version(session, rule, slots)
+            version, away_us = self._choose_version(session, rule, slots)
             if away_us:
                 self._release(session)
                 self._say(session, unserved(version, away_us))
                 return
-            gated = self._over_quota(session, rule, "exec", key, len(queued))
+            gated = self._check_quota(session, rule, "exec", key, len(queued))
             if gated > 0:
                 self._release(session)
                 self._say(session, over_quota(gated))
@@ -97,7 +97,7 @@
         if not session.lease and rule.wait_replicas:
             ask.alone = True
         if gated:
-            self._hold_at_gate(ask, "exec", key, len(queued))
+            self._wait_for_grant(ask, "exec", key, len(queued))
         self._enter(session, ask)
 
     def _watch(self, session: Session, spec: Spec, args: list[bytes]) -> None:
@@ -114,7 +114,7 @@
             return
         gated, keys = 0, spec.keys(args)
         if self._gate.on:
-            gated = self._over_quota(session, PINNED, spec.name, keys, 1)
+            gated = self._check_quota(session, PINNED, spec.name, keys, 1)
             if gated > 0:
                 self._say(session, over_quota(gated))
                 return
@@ -125,7 +125,7 @@
         ask = self._ask(session, PINNED, slots, True, encode_command(args))
         ask.lease, ask.watches = session.lease, True
         if gated:
-            self._hold_at_gate(ask, spec.name, keys, 1)
+            self._wait_for_grant(ask, spec.name, keys, 1)
         self._enter(session, ask)
 
     def _end_lease(self, ask: Ask) -> None:
--- a/oatlink/core/ways.py
+++ b/oatlink/core/ways.py
@@ -58,14 +58,14 @@
         if any(one.address not in known for one in paths.paths):
             self._upkeep(paths, box.name, self._now)
 
-    def _look_at(self, at_us: int, box: str, what: int) -> None:
-        heapq.heappush(self._looks, (at_us, box, what))
+    def _schedule_path_check(self, at_us: int, box: str, what: int) -> None:
+        heapq.heappush(self._path_checks, (at_us, box, what))
 
     def _upkeep(self, paths: Paths, box: str, at_us: int) -> None:
         """Look at the paths that nobody uses then, unless somebody does before."""
         if len(paths.paths) > 1 and (not paths.upkeep_us or at_us < paths.upkeep_us):
             paths.upkeep_us = at_us
-            self._look_at(at_us, box, UPKEEP)
+            self._schedule_path_check(at_us, box, UPKEEP)
 
     def _upkeep_next(self, state: BoxState) -> None:
         """Look again when the next path is due; one on which something has gone wrong is due before the others."""
@@ -84,24 +84,24 @@
     def _advance(self, state: BoxState, dial: int, race: Race) -> None:
         """Begin what may begin now, and look again when the next one may."""
         name = state.box.name
-        if dial and self._dialling >= MOST_DIALS:
-            self._dials_wait.append((name, dial))
+        if dial and self._open_dial_count >= MOST_DIALS:
+            self._waiting_dials.append((name, dial))
             return
         # Threat: a box that returns, dialled by all gateways of a fleet at once. Who waits for a connection waits on.
         back_us = self._gate.dial(name, self._now) if dial else 0
         if back_us:
-            self._look_at(self._now + back_us, name, dial)
+            self._schedule_path_check(self._now + back_us, name, dial)
             self._out.append(m.Seek())
             return
         for address in state.paths.begin(race, self._now):
             if dial == REPORT:
                 self._out.append(m.Probe(name, address))
                 continue
-            self._dialling += 1
+            self._open_dial_count += 1
             timeout_us = state.paths.paths[state.paths.at(address)].timeout_us
             self._out.append(m.Dial(name, dial, address, timeout_us or self.settings.links.connect_timeout_ms * 1_000))
         if race.queue:
-            self._look_at(race.next_us, name, dial)
+            self._schedule_path_check(race.next_us, name, dial)
 
     def _on_wanted(self, given: m.AnyInput) -> None:
         """A link wants one more connection."""
@@ -115,7 +115,7 @@
     def _on_dialled(self, given: m.AnyInput) -> None:
         """An attempt has ended; the first good one is used, and what it says of the box is heard."""
         assert isinstance(given, m.Dialled)
-        self._dialling = max(0, self._dialling - 1)
+        self._open_dial_count = max(0, self._open_dial_count - 1)
         self._dial_waiting()
         state = self._boxes.get(given.box)
         race = self._races.get((given.box, given.dial))
@@ -126,7 +126,7 @@
         report = parse_info(given.info)
         how = self._shown(state, given.address, given.how, report, given.asked_us, given.took_us, probe=False)
         if how == "reply":
-            self._hear(state, report, given.asked_us)
+            self._apply_report(state, report, given.asked_us)
         if race is None or given.address not in race.out:
             if given.how == "reply":
                 self._out.append(m.Discard(given.box, given.dial, given.address))
@@ -150,8 +150,8 @@
 
     def _dial_waiting(self) -> None:
         """Attempts that waited for others to end."""
-        while self._dials_wait and self._dialling < MOST_DIALS:
-            name, dial = self._dials_wait.popleft()
+        while self._waiting_dials and self._open_dial_count < MOST_DIALS:
+            name, dial = self._waiting_dials.popleft()
             state, race = self._boxes.get(name), self._races.get((name, dial))
             if state is not None and race is not None:
                 self._advance_or_end(state, dial, race)
@@ -183,7 +183,7 @@
         """Why what a path reached is not this box; empty where it is, or may be."""
         if not report.run_id:
             return ""
-        owner = self._boxes.get(self._runs.get(report.run_id, ""))
+        owner = self._boxes.get(self._box_by_run_id.get(report.run_id, ""))
         theirs = owner.report if owner is not None and owner is not state else None
         if owner is not None and theirs is not None and theirs.run_id == report.run_id:
             return f"reaches {owner.box.name}"
@@ -208,7 +208,7 @@
 
     # ---- Silence and upkeep ----
 
-    def _looked(self, at_us: int, box: str, what: int) -> None:
+    def _run_path_check(self, at_us: int, box: str, what: int) -> None:
         """The time has come to look at an attempt, at a path that may be silent, or at those that nobody uses."""
         state = self._boxes.get(box)
         if state is None:
@@ -239,18 +239,18 @@
             self._out.append(m.Note("address", f"{box}: {address} is silent, others answer: left"))
             self._out.append(m.Shun(box, address))
         elif again_us:
-            self._look_at(again_us, box, what)
+            self._schedule_path_check(again_us, box, what)
 
-    def _hand(self, state: BoxState) -> str:
+    def _choose_path(self, state: BoxState) -> str:
         """The address that a request goes over, with the look that follows where nothing comes of it."""
         paths = state.paths
         at = paths.choose(self._now)
         look_us = paths.handed(at, self._now)
         if look_us:
-            self._look_at(look_us, state.box.name, UPKEEP - 1 - at)
+            self._schedule_path_check(look_us, state.box.name, UPKEEP - 1 - at)
         return paths.paths[at].address
 
-    def _path_ended(self, state: BoxState, handed: str, over: str, how: str, sent_us: int, took_us: int) -> bool:
+    def _end_on_path(self, state: BoxState, handed: str, over: str, how: str, sent_us: int, took_us: int) -> bool:
         """A request has ended that was handed to one path and went over that or another; whether only that is lost."""
         paths = state.paths
         at = paths.at(over or handed)
--- a/oatlink/gateway/fleet.py
+++ b/oatlink/gateway/fleet.py
@@ -49,7 +49,7 @@
             longest_us,
             settings.seed,
             demands=gateway.engine.gate.demands,
-            busy=gateway.engine.busy,
+            busy=gateway.engine.versions_in_use,
             tell=self._tell,
             primary=self._primary,
             note=gateway.notes.note,
--- a/tests/fleet/test_gated.py
+++ b/tests/fleet/test_gated.py
@@ -102,7 +102,7 @@
     one.give(m.Closed(1))
     granted(one, rate=80, burst=16)
     one.pass_us(2_000_000)
-    assert not one.sent and one.engine.idle and not one.engine.busy()
+    assert not one.sent and one.engine.idle and not one.engine.versions_in_use()
 
 
 def test_a_node_that_is_alone_has_no_floor() -> None:
@@ -136,9 +136,9 @@
     assert not one.sent and one.answers[1][0].startswith(b"-LAYOUT 0 is not served") and b"retry" in one.answers[1][0]
     one.give(m.Told(SERVED))
     assert one.ask("GET", PLAIN) is not None
-    assert one.engine.busy() == (1,)
+    assert one.engine.versions_in_use() == (1,)
     one.end(one.sent[0], [b"$-1\r\n"])
-    assert one.engine.busy() == ()
+    assert one.engine.versions_in_use() == ()
 
 
 def test_a_client_that_names_a_version_not_served_is_told_to_come_back() -> None:
@@ -153,8 +153,8 @@
     one.give(m.Told(SERVED))
     one.end(one.ask("GET", PLAIN), [b"$-1\r\n"])  # type: ignore[arg-type]
     one.give(m.Told(Served(8, 2**60, (1, 2), 2, (), (("one", (1, 2)), ("two", (1, 2))))))
-    assert one.ask("GET", PLAIN) is not None and one.engine.busy() == (1,)
-    assert one.ask("GET", PLAIN, client=2) is not None and sorted(one.engine.busy()) == [1, 2]
+    assert one.ask("GET", PLAIN) is not None and one.engine.versions_in_use() == (1,)
+    assert one.ask("GET", PLAIN, client=2) is not None and sorted(one.engine.versions_in_use()) == [1, 2]
     one.give(m.Told(Served(9, 2**60, (2,), 2, (), (("one", (2,)), ("two", (2,))))))
     one.answers.clear()
     for send in list(one.sent)[1:]:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -296,7 +296,7 @@
     rig.now += 10_000
     state = rig.engine._boxes["p"]
     rig.give(met("p", info("primary", 180, run="p"), rig.now))
-    found = rig.engine._report(state, rig.now)
+    found = rig.engine._router_report(state, rig.now)
     assert found is not None and found.role is Role.UNKNOWN
 
 
@@ -477,7 +477,7 @@
         rig.pass_us(rng.randrange(100, 50_000))
     rig.pass_us(6_000_000)
     assert rig.engine.idle and taken > 5_000
-    assert len(rig.engine._names) < 3_000  # boxes that are new members again and again are not all remembered
+    assert len(rig.engine._box_names) < 3_000  # boxes that are new members again and again are not all remembered
 
 
 @given(st.lists(st.sampled_from([b"IDMP", b"*", b"MAXLEN", b"p", b"k", b"1-1", b"~", b"5", b"NOMKSTREAM"]), max_size=8))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -177,7 +177,7 @@
     rig.give(_late(KEY, 500_000))
     ask = next(one for one in rig.engine._asks.values() if one.client == 1)
     assert ask.arrived_us == rig.now - 500_000
-    assert min(when for when, _ in rig.engine._ends) < rig.now + 1_500_000
+    assert min(when for when, _ in rig.engine._deadlines) < rig.now + 1_500_000
 
 
 def test_one_that_came_before_its_time_is_owed_an_answer_within_its_own() -> None:
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -108,7 +108,7 @@
         return handle(event, now_us, more)
 
     one.engine.router.handle = noted  # type: ignore[method-assign]
-    one.engine._boxes["p"].check_out = True  # as the Router asks for it
+    one.engine._boxes["p"].check_pending = True  # as the Router asks for it
     one.give(m.Inspected())
     assert [event.outcome for event in told] == [api.Outcome.SERVED]
     belief = belief_of(one.engine.router, before)
@@ -116,7 +116,7 @@
     assert state(one, PU) is State.FAILED and state(one, P) is State.GOOD
     assert sent(one.ask("SET", PLAIN, 1)).address == P
     one.says["p"] = b""
-    one.engine._boxes["p"].check_out = True
+    one.engine._boxes["p"].check_pending = True
     one.give(m.Inspected())
     assert [event.outcome for event in told][-1] is api.Outcome.LATE
     assert sum(event.outcome is not api.Outcome.SERVED for event in told) == 1
@@ -129,7 +129,7 @@
     assert [probe.address for probe in one.probes if probe.box == "p"] == [PU]
     one.pass_us(12_000)  # four times what it usually takes, 10 ms at least
     assert [probe.address for probe in one.probes if probe.box == "p"] == [PU, P6]
-    assert not one.engine._boxes["p"].probe_out
+    assert not one.engine._boxes["p"].probe_pending
 
 
 def test_a_write_lost_with_its_path_is_not_the_end_of_the_primary(one: Rig) -> None:
@@ -278,7 +278,7 @@
         out = out[16:]
     assert told == 200 and most <= MOST_DIALS
     # Three paths each, four wants each; once a box's paths have failed, a want tries one more at most.
-    assert dialled_all <= 50 * 4 * 3 and one.engine._dialling == 0
+    assert dialled_all <= 50 * 4 * 3 and one.engine._open_dial_count == 0
 
 
 def test_the_state_of_paths_is_in_a_snapshot(one: Rig) -> None:
