--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -11,9 +11,9 @@
 from oatlink.beliefs import belief as belief_of
 from oatlink.core import messages as m
 from oatlink.core import outcomes
+from oatlink.core.paths import REPORT, BoxPaths, addresses_of
 from oatlink.core.reports import BoxReport, parse_info
 from oatlink.core.shared import PROBE_PARTS, BoxState
-from oatlink.core.ways import REPORT, Ways, ways_of
 from oatlink.fleet.gate import Seen
 from oatlink.interface import Outcome, Role
 
@@ -26,7 +26,7 @@
 KEPT_ELECTIONS = 16  # a bank, for operators
 
 
-class Boxes(Ways):
+class Boxes(BoxPaths):
     """The members of all banks."""
 
     @property
@@ -341,8 +341,8 @@
 
 def _same(old: m.Box, new: m.Box) -> bool:
     """Whether a list's box is the one known by that name: it is still reached by one of its addresses."""
-    known = {one.address for one in ways_of(old)}
-    return any(one.address in known for one in ways_of(new))
+    known = {one.address for one in addresses_of(old)}
+    return any(one.address in known for one in addresses_of(new))
 
 
 def _with_run(report: BoxReport, old: BoxReport) -> BoxReport:
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -2,7 +2,7 @@
 
 What may live in the engine: the translation between the protocol's world and the Router's (requests, members, times),
 and the state that neither of them keeps: sessions, boxes' identities, histories of offsets, deadlines. No I/O, no
-clock. Here are the door and time; the rooms behind it are `ways`, `boxes`, `requests`, `clients`, `transactions`,
+clock. Here are the door and time; the rooms behind it are `paths`, `boxes`, `requests`, `clients`, `transactions`,
 `operators`, over the state in `shared`. Each is built on the one before it, in one line of classes, which a compiler
 can take.
 """
--- a/oatlink/core/ways.py
+++ b/oatlink/core/paths.py
@@ -22,7 +22,7 @@
 LONG_US = 5_000_000  # a path that reached somebody else is not tried again before
 
 
-def ways_of(box: m.Box) -> list[m.Way]:
+def addresses_of(box: m.Box) -> list[m.Way]:
     """All ways to a box, the first one first; an address named twice counts once."""
     found: dict[str, m.Way] = {}
     for one in (m.Way(box.address, box.hall), *box.ways):
@@ -30,7 +30,7 @@
     return list(found.values())[:MOST_PATHS]
 
 
-class Ways(Shared):
+class BoxPaths(Shared):
     """Paths to boxes."""
 
     def _new_paths(self, box: m.Box, taken: set[str]) -> Paths:
@@ -46,12 +46,12 @@
 
     def _list_paths(self, paths: Paths, box: m.Box, taken: set[str]) -> None:
         """Take over the addresses of a list. One that a box before it in the roster has is that one's."""
-        ways = [one for one in ways_of(box) if one.address not in taken]
-        for one in ways_of(box):
+        ways = [one for one in addresses_of(box) if one.address not in taken]
+        for one in addresses_of(box):
             if one.address in taken:
                 self._out.append(m.Note("address", f"{box.name}: {one.address} is another box's, it is not used"))
         # A box without any address of its own keeps the first: identity says what it reaches.
-        ways = ways or ways_of(box)[:1]
+        ways = ways or addresses_of(box)[:1]
         taken.update(one.address for one in ways)
         known = {one.address for one in paths.paths if one.state is not State.UNTRIED}
         paths.relisted([(one.address, one.hall or box.hall, one.connect_timeout_ms * 1_000) for one in ways])
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -69,7 +69,7 @@
         self._waiting_checks: dict[str, BoxState] = {}
         self._box_by_run_id: dict[str, str] = {}  # run id: the box that has it
         self._races: dict[tuple[str, int], Race] = {}  # box and dial
-        self._path_checks: list[tuple[int, str, int]] = []  # when, box, and what to look at (`ways`)
+        self._path_checks: list[tuple[int, str, int]] = []  # when, box, and what to look at (`paths`)
         self._open_dial_count = 0
         self._waiting_dials: deque[tuple[str, int]] = deque()
         self._gate: Gate = gate_of(settings)
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -13,8 +13,8 @@
 from tornado.netutil import add_accept_handler
 
 from oatlink.core import messages as m
+from oatlink.core.paths import addresses_of
 from oatlink.core.snapshot import take
-from oatlink.core.ways import ways_of
 from oatlink.gateway.clients import Client, accept_rest, discard
 from oatlink.gateway.clock import Marks, Stream, now_us, slept_us
 from oatlink.gateway.links import Flushed, Link, Shell, Turn, swallow
@@ -90,7 +90,7 @@
         """Discovery has spoken."""
         left = []
         for box in boxes:
-            link, ways = self._links.get(box.name), tuple(ways_of(box))
+            link, ways = self._links.get(box.name), tuple(addresses_of(box))
             if link is not None and not any(one.address in link.ways for one in ways):
                 link.leave()
                 left.append(link)
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -11,9 +11,9 @@
 from oatlink.core import messages as m
 from oatlink.core.addresses import State
 from oatlink.core.explain import explain
+from oatlink.core.paths import MOST_DIALS
 from oatlink.core.recording import Recorder, Recording
 from oatlink.core.snapshot import restore, take
-from oatlink.core.ways import MOST_DIALS
 from oatlink.interface import Role
 from oatlink.protocols.resp import command
 from oatlink.settings import SettingsError, load_text
