--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -98,7 +98,7 @@
                 state = BoxState(box, self._number(box.name), self._new_paths(box, taken))
                 self._boxes[box.name] = state
             else:
-                self._list_paths(state.paths, box, taken)
+                self._update_paths(state.paths, box, taken)
             if box.state == "terminating" and state.box.state != box.state:
                 self._out.append(m.DropIdle(box.name))
             state.box = box
@@ -159,19 +159,19 @@
         address = given.address or state.box.address
         report = parse_info(given.info)
         how = given.how if given.info or given.how != "reply" else "bad reply"
-        how = self._shown(state, address, how, report, given.asked_us, given.took_us, probe=True)
+        how = self._record_attempt(state, address, how, report, given.asked_us, given.took_us, probe=True)
         if how in EVIDENCE_BY_ENDING:
             self._observe(state, EVIDENCE_BY_ENDING[how])
         race = self._races.get((given.box, REPORT))
-        if race is None or address not in race.out:  # asked for the path's sake
+        if race is None or address not in race.running:  # asked for the path's sake
             if how == "reply":
                 self._apply_report(state, report, given.asked_us)
             return
-        race.out.remove(address)
+        race.running.remove(address)
         if how != "reply":
-            race.how = how
-            self._advance(state, REPORT, race)
-            if race.out or race.queue:
+            race.last_ending = how
+            self._advance_race(state, REPORT, race)
+            if race.running or race.queue:
                 return  # another path has been asked
         del self._races[given.box, REPORT]
         state.probe_pending = False
@@ -328,7 +328,7 @@
             self._waiting_checks.pop(state.box.name, None)
         if not state.probe_pending:
             state.probe_pending = True
-            self._attempt(state, REPORT)
+            self._start_race(state, REPORT)
 
     def _updated_position(self, state: BoxState) -> api.Report | None:
         """A replica's last offset compared with the samples since: it may be proven more recent by now."""
--- a/oatlink/core/draws.py
+++ b/oatlink/core/draws.py
@@ -1,8 +1,8 @@
-"""Chance by a seed and a count, so that a snapshot keeps it and a replay draws the same. No I/O."""
+"""Pseudo-random numbers computed from a seed and a counter, so that snapshots and replays reproduce them. No I/O."""
 
 import xxhash
 
 
-def drawn(count: int, seed: int) -> float:
-    """The draw of that number, from 0 up to 1."""
+def seeded_fraction(count: int, seed: int) -> float:
+    """The draw with the number `count`, at least 0 and below 1."""
     return xxhash.xxh32_intdigest(count.to_bytes(8, "big"), seed) / 2**32
--- a/oatlink/core/overload.py
+++ b/oatlink/core/overload.py
@@ -25,7 +25,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from oatlink.core.draws import drawn
+from oatlink.core.draws import seeded_fraction
 from oatlink.settings.model import RequestClass
 
 LOOK_US = 50_000  # how often the limit is set
@@ -78,7 +78,7 @@
             if is_too_late(waited_us, rule) or (waits and open_now >= self._limit_of(now_us, rule, party)):
                 self.refused += 1
                 self.draws += 1
-                return round(self.back_us * (0.5 + drawn(self.draws, self.seed)))
+                return round(self.back_us * (0.5 + seeded_fraction(self.draws, self.seed)))
         self.taken += 1
         self._charge(now_us, party)
         return 0
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -125,7 +125,7 @@
     def _router_report(self, state: BoxState, asked_us: int) -> api.Report | None:
         raise NotImplementedError
 
-    def _end_on_path(self, state: BoxState, handed: str, over: str, how: str, sent_us: int, took_us: int) -> bool:
+    def _end_on_path(self, state: BoxState, chosen: str, used: str, how: str, sent_us: int, took_us: int) -> bool:
         raise NotImplementedError
 
     def _start_check(self, member: int) -> None:
