--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -119,7 +119,7 @@
         """News from the fleet."""
         assert isinstance(given, m.Told)
         if isinstance(given.news, Seen):
-            self._take_verdict(given.news)
+            self._apply_health_report(given.news)
             return
         if self._gate.hear(given.news, self._now):
             self._serve_versions()
--- a/oatlink/core/reports.py
+++ b/oatlink/core/reports.py
@@ -1,12 +1,12 @@
-"""What a box says of itself, read from INFO and ROLE. No I/O; source: the INFO and ROLE pages of redis.io."""
+"""A box's report about itself, parsed from INFO and ROLE. No I/O; source: the INFO and ROLE pages of redis.io."""
 
 import msgspec
 
-MAX_INFO = 65_536  # bytes of an INFO answer that are read; a box may not make a gateway chew on more
+MAX_INFO_BYTES = 65_536  # what is parsed of an INFO answer: bounds the work that a box can cause at a gateway
 
 
 class BoxReport(msgspec.Struct, frozen=True, gc=False):
-    """One box about itself. `offset` is what it has applied, in bytes of the stream named by `replid`."""
+    """A box's report about itself. `offset` is what it has applied, in bytes of the replication stream `replid`."""
 
     role: str = ""
     replid: str = ""
@@ -24,20 +24,20 @@
 
 
 def parse_info(text: bytes) -> BoxReport:
-    """The report in one or several INFO answers put together. Unknown lines pass; malformed ones say nothing."""
-    found: dict[bytes, bytes] = {}
-    for line in text[:MAX_INFO].split(b"\n"):
+    """Parse one INFO answer, or several joined ones. Unknown lines and malformed values are ignored."""
+    values: dict[bytes, bytes] = {}
+    for line in text[:MAX_INFO_BYTES].split(b"\n"):
         name, colon, value = line.partition(b":")
         if colon:
-            found[name] = value.strip()
+            values[name] = value.strip()
 
     def number(name: bytes) -> int:
-        value = found.get(name, b"")
+        value = values.get(name, b"")
         digits = value[1:] if value[:1] == b"-" else value
         return int(value) if digits.isdigit() and len(digits) < 20 else -1
 
     def word(name: bytes) -> str:
-        return found.get(name, b"").decode("ascii", "replace")[:64]
+        return values.get(name, b"").decode("ascii", "replace")[:64]
 
     role = {"master": "primary", "slave": "replica"}.get(word(b"role"), "")
     offset = number(b"slave_repl_offset" if role == "replica" else b"master_repl_offset")
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -1,7 +1,8 @@
-"""What the engine remembers, and what its rooms ask of each other. No I/O.
+"""The engine's state, and the calls between its modules. No I/O.
 
-The engine is one object in rooms: each module beside this one holds one concern's methods, all over the state that
-stands here. `Shared` names each call from room to room, so that what a room needs of the others can be read at once.
+The engine is one object whose methods are divided by concern: each module beside this one has one concern's methods,
+and all of them work on the state defined here. `Shared` declares each call from one module to another, so that what a
+module needs of the others is listed in one place.
 """
 
 from collections import deque
@@ -21,45 +22,45 @@
 from oatlink.rules import Router
 from oatlink.settings.model import RequestClass, Settings
 
-STEP_US = 1_000  # what the shell's timers may be late on an idle machine
-PROBES_A_S = 200  # of one box by all gateways together, to keep its position known while reads come
-PROBE_PARTS = 4  # samples in a bound: staleness is proven by points at most a quarter of it apart
+TIMER_LATENESS_US = 1_000  # how late the shell's timers may be on an idle machine
+MAX_PROBES_PER_S = 200  # to one box by all gateways together, to keep its position known while it may get reads
+SAMPLES_PER_BOUND = 4  # proof of a staleness bound uses samples that are at most a quarter of it apart
 
 
 @dataclass(slots=True)
 class BoxState:
-    """What is believed of one box, beside the Router's record of its member."""
+    """What the engine knows of one box, in addition to the Router's record of its member."""
 
     box: m.Box
     member: int
     paths: Paths
     report: BoxReport | None = None
     heard_us: int = 0
-    report_asked_us: int = 0  # when the report was asked for
-    report_received_us: int = 0  # when it came
+    report_asked_us: int = 0  # when the report was requested
+    report_received_us: int = 0
     started_us: int = 0
-    check_pending: bool = False  # the Router has asked for a check
+    check_pending: bool = False  # the Router waits for the result of a check
     probe_pending: bool = False
-    refresh_pending: bool = False  # the engine itself wants its position
+    refresh_pending: bool = False  # the engine itself needs its position
     refreshed_us: int = -(2**62)
-    check_deadline_us: int = 0  # a check waits for the primary's sample, at most until then
-    doubt: tuple[int, int] = (0, 0)  # what others saw of it (`api.RosterEntry.doubt`)
-    offset_asked_us: int = -(2**62)  # when a report was last asked for behind an answer
+    check_deadline_us: int = 0  # a check waits for a sample of the primary's offset until this time; 0: none waits
+    doubt: tuple[int, int] = (0, 0)  # what other gateways observed of it (`api.RosterEntry.doubt`)
+    offset_asked_us: int = -(2**62)  # when its offset was last requested, by a probe or behind a request
 
 
 @dataclass(slots=True)
 class GroupState:
-    """One bank: its histories and who was last seen as its primary."""
+    """One bank: its replication histories and the box that was last seen as its primary."""
 
     positions: Positions
     primary: str = ""
     elections: int = 0
-    recent_elections: list[tuple[int, str, str]] = field(default_factory=list)  # when seen, from, to: the last ones
-    refresh_us: int = 0  # when to look next which replica's position has grown old
+    recent_elections: list[tuple[int, str, str]] = field(default_factory=list)  # when seen, old and new primary
+    refresh_due_us: int = 0  # when to look next for replicas whose position has become old
 
 
 class Shared:
-    """The state, and the calls between rooms."""
+    """The state, and the calls between modules."""
 
     def __init__(self, settings: Settings, now_us: int = 0) -> None:
         self._configure(settings)
@@ -67,56 +68,56 @@
         self._groups = [GroupState(Positions()) for _ in settings.banks]
         self._boxes: dict[str, BoxState] = {}
         self._waiting_checks: dict[str, BoxState] = {}
-        self._box_by_run_id: dict[str, str] = {}  # run id: the box that has it
-        self._races: dict[tuple[str, int], Race] = {}  # box and dial
-        self._path_checks: list[tuple[int, str, int]] = []  # when, box, and what to look at (`paths`)
+        self._box_by_run_id: dict[str, str] = {}  # by run id
+        self._races: dict[tuple[str, int], Race] = {}  # by box and dial number
+        self._path_checks: list[tuple[int, str, int]] = []  # time, box, and target (see `paths`)
         self._open_dial_count = 0
         self._waiting_dials: deque[tuple[str, int]] = deque()
         self._gate: Gate = gate_of(settings)
-        self._waiting_for_grant: dict[int, Ask] = {}  # wait for the gate's word
+        self._waiting_for_grant: dict[int, Ask] = {}  # by request number: they wait for a quota grant
         self._quota_retry_us = 2**62
-        self._open_by_version: dict[int, int] = {}  # by version: requests of it that are not over
-        self._box_names: dict[int, str] = {}  # member: box
+        self._open_by_version: dict[int, int] = {}  # by layout version: the number of open requests
+        self._box_names: dict[int, str] = {}  # by member number
         self._last_member = 0
         self._sessions: dict[int, Session] = {}
         self._asks: dict[int, Ask] = {}
         self._last_request = 0
         self._last_lease = 0
-        self._deadlines: list[tuple[int, int]] = []  # (when, request)
+        self._deadlines: list[tuple[int, int]] = []  # time and request number
         self._router_due = 2**62
         self._wake_us = 2**62
         self._draining = False
         self._started_us = now_us
         self._now = now_us
         self._out: list[m.AnyEffect] = []
-        self._late_us = 0  # how long the input has lain in this process
-        self._waited_us = 0  # how long ago it came
-        self._pipeline_wait_us = 0  # and before that, behind its client's own earlier commands
-        self._waiting_client_count = 0  # clients that wait for this process
-        self._more_follows = False  # inputs of the same read follow: what is held is placed after the last of them
-        self._program_form = ""  # the form of the program, as `Started` said
-        self._has_roster = False  # discovery has spoken once
-        self.fresh = True  # no input yet, nothing taken over
+        self._late_us = 0  # how long the input has waited for this process
+        self._waited_us = 0  # how long ago the input arrived
+        self._pipeline_wait_us = 0  # how long it waited before that, behind its client's own earlier commands
+        self._waiting_client_count = 0  # clients whose commands wait for this process
+        self._more_follows = False  # inputs of the same read follow; pending requests are placed after the last one
+        self._program_form = ""  # how the program runs, from `Started`
+        self._has_roster = False  # discovery has sent a list
+        self.fresh = True  # no input was handled yet, and nothing was restored from a snapshot
         self.counts: dict[str, int] = {"served": 0, "refused": 0, "failed": 0, "local": 0, "shed": 0}
 
     def _configure(self, settings: Settings) -> None:
-        """What follows from the settings alone."""
+        """Compute what depends on the settings only."""
         self.settings = settings
         self._classifier = Classifier(settings)
-        bounds = [one.staleness_ms for one in settings.classes if one.freshness == "bounded"]
-        self._sample_interval_us = min(bounds, default=1_000) * 1_000 // PROBE_PARTS
-        self._refresh_interval_us = max(2 * self._sample_interval_us, settings.peers * 1_000_000 // PROBES_A_S)
+        bounds_ms = [rule.staleness_ms for rule in settings.classes if rule.freshness == "bounded"]
+        self._sample_interval_us = min(bounds_ms, default=1_000) * 1_000 // SAMPLES_PER_BOUND
+        self._refresh_interval_us = max(2 * self._sample_interval_us, settings.peers * 1_000_000 // MAX_PROBES_PER_S)
         self._local = Local(settings, self._info)
         self._admission = admission(settings.seed, self._classifier.classes, settings.limits.client_pipeline)
-        self._first_pause_us = min(one.aim_ms for one in self._classifier.classes) * 250
-        self._longest_pause_us = min(one.deadline_ms for one in self._classifier.classes) * 500
+        self._first_pause_us = min(rule.aim_ms for rule in self._classifier.classes) * 250
+        self._longest_pause_us = min(rule.deadline_ms for rule in self._classifier.classes) * 500
 
-    # ---- Calls between rooms ----
+    # ---- Calls between modules ----
 
     def _route(self, event: api.Event) -> None:
         raise NotImplementedError
 
-    def _on_inspected(self, given: m.AnyInput) -> None:
+    def _on_inspected(self, message: m.AnyInput) -> None:
         raise NotImplementedError
 
     def _apply_report(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
@@ -201,14 +202,14 @@
 
 
 def router_settings(settings: Settings, classifier: Classifier) -> api.Settings:
-    """The Router's part of the settings."""
+    """The settings of the Router."""
     limits, cold = settings.limits, settings.cold
     return api.Settings(
         seed=settings.seed,
         zone=settings.hall,
-        classes=tuple(to_rule(one) for one in classifier.classes),
+        classes=tuple(to_rule(rule) for rule in classifier.classes),
         peers=settings.peers,
-        step_us=STEP_US,
+        step_us=TIMER_LATENESS_US,
         max_attempts=limits.attempts,
         max_open=limits.open_requests,
         may_probe=True,
--- a/oatlink/core/stored_names.py
+++ b/oatlink/core/stored_names.py
@@ -243,7 +243,7 @@
             "primary",
             "elections",
             "recent_elections",
-            "refresh_us",
+            "refresh_due_us",
         ),
     ),
     "oatlink.core.addresses.Path": (
