--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -80,7 +80,7 @@
         admission = self._admission
         self._configure(given.settings)
         # Threat: a reload amid a flood that lets all of it in.
-        admission.target_us, admission.least = self._admission.target_us, self._admission.least
+        admission.target_us, admission.min_limit = self._admission.target_us, self._admission.min_limit
         self._admission = admission
         for state in self._boxes.values():
             state.paths.stagger_us = given.settings.links.stagger_ms * 1_000
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -14,7 +14,7 @@
 from oatlink.core.classify import Classifier, to_rule
 from oatlink.core.commands import Spec
 from oatlink.core.local import Local
-from oatlink.core.overload import admission
+from oatlink.core.overload import new_admission
 from oatlink.core.positions import Positions
 from oatlink.core.reports import BoxReport
 from oatlink.core.sessions import Ask, Session
@@ -108,7 +108,7 @@
         self._sample_interval_us = min(bounds_ms, default=1_000) * 1_000 // SAMPLES_PER_BOUND
         self._refresh_interval_us = max(2 * self._sample_interval_us, settings.peers * 1_000_000 // MAX_PROBES_PER_S)
         self._local = Local(settings, self._info)
-        self._admission = admission(settings.seed, self._classifier.classes, settings.limits.client_pipeline)
+        self._admission = new_admission(settings.seed, self._classifier.classes, settings.limits.client_pipeline)
         self._first_pause_us = min(rule.aim_ms for rule in self._classifier.classes) * 250
         self._longest_pause_us = min(rule.deadline_ms for rule in self._classifier.classes) * 500
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,11 +1,11 @@
-"""Settings that change in service: what may, what may not, and that nothing on its way is lost or replays otherwise."""
+"""Reload of the settings: what may change, what may not; no open request is lost or replays differently."""
 
 import msgspec
 import pytest
 
 from oatlink.core import messages as m
 from oatlink.core.recording import Recorder, Recording, replay
-from oatlink.core.reload import FIXED, changes, objections
+from oatlink.core.reload import FIXED_SETTINGS, changes, objections
 from oatlink.core.snapshot import restore, take
 from oatlink.settings import Settings, load_text
 from tests.test_engine import KEY, PLAIN, SETTINGS, TEMPLATE, Rig, sent
@@ -18,7 +18,7 @@
 
 
 def test_fixed_settings_are_settings() -> None:
-    assert set(FIXED) <= set(Settings.__struct_fields__)
+    assert set(FIXED_SETTINGS) <= set(Settings.__struct_fields__)
 
 
 @pytest.mark.parametrize(
@@ -33,8 +33,8 @@
 )
 def test_what_may_not_change_is_named(old: str, new: str, place: str) -> None:
     other = load_text(TEMPLATE.replace(old, new), "other")
-    found = list(objections(SETTINGS, other))
-    assert found[0].startswith(f"{place}: expected ")
+    texts = list(objections(SETTINGS, other))
+    assert texts[0].startswith(f"{place}: expected ")
     assert not list(objections(SETTINGS, NEW)) and changes(SETTINGS, NEW) == ["classes"]
 
 
@@ -43,19 +43,19 @@
     with traced(recorder) as parts:
         rig = Rig()
         write = sent(rig.ask("SET", KEY, 1))
-        assert rig.ask("GET", KEY) is None  # it waits behind the write, of a class that will be gone
+        assert rig.ask("GET", KEY) is None  # it waits behind the write, and its class is removed by the reload
         rig.give(m.Reloaded(NEW))
         rig.engine = restore(take(rig.engine, rig.now), NEW)
         rig.end(write)
         rig.end(rig.sent[-1], [b"$1\r\n1\r\n"])
         assert rig.text() == b"+OK\r\n$1\r\n1\r\n"
-        counted = []
+        boxes = []
         for number in range(4):
             rig.pass_us(20_000)
             rig.end(sent(rig.ask("GET", PLAIN)), [b"$-1\r\n"])
-            counted.append(rig.sent[-1].box)
+            boxes.append(rig.sent[-1].box)
             rig.pass_us(number)
-        assert set(counted) & {"r", "s"}  # `look` takes these keys now, and its reads are spread
+        assert set(boxes) & {"r", "s"}  # these keys are of the class `look` now, whose reads use the replicas
     recording = Recording(b"".join(parts))
     assert replay(recording.header, recording.entries()).differences == 0
 
@@ -65,7 +65,7 @@
     rig.end(sent(rig.ask("GET", KEY)))
     tight = load_text(TEMPLATE.replace("staleness_ms: 500", "staleness_ms: 40"), "tight")
     rig.give(m.Reloaded(tight))
-    rig.says["r"] = rig.says["s"] = b""  # nothing more is learnt of the replicas
+    rig.says["r"] = rig.says["s"] = b""  # no further report of the replicas arrives
     rig.pass_us(60_000)
     assert sent(rig.ask("GET", KEY)).box == "p"
     assert rig.engine.settings is tight and msgspec.structs.asdict(rig.engine.settings)["seed"] == 3
@@ -74,11 +74,12 @@
 def test_a_reload_amid_a_flood_does_not_let_all_of_it_in() -> None:
     rig = Rig()
     rig.engine._admission.limit = 100.0
-    rig.engine._admission.back_us = 700_000
+    rig.engine._admission.retry_after_us = 700_000
     slower = TEMPLATE.replace("aim_ms: 600", "aim_ms: 1200").replace("aim_ms: 1000", "aim_ms: 1500")
     rig.give(m.Reloaded(load_text(slower, "slower")))
-    one = rig.engine._admission
-    assert one.limit == 100.0 and one.back_us == 700_000 and one.target_us == 150_000  # of the shortest aim there is
+    admission = rig.engine._admission
+    assert admission.limit == 100.0 and admission.retry_after_us == 700_000
+    assert admission.target_us == 150_000  # a share of the shortest aim after the reload
     stagger = load_text(TEMPLATE.replace("classes:", "links: { stagger_ms: 77 }, classes:"), "stagger")
     rig.give(m.Reloaded(stagger))
     assert all(state.paths.stagger_us == 77_000 for state in rig.engine._boxes.values())
