--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -146,7 +146,7 @@
         be served.
         """
         for group in self._groups:
-            group.positions.gap(self._now - 2)  # a report that is requested in this microsecond must count
+            group.positions.mark_gap(self._now - 2)  # a report that is requested in this microsecond must count
         for state in list(self._boxes.values()):
             state.report, state.report_asked_us = None, 0
             self._replace_member(state, "is asked anew after a gap in the clock")
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -1,10 +1,10 @@
-"""What the fleet says of a request before anything of it is sent: its tenant's quota, its version. No I/O.
+"""The fleet's checks of a request before anything of it is sent: its tenant's quota and its layout version. No I/O.
 
 The gate (`oatlink.fleet.gate`) answers each question at once. A request that the quota refuses is refused before any
-state of it is kept. One for which the gate has no grant yet (`HELD`) takes its place in its client's order and waits
-here, for as long as the gate has patience (`limits.node.PATIENCE_US`); what its client sends after it waits as for any
-request that is unfinished. What was admitted is spent: a client that leaves gives nothing back, or it could ask, leave
-and ask again without end.
+state of it is kept. A request for which the gate has no grant yet (`HELD`) takes its place in its client's order and
+waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later commands wait
+for it as for any open request. Admitted requests are charged for good, even if the client leaves. Otherwise a client
+could send, leave and send again without limit.
 """
 
 from oatlink.core import messages as m
@@ -16,19 +16,20 @@
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.settings.model import RequestClass
 
-HELD_LOOK_US = 20_000  # a grant begins empty: how often what is held is tried while the gate has patience
-NOT_OFFERED_US = 200_000  # to come back where a bank or its primary does not offer a version that is served
+# How often waiting requests are checked again while the gate holds them: a new grant's bucket starts empty.
+QUOTA_RETRY_INTERVAL_US = 20_000
+NOT_OFFERED_RETRY_US = 200_000  # when to retry if a bank or its primary does not offer a version that is served
 
 
 class Gated(Boxes):
     """Requests before the fleet's gate."""
 
     def versions_in_use(self) -> tuple[int, ...]:
-        """The versions that requests are out for, or held for."""
+        """The versions of the requests that are open or wait for a grant."""
         return tuple(self._open_by_version)
 
     def _forget_request(self, request: int) -> None:
-        """Nothing of a request is out any more, and it is owed no answer."""
+        """Drop a request that has no attempt open any more and is owed no answer."""
         ask = self._asks.pop(request, None)
         if ask is not None and ask.version:
             self._open_by_version[ask.version] -= 1
@@ -36,50 +37,50 @@
                 del self._open_by_version[ask.version]
 
     def _choose_version(self, session: Session, rule: RequestClass, slots: list[int]) -> tuple[int, int]:
-        """The version that a request is made for, and, where it is not served here now, when to come back."""
-        found = self._gate.layout(session.name, session.pinned, self._now)
-        back_us = found.back_us
-        if found.version and not back_us:
+        """The version that a request is made for, and, if it is not served here now, when to retry."""
+        layout = self._gate.layout(session.name, session.pinned, self._now)
+        retry_after_us = layout.back_us
+        if layout.version and not retry_after_us:
             bank = self._classifier.group_of(slots) if slots else 0
-            if bank is not None and not self._gate.offered(self.settings.banks[bank].name, found.version):
-                back_us = NOT_OFFERED_US
-        if back_us:
+            if bank is not None and not self._gate.offered(self.settings.banks[bank].name, layout.version):
+                retry_after_us = NOT_OFFERED_RETRY_US
+        if retry_after_us:
             self.counts["unserved"] = self.counts.get("unserved", 0) + 1
             self._out.append(m.Counted(rule.name, "unserved", 0))
-        elif found.version and not session.pinned:
-            session.pinned = found.version
-        return found.version, back_us
+        elif layout.version and not session.pinned:
+            session.pinned = layout.version
+        return layout.version, retry_after_us
 
     def _serves_version(self, state: BoxState, ask: Ask) -> bool:
-        """Whether a box may take a request of that version now: the last look before it is sent.
+        """Whether a box may get a request of its version now: the last check before it is sent.
 
-        Threat: a request that was held past the end of the version's term, a primary that failed over without the
-        step, a replica that has not applied it.
+        Prevents sending a request that has waited past the end of the version's term, or that goes to a primary that
+        failed over without the step, or to a replica that has not applied it.
         """
         if self._gate.layout("", ask.version, self._now).back_us:
             return False
         marker = self._gate.marker(self.settings.banks[state.box.bank].name, ask.version)
-        return marker is None or self._applied(state, marker)
+        return marker is None or self._has_applied(state, marker)
 
     def _version_position_us(self, ask: Ask) -> int | None:
-        """The position, as a time, from which on a replica surely has applied the step that a version needs.
+        """The position, as a time, from which on a replica has surely applied the step that a version needs.
 
-        Where no sample shows it yet, only the primary is left: nothing is as recent as this instant.
+        If no sample proves one yet, it is the present time: no replica is as recent, so only the primary is left.
         """
         marker = self._gate.marker(self.settings.banks[ask.group].name, ask.version)
         if marker is None:
             return None
-        found = self._groups[ask.group].positions.reached_us(marker.history, marker.offset)
-        return self._now if found is None else found
+        position_us = self._groups[ask.group].positions.reached_us(marker.history, marker.offset)
+        return self._now if position_us is None else position_us
 
-    def _applied(self, state: BoxState, marker: Marker) -> bool:
+    def _has_applied(self, state: BoxState, marker: Marker) -> bool:
         report = state.report
         return report is not None and applied(
             Place(report.replid, report.offset, report.replid2, report.second_offset), marker
         )
 
     def _reject_unserved(self, ask: Ask, state: BoxState) -> None:
-        """The box that was chosen does not offer the request's version: it is asked, and the client told at once."""
+        """End a request whose version the chosen box does not offer, and probe the box."""
         state.refresh_pending = True
         self._probe(state)
         self.counts["unserved"] = self.counts.get("unserved", 0) + 1
@@ -88,61 +89,61 @@
         if ask.may_have_run:
             self._finish(ask, failure(ask.rule.effect != "idempotent"))
         else:
-            self._finish(ask, unserved(ask.version, NOT_OFFERED_US))
+            self._finish(ask, unserved(ask.version, NOT_OFFERED_RETRY_US))
 
-    def _serve_versions(self) -> None:
-        """New markers: who has not shown that it has applied them is asked."""
+    def _probe_for_versions(self) -> None:
+        """Probe the boxes that have not shown yet that they have applied the new markers."""
         for state in self._boxes.values():
             bank = self.settings.banks[state.box.bank].name
-            markers = [self._gate.marker(bank, one) for one in self._gate.versions]
-            if any(one is not None and not self._applied(state, one) for one in markers):
+            markers = [self._gate.marker(bank, version) for version in self._gate.versions]
+            if any(marker is not None and not self._has_applied(state, marker) for marker in markers):
                 state.refresh_pending = True
                 self._probe(state)
 
     def _check_quota(self, session: Session, rule: RequestClass, command: str, keys: list[bytes], cost: int) -> int:
-        """0: go on; `HELD`: let it wait; above 0: refuse it, and when to come back, in microseconds."""
-        back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now)
-        if back_us > 0:
+        """0 to go on, `HELD` to wait for a grant, above 0 to refuse: the microseconds after which to retry."""
+        retry_after_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now)
+        if retry_after_us > 0:
             self.counts["over_quota"] = self.counts.get("over_quota", 0) + 1
             self._out.append(m.Counted(rule.name, "over quota", 0))
-        return back_us
+        return retry_after_us
 
     def _wait_for_grant(self, ask: Ask, command: str, keys: list[bytes], cost: int) -> None:
-        """Let a request wait for the gate's word."""
+        """Let a request wait for a quota grant."""
         ask.gated = (command, keys[:1], cost)
         if not self._waiting_for_grant:
-            self._quota_retry_us = self._now + HELD_LOOK_US
+            self._quota_retry_us = self._now + QUOTA_RETRY_INTERVAL_US
         self._waiting_for_grant[ask.id] = ask
         self._out.append(m.Seek())
 
-    def _on_told(self, given: m.AnyInput) -> None:
+    def _on_told(self, message: m.AnyInput) -> None:
         """News from the fleet."""
-        assert isinstance(given, m.Told)
-        if isinstance(given.news, Seen):
-            self._apply_health_report(given.news)
+        assert isinstance(message, m.Told)
+        if isinstance(message.news, Seen):
+            self._apply_health_report(message.news)
             return
-        if self._gate.hear(given.news, self._now):
-            self._serve_versions()
+        if self._gate.hear(message.news, self._now):
+            self._probe_for_versions()
         self._retry_quota_checks()
 
     def _retry_quota_checks(self) -> None:
-        """Ask again for what waits at the gate; past its patience it says yes or no."""
+        """Check the waiting requests again. After its patience the gate either admits or refuses them."""
         waiting, self._waiting_for_grant, self._quota_retry_us = self._waiting_for_grant, {}, 2**62
         for ask in waiting.values():
             session = self._sessions.get(ask.client)
             if session is None or ask.gated is None or ask.place.answer is not None:
                 continue
             command, keys, cost = ask.gated
-            back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
-            if back_us == HELD:
-                self._quota_retry_us = self._now + HELD_LOOK_US
+            retry_after_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
+            if retry_after_us == HELD:
+                self._quota_retry_us = self._now + QUOTA_RETRY_INTERVAL_US
                 self._waiting_for_grant[ask.id] = ask
                 continue
             ask.gated = None
-            if back_us > 0:
+            if retry_after_us > 0:
                 self.counts["over_quota"] = self.counts.get("over_quota", 0) + 1
                 self._out.append(m.Counted(ask.rule.name, "over quota", self._now - ask.arrived_us))
                 self._end_lease(ask)
-                self._finish(ask, over_quota(back_us))
-            elif not any(one is ask for one in session.waiting):
+                self._finish(ask, over_quota(retry_after_us))
+            elif not any(waiting_ask is ask for waiting_ask in session.waiting):
                 self._start(session, ask)
--- a/oatlink/core/stored_names.py
+++ b/oatlink/core/stored_names.py
@@ -304,7 +304,7 @@
             "_current",
             "_gap_us",
             "_histories",
-            "_kept",
+            "_max_histories",
         ),
     ),
     "oatlink.core.positions.History": (
@@ -312,10 +312,10 @@
         (
             "replid",
             "offsets",
-            "times",
+            "times_us",
             "parent",
             "join",
-            "closed",
+            "is_closed",
         ),
     ),
     "oatlink.core.overload.Admission": (
