--- a/tests/fleet/test_gated.py
+++ b/tests/fleet/test_gated.py
@@ -61,7 +61,7 @@
     assert rig.engine.counts["over_quota"] == 10 - len(rig.sent) and rig.engine.counts["shed"] == 0
 
 
-def test_a_held_commands_order_is_kept() -> None:
+def test_the_order_of_a_waiting_command_is_kept() -> None:
     rig = new_rig()
     rig.ask("SET", PLAIN, 1)
     rig.ask("SET", PLAIN, 2)
@@ -96,7 +96,7 @@
     assert rig.ask("EXEC") is not None
 
 
-def test_a_client_that_leaves_while_held_is_forgotten_and_nothing_is_sent() -> None:
+def test_a_client_that_leaves_while_its_request_waits_is_forgotten_and_nothing_is_sent() -> None:
     rig = new_rig()
     rig.ask("SET", PLAIN, 1)
     rig.give(m.Closed(1))
@@ -130,7 +130,7 @@
 # ---- Versions ----
 
 
-def test_nothing_is_served_before_the_fleet_has_said_what_may_be() -> None:
+def test_nothing_is_served_before_the_fleet_has_named_the_versions() -> None:
     rig = new_rig(VERSIONED, "x")
     rig.ask("GET", PLAIN)
     assert not rig.sent and rig.answers[1][0].startswith(b"-LAYOUT 0 is not served") and b"retry" in rig.answers[1][0]
@@ -141,7 +141,7 @@
     assert rig.engine.versions_in_use() == ()
 
 
-def test_a_client_that_names_a_version_not_served_is_told_to_come_back() -> None:
+def test_a_client_that_names_a_version_not_served_is_refused_with_a_time_to_retry() -> None:
     rig = new_rig(VERSIONED, "x;layout=2")
     rig.give(m.Told(SERVED))
     rig.ask("GET", PLAIN)
@@ -180,7 +180,7 @@
         assert rig.ask("SET", PLAIN, 1) is not None
 
 
-def test_a_request_that_was_held_past_the_end_of_the_term_is_not_sent() -> None:
+def test_a_request_that_waited_past_the_end_of_the_term_is_not_sent() -> None:
     rig = new_rig(VERSIONED, "x")
     rig.list(p="gone")  # without a primary, a write is kept pending
     rig.give(m.Told(Served(8, rig.now + 100_000, (1,), 1, (), (("one", (1,)), ("two", (1,))))))
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -96,7 +96,7 @@
     assert paths.new_race(0, IPV4).queue == [UNIX, IPV6, IPV4]
 
 
-def test_a_bad_path_is_left_at_once_and_returned_to_late_and_ever_later() -> None:
+def test_a_bad_path_is_left_at_once_and_used_again_after_growing_delays() -> None:
     paths = new_paths(UNIX, IPV4)
     now = 1_000_000
     mark_good(paths, now, UNIX, IPV4)
@@ -139,7 +139,7 @@
     assert paths.paths[0].retry_us >= min(0.5 * MIN_RETRY_US * 2 ** (failures - 1), 0.5 * MAX_RETRY_US) - 1
 
 
-def test_a_reset_speaks_of_its_path_alone_where_another_lives() -> None:
+def test_a_reset_is_a_fault_of_its_path_only_if_another_path_is_alive() -> None:
     paths = new_paths(UNIX, IPV4)
     mark_good(paths, 1_000, UNIX)
     paths.record_sent(0, 2_000)
@@ -155,7 +155,7 @@
     assert not alone.is_path_fault(0, "reset", 1, 2)
 
 
-def test_a_silent_path_is_asked_then_cut_and_a_slow_box_is_neither(paths: Paths) -> None:
+def test_a_silent_path_is_probed_then_closed_and_that_of_a_slow_box_stays_open(paths: Paths) -> None:
     first_us = paths.record_sent(0, 1_000)
     assert first_us == 1_000 + MIN_SILENCE_US
     probed, is_silent, second_us = paths.check_silence(0, first_us)
@@ -188,7 +188,7 @@
         assert not is_silent  # no path answers: the box may have failed, which the error rules decide
 
 
-def test_a_process_that_is_late_itself_cuts_nothing(paths: Paths) -> None:
+def test_a_process_that_was_delayed_itself_closes_no_path(paths: Paths) -> None:
     _, _, check_us = paths.check_silence(0, paths.record_sent(0, 1_000))
     # The process stood still for a second: both paths have answered, and the other path's answer is read first.
     now = check_us + 1_000_000
@@ -201,7 +201,7 @@
     assert not is_silent and paths.paths[0].state is State.GOOD
 
 
-def test_what_came_over_a_path_counts_as_life_however_much_is_out(paths: Paths) -> None:
+def test_a_path_that_delivers_answers_is_not_silent_however_many_requests_are_open(paths: Paths) -> None:
     check_us = paths.record_sent(0, 0)
     for step in range(1, 400):
         now = step * 1_000
@@ -213,7 +213,7 @@
             assert not probed and not is_silent and check_us <= now + MAX_SILENCE_US
 
 
-def test_a_path_that_answers_probes_and_loses_requests_is_held_out(paths: Paths) -> None:
+def test_a_path_that_answers_probes_and_loses_requests_is_excluded(paths: Paths) -> None:
     now, exclusions_us = 0, []
     for _ in range(4):
         for _ in range(MAX_LOSSES):
@@ -232,7 +232,7 @@
     assert paths.paths[0].losses == 0
 
 
-def test_one_break_is_one_loss_however_much_was_on_it(paths: Paths) -> None:
+def test_one_break_is_one_loss_however_many_requests_it_ends(paths: Paths) -> None:
     for number in range(50):
         paths.record_sent(0, 1_000 + number)
     for number in range(50):
@@ -249,7 +249,7 @@
     assert current_address(paths, 2) == IPV6
 
 
-def test_unused_paths_are_looked_at_now_and_then_and_bad_ones_when_due() -> None:
+def test_unused_paths_are_probed_now_and_then_and_bad_ones_when_due() -> None:
     paths = new_paths(UNIX, IPV4, IPV6)
     mark_good(paths, 0, UNIX)
     paths.choose(0)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -73,7 +73,7 @@
     assert not process.refused and sum(process.served.values()) > 11_900
 
 
-def test_a_crowd_that_listens_is_served_at_nearly_full_speed_and_in_time() -> None:
+def test_many_clients_that_obey_retry_times_are_served_at_nearly_full_speed_and_in_time() -> None:
     process = Process()
     process.play({f"c{number}": (VIEW, 1) for number in range(2_000)}, 6)
     process.play({f"c{number}": (VIEW, 1) for number in range(2_000)}, 4)
@@ -82,7 +82,7 @@
     assert waits[len(waits) // 2] < 2 * TARGET_US and waits[len(waits) * 99 // 100] < 400_000
 
 
-def test_after_a_flood_everyone_is_let_in_again_within_two_seconds() -> None:
+def test_after_a_flood_every_command_is_admitted_again_within_two_seconds() -> None:
     process = Process()
     quiet = {f"c{number}": (VIEW, 1) for number in range(32)}
     process.play({**quiet, **{f"f{number}": (VIEW, 1) for number in range(3_000)}}, 6)
@@ -116,7 +116,7 @@
     assert limit_before > 1_000 > admission.limit
 
 
-def test_what_earns_more_is_refused_later() -> None:
+def test_classes_of_higher_worth_are_refused_later() -> None:
     process = Process()
     both = {f"{kind}{n}": (rule, 1) for n in range(600) for kind, rule in (("v", VIEW), ("p", POST))}
     process.play(both, 4)
@@ -142,7 +142,7 @@
     assert len(admission.parties) <= 10
 
 
-def test_a_refused_command_leaves_nothing_and_says_when_to_come_back() -> None:
+def test_a_refused_command_leaves_no_state_and_names_a_time_to_retry() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
     rig.text()
@@ -151,7 +151,7 @@
     assert rig.engine.counts["shed"] == 1 and not rig.engine._asks and not rig.paused
 
 
-def test_a_connection_is_paused_longer_each_time_and_for_what_came_too_late_not_at_all() -> None:
+def test_a_connection_is_paused_longer_each_time_but_not_for_commands_that_are_too_late() -> None:
     """Guards against commands that arrive during a pause, become too late by it and pause the connection again."""
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
@@ -179,7 +179,7 @@
     assert min(when for when, _ in rig.engine._deadlines) < rig.now + 1_500_000
 
 
-def test_one_that_came_before_its_time_is_owed_an_answer_within_its_own() -> None:
+def test_the_time_of_a_command_begins_when_it_arrived_and_not_when_it_was_read() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
     rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 500_000))
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("path", ["unix", "ipv6"])
-def test_a_path_that_takes_connections_and_never_answers_costs_nobody_anything(path: str) -> None:
+def test_a_path_that_accepts_connections_and_never_answers_delays_no_request(path: str) -> None:
     def deaf(embedded: Embedded) -> None:
         for box in embedded.boxes.values():
             if path in box.paths:
@@ -167,7 +167,9 @@
 
 
 @scene(open_multi_path)
-async def test_a_command_that_the_socket_never_took_whole_goes_over_another_path(world: MultiPathWorld) -> None:
+async def test_a_command_that_the_socket_never_accepted_completely_goes_over_another_path(
+    world: MultiPathWorld,
+) -> None:
     box = world.primary
     await world.client.ask("SET", "k", 0)
     executed_before = box.executed
@@ -182,7 +184,7 @@
 
 
 @scene(open_multi_path)
-async def test_the_primary_lost_to_this_gateway_by_all_paths_is_no_election(world: MultiPathWorld) -> None:
+async def test_a_primary_that_this_gateway_cannot_reach_by_any_path_is_no_election(world: MultiPathWorld) -> None:
     box = world.primary
     await world.client.ask("SET", "k", 0)
     for name in list(box._listeners):
@@ -200,7 +202,7 @@
     assert answer == resp.Simple(b"OK")
 
 
-def test_clients_come_by_ipv6_and_by_a_unix_socket_too(tmp_path: Path) -> None:
+def test_clients_connect_by_ipv6_and_by_a_unix_socket_too(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(3) as world:
             listeners = listen(f"unix:{tmp_path}/gate")
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -16,7 +16,7 @@
     assert [positions.time_of("a", offset) for offset in (99, 100, 199, 200, 999)] == [None, 1_000, 1_000, 2_000, 2_000]
 
 
-def test_samples_out_of_order_say_the_same() -> None:
+def test_samples_out_of_order_prove_the_same() -> None:
     first, second = Positions(), Positions()
     points = [(100, 1_000), (150, 1_500), (150, 1_700), (200, 2_000), (120, 1_800)]
     for offset, asked in points:
@@ -57,7 +57,7 @@
     assert positions.current == "b"
 
 
-def test_a_join_told_late_still_cuts() -> None:
+def test_a_join_that_is_learned_late_still_removes_the_points_past_it() -> None:
     positions = Positions()
     positions.sample("a", 100, 1_000, 1_000)
     positions.sample("b", 200, 2_000, 2_000)
@@ -66,7 +66,7 @@
     assert positions.time_of("a", 100) is None
 
 
-def test_only_replicas_met_prove_nothing() -> None:
+def test_replicas_without_a_primary_prove_nothing() -> None:
     positions = Positions()
     assert positions.time_of("a", 10**9) is None
     assert not positions.known("a")
@@ -136,7 +136,7 @@
                 assert not missing or proven <= min(missing)
 
 
-def test_info_is_read_and_nonsense_says_nothing() -> None:
+def test_info_is_parsed_and_malformed_values_are_ignored() -> None:
     text = (
         b"# Server\r\nrun_id:abc\r\nuptime_in_seconds:12\r\n# Replication\r\nrole:slave\r\nmaster_link_status:up\r\n"
         b"slave_repl_offset:70\r\nmaster_replid:aa\r\nmaster_replid2:" + b"0" * 40 + b"\r\nsecond_repl_offset:-1\r\n"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,7 +38,7 @@
     assert not list(objections(SETTINGS, NEW)) and changes(SETTINGS, NEW) == ["classes"]
 
 
-def test_a_class_that_is_no_more_keeps_what_came_with_it() -> None:
+def test_requests_of_a_removed_class_keep_that_class() -> None:
     recorder = Recorder("test", SETTINGS, 1_000_000_000)
     with traced(recorder) as parts:
         rig = Rig()
@@ -71,7 +71,7 @@
     assert rig.engine.settings is tight and msgspec.structs.asdict(rig.engine.settings)["seed"] == 3
 
 
-def test_a_reload_amid_a_flood_does_not_let_all_of_it_in() -> None:
+def test_a_reload_during_a_flood_keeps_the_limit() -> None:
     rig = Rig()
     rig.engine._admission.limit = 100.0
     rig.engine._admission.retry_after_us = 700_000
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -85,7 +85,7 @@
     assert [discard.address for discard in take_effects(rig, m.Discard)] == [IPV6]
 
 
-def test_where_every_path_fails_what_waits_is_told_once(rig: Rig) -> None:
+def test_where_every_path_fails_the_waiting_connection_fails_once(rig: Rig) -> None:
     rig.give(m.Wanted("p", 1, UNIX))
     for _ in range(3):
         (dial,) = take_dials(rig)
@@ -160,7 +160,7 @@
     assert rig.sent[-1] is not send and rig.sent[-1].payload == send.payload
 
 
-def test_the_window_of_a_key_begins_with_what_may_have_arrived(rig: Rig) -> None:
+def test_the_window_of_a_key_begins_with_the_first_attempt_that_may_have_arrived(rig: Rig) -> None:
     first = sent(rig.ask("XADD", KEY, "IDMP", "a", "t1", "*", "f", "v"))
     rig.pass_us(400_000)
     rig.give(m.Ended(first.request, first.attempt, "p", "unsent", 900, rig.now, address=UNIX))
@@ -175,7 +175,7 @@
     assert third is not second and began - 200_000 + 2_000_000 < third.until_us <= rig.now + 2_000_000
 
 
-def test_a_silent_path_is_shunned_and_what_was_on_it_goes_elsewhere(rig: Rig) -> None:
+def test_requests_over_a_silent_path_are_ended_and_repeated_elsewhere(rig: Rig) -> None:
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     rig.text()
     send = sent(rig.ask("XADD", KEY, "IDMP", "a", "t1", "*", "f", "v"))
@@ -212,7 +212,7 @@
     assert not any(isinstance(effect, m.Use) for effect in rig.other)
 
 
-def test_an_unknown_run_on_one_path_is_a_stranger_while_the_others_reach_the_old_one(rig: Rig) -> None:
+def test_an_unknown_run_on_one_path_is_another_server_while_the_others_reach_the_old_run(rig: Rig) -> None:
     rig.give(m.Wanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     member = rig.engine._boxes["p"].member
@@ -227,7 +227,7 @@
     assert report is not None and report.run_id == "new"
 
 
-def test_two_boxes_that_claim_an_address_the_first_one_has_it() -> None:
+def test_of_two_boxes_that_list_an_address_the_first_one_has_it() -> None:
     rig = Rig(SETTINGS)
     boxes = [
         m.Box("p", 0, IPV4, ways=(m.Way(UNIX),)),
@@ -251,7 +251,7 @@
     assert rig.engine._boxes["p"].member != member
 
 
-def test_fifty_boxes_whose_paths_all_fail_are_not_dialled_by_all_wants_at_once() -> None:
+def test_fifty_boxes_whose_paths_all_fail_do_not_exceed_the_bound_on_open_dials() -> None:
     rig = Rig(SETTINGS)
     boxes = tuple(
         m.Box(f"b{at}", 0, f"192.0.2.{at}:1", ways=(m.Way(f"[::1]:{at + 1}"), m.Way(f"unix:/b{at}")))
@@ -360,12 +360,12 @@
     assert all(copies[-1] - copies[0] < 2_000_000 for copies in ends if copies)
 
 
-def test_the_bytes_from_which_a_command_may_run_are_told(rig: Rig) -> None:
+def test_a_send_names_the_bytes_from_which_its_command_may_run(rig: Rig) -> None:
     send = sent(rig.ask("SET", PLAIN, 1))
     assert send.runs_from == len(command("SET", PLAIN, 1))
 
 
-def test_explain_tells_over_which_address_and_what_befell_it() -> None:
+def test_explain_shows_the_address_and_the_ending_of_each_attempt() -> None:
     with traced(Recorder("test", SETTINGS, 1_000_000_000)) as parts:
         rig = new_rig()
         rig.end(sent(rig.ask("SET", PLAIN, 0)))
@@ -380,7 +380,7 @@
     assert f"attempt 0 at p over {UNIX} ended: reset" in events and f"attempt 1 sent to p by {IPV6}" in events
 
 
-def test_reports_that_cross_on_two_paths_do_not_make_a_box_a_new_one(rig: Rig) -> None:
+def test_reports_that_overtake_each_other_do_not_make_a_box_a_new_member(rig: Rig) -> None:
     member = rig.engine._boxes["p"].member
     asked_us = rig.now
     rig.pass_us(5_000)
