--- a/oatlink/core/paths.py
+++ b/oatlink/core/paths.py
@@ -242,7 +242,7 @@
                     self._out.append(m.Probe(box, paths.paths[index].address))
                 self._schedule_next_upkeep(state)
             return
-        index = _silence_target(target)  # the function is its own inverse
+        index = UPKEEP - 1 - target  # reverses `_silence_target`
         if index >= len(paths.paths):
             return
         probed, is_silent, next_check_us = paths.check_silence(index, self._now)
