--- a/oatlink/core/paths.py
+++ b/oatlink/core/paths.py
@@ -16,7 +16,7 @@
 from oatlink.core import messages as m
 from oatlink.core.addresses import MAX_PATHS, NEVER, Path, Paths, Race, State
 from oatlink.core.reports import BoxReport, parse_info
-from oatlink.core.shared import BoxState, Shared
+from oatlink.core.shared import BoxState, EngineState
 
 # Attempts to all boxes that are open at once. Prevents the dials for every waiting connection from starting together
 # when a bank comes back.
@@ -42,7 +42,7 @@
     return UPKEEP - 1 - index
 
 
-class BoxPaths(Shared):
+class BoxPaths(EngineState):
     """The paths to boxes."""
 
     def _new_paths(self, box: m.Box, taken: set[str]) -> Paths:
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -1,8 +1,8 @@
 """The engine's state, and the calls between its modules. No I/O.
 
 The engine is one object whose methods are divided by concern: each module beside this one has one concern's methods,
-and all of them work on the state defined here. `Shared` declares each call from one module to another, so that what a
-module needs of the others is listed in one place.
+and all of them work on the state defined here. `EngineState` declares each call from one module to another, so that
+what a module needs of the others is listed in one place.
 """
 
 from collections import deque
@@ -59,7 +59,7 @@
     refresh_due_us: int = 0  # when to look next for replicas whose position has become old
 
 
-class Shared:
+class EngineState:
     """The state, and the calls between modules."""
 
     def __init__(self, settings: Settings, now_us: int = 0) -> None:
