--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -186,7 +186,7 @@
         while gateway.probing and time.monotonic() < end:
             await asyncio.sleep(0.005)
     rows = {}
-    for one in gateway.engine.verdicts():
+    for one in gateway.engine.box_statuses():
         fields = {key: str(value) for key, value in msgspec.structs.asdict(one).items()}
         rows[fields.pop("name")] = fields
     end = time.monotonic() + wait_s
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -13,7 +13,7 @@
 from oatlink.book import Book, Member, Request
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
-from oatlink.core.recording import Entry, Header, engine_of
+from oatlink.core.recording import Entry, Header, engine_at_start
 from oatlink.rules import checks, cold, holding, room
 
 
@@ -109,7 +109,7 @@
 
 def explain(header: Header, entries: Iterator[Entry], request: int) -> Account:
     """Replay a recording and tell of one request. `events` is empty where the recording does not know it."""
-    engine = engine_of(header)
+    engine = engine_at_start(header)
     account = Account(request, choices=Witness(engine, str(request)).seen)
     for entry in entries:
         before = engine.last_request
@@ -142,9 +142,9 @@
     return account
 
 
-def told(header: Header, entries: Iterator[Entry]) -> Iterator[tuple[int, str, str]]:
+def recorded_sends(header: Header, entries: Iterator[Entry]) -> Iterator[tuple[int, str, str]]:
     """For each recorded send of all requests: the request, what the witness saw chosen last, where it was sent."""
-    engine = engine_of(header)
+    engine = engine_at_start(header)
     witness = Witness(engine, None)
     for entry in entries:
         witness.seen.clear()
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -20,7 +20,7 @@
 MOST_SESSIONS = 1_000  # shown to operators at once
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class BoxStatus(msgspec.Struct, frozen=True):
     """What a gateway believes of a box. `says` is the box's own word, `role` what counts; -1 is not known."""
 
     name: str
@@ -43,11 +43,11 @@
 class Operators(Transactions):
     """The operators' view."""
 
-    def verdicts(self) -> list[Verdict]:
+    def box_statuses(self) -> list[BoxStatus]:
         """What is believed of each box, and what it would be given now."""
-        return [self._verdict(state) for _, state in sorted(self._boxes.items())]
+        return [self._box_status(state) for _, state in sorted(self._boxes.items())]
 
-    def _verdict(self, state: BoxState) -> Verdict:
+    def _box_status(self, state: BoxState) -> BoxStatus:
         report = state.report or BoxReport()
         believed = belief_of(self.router, state.member)
         at = self._report(state, state.asked_us)
@@ -64,7 +64,7 @@
             takes = "reads that allow its age" if age >= 0 else "reads of any age only: nothing is proven"
         else:
             takes = "nothing: role unknown"
-        return Verdict(
+        return BoxStatus(
             state.box.name,
             self.settings.banks[state.box.bank].name,
             state.box.address,
@@ -149,7 +149,7 @@
         """What an operators' word shows; `INSPECT` asks every box anew and shows nothing."""
         now = self._now
         if name == b"MEMBERS":
-            return Array(tuple(_table(msgspec.structs.asdict(one)) for one in self.verdicts()))
+            return Array(tuple(_table(msgspec.structs.asdict(one)) for one in self.box_statuses()))
         if name == b"PATHS":
             return Array(tuple(_table(one) for one in self.path_rows()))
         if name == b"BANKS":
@@ -213,7 +213,7 @@
 
     def _info(self) -> dict[str, dict[str, object]]:
         boxes: dict[str, object] = {}
-        for one in self.verdicts():
+        for one in self.box_statuses():
             fields = msgspec.structs.asdict(one)
             name = fields.pop("name")
             boxes[name] = ",".join(f"{key}={value}" for key, value in fields.items())
--- a/oatlink/core/recording.py
+++ b/oatlink/core/recording.py
@@ -17,7 +17,7 @@
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
 from oatlink.core.redact import Redactor, comparable, without_secrets
-from oatlink.core.snapshot import SnapshotError, restore, take
+from oatlink.core.snapshot import SnapshotError, restore_engine, take_snapshot
 from oatlink.settings.load import settings_hash
 from oatlink.settings.model import Settings
 
@@ -63,10 +63,10 @@
 
 
 class Part:
-    """One part as it grows; `size` is in bytes, its header left out."""
+    """One part as it grows; `size_bytes` is its size, its header left out."""
 
     def __init__(self, number: int, header: bytes) -> None:
-        self.number, self.size = number, 0
+        self.number, self.size_bytes = number, 0
         self.frames = [header]
 
 
@@ -93,61 +93,61 @@
         self._redacts = settings.record_redact != "none"
         self._program, self._settings, self._ring = program, settings, ring
         self.part_bytes, self.parts = part_bytes, parts
-        self.kept: deque[Part] = deque()
-        self.inputs = 0
+        self.kept_parts: deque[Part] = deque()
+        self.input_count = 0
         begun = engine is not None and not engine.fresh
         self.header = self._begin(began_us, self._state(engine, began_us) if engine is not None and begun else b"")
 
     def _begin(self, began_us: int, snapshot: bytes) -> bytes:
-        number = self.kept[-1].number + 1 if self.kept else 1
+        number = self.kept_parts[-1].number + 1 if self.kept_parts else 1
         header = Header(
             self._program, settings_hash(self._settings), without_secrets(self._settings), began_us, number, snapshot
         )
         data = MAGIC + frame(_encoder.encode(header))
-        self.kept.append(Part(number, data if self._ring else b""))
-        while len(self.kept) > self.parts:
-            self.kept.popleft()
+        self.kept_parts.append(Part(number, data if self._ring else b""))
+        while len(self.kept_parts) > self.parts:
+            self.kept_parts.popleft()
         return data
 
     @property
-    def oldest(self) -> int:
+    def oldest_number(self) -> int:
         """The number of the oldest part that is kept; those before it may go."""
-        return self.kept[0].number
+        return self.kept_parts[0].number
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the next part must begin. Its snapshot does not count: a large state must not cut ever faster."""
-        return self.kept[-1].size >= self.part_bytes
+        return self.kept_parts[-1].size_bytes >= self.part_bytes
 
     def _state(self, engine: Engine, now_us: int) -> bytes:
-        return take(engine, now_us, self.redactor.hidden)
+        return take_snapshot(engine, now_us, self.redactor.hidden)
 
-    def cut(self, engine: Engine, now_us: int) -> bytes:
+    def begin_part(self, engine: Engine, now_us: int) -> bytes:
         """Begin a part with the engine's state as it is now; returns its header. Between inputs only."""
         self._settings = engine.settings
         self.header = self._begin(now_us, self._state(engine, now_us))
         return self.header
 
-    def add(self, now_us: int, given: m.AnyInput, effects: list[m.AnyEffect]) -> bytes:
+    def add_input(self, now_us: int, given: m.AnyInput, effects: list[m.AnyEffect]) -> bytes:
         """The frame of one input."""
         given = self.redactor.given(given)
         if self._redacts:
             effects = comparable(effects, True)
         data = frame(_encoder.encode(Entry(now_us, given, effects)))
-        part = self.kept[-1]
-        part.size += len(data)
-        self.inputs += 1
+        part = self.kept_parts[-1]
+        part.size_bytes += len(data)
+        self.input_count += 1
         if self._ring:
             part.frames.append(data)
         return data
 
 
-def engine_of(header: Header, settings: Settings | None = None, name: str = "recording") -> Engine:
+def engine_at_start(header: Header, settings: Settings | None = None, name: str = "recording") -> Engine:
     """The engine as it was when a part began, by other settings if given. Raises `RecordingError`."""
     if not header.snapshot:
         return Engine(settings or header.settings, header.began_us)
     try:
-        engine = restore(header.snapshot, header.settings, name, header.settings_hash)
+        engine = restore_engine(header.snapshot, header.settings, name, header.settings_hash)
     except SnapshotError as error:
         raise RecordingError(str(error)) from None
     if settings is not None:
@@ -228,7 +228,7 @@
 
     After a first difference the two worlds part; later ones are counted, but say little by themselves.
     """
-    engine = engine_of(header, settings)
+    engine = engine_at_start(header, settings)
     redacted = header.settings.record_redact != "none"
     found = Replayed()
     for entry in entries:
--- a/oatlink/core/redact.py
+++ b/oatlink/core/redact.py
@@ -6,7 +6,8 @@
 slots of the keys and which patterns of the classes they match. All of that is kept: a hashed key begins with the
 fixed beginning of the pattern that it matched, and carries a hash tag of the same slot. Where a hashed key would fall
 into another class (a pattern with more than a beginning), it is kept as it was: a recording that routes otherwise would
-mislead in an incident, which is what it is made for; `unredacted` counts those, and the file's writer reports them.
+mislead in an incident, which is what it is made for; `unredacted_count` counts those, and the file's writer reports
+them.
 
 Passwords are never recorded, whatever the rule: the settings of a recording have empty ones, and a login that was
 right carries an empty one too, so that it replays as it went.
@@ -66,7 +67,7 @@
         self._settings = settings
         beginnings = {pattern for one in settings.classes for pattern in one.match.keys}
         self._beginnings = sorted({_fixed(one) for one in beginnings}, key=lambda one: (-len(one), one))
-        self.unredacted = 0
+        self.unredacted_count = 0
 
     def given(self, one: m.AnyInput) -> m.AnyInput:
         """An input without what may not be recorded."""
@@ -152,7 +153,7 @@
             spec, args, [made], "", ""
         )
         if not same or slots_of([made]) != slots_of([key]):
-            self.unredacted += 1
+            self.unredacted_count += 1
             return key
         return made
 
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -137,7 +137,7 @@
 # ---- Snapshots ----
 
 
-def take(engine: Engine, now_us: int, hide: Hide | None = None) -> bytes:
+def take_snapshot(engine: Engine, now_us: int, hide: Hide | None = None) -> bytes:
     """The whole state, without what `hide` leaves out. Changes nothing; not while the engine handles an input."""
     writer = _Writer(hide)
     book = engine.router.book
@@ -151,7 +151,7 @@
     return MAGIC + xxhash.xxh64_digest(payload) + payload
 
 
-def read(data: bytes, name: str = "snapshot") -> Head:
+def read_head(data: bytes, name: str = "snapshot") -> Head:
     """The head of a snapshot. Raises `SnapshotError` for damage, a half-written file or another format."""
     if data[: len(MAGIC) - 1] != MAGIC[:-1]:
         raise SnapshotError(f"{name}: byte 0: expected a snapshot of oatlink")
@@ -166,15 +166,15 @@
         raise SnapshotError(f"{name}: {error}") from None
 
 
-def restore(data: bytes, settings: Settings, name: str = "snapshot", known_as: str = "") -> Engine:
+def restore_engine(data: bytes, settings: Settings, name: str = "snapshot", expected_hash: str = "") -> Engine:
     """The engine as it was: the next input gives what it would have given there. Raises `SnapshotError`.
 
-    `known_as`: the hash of the settings that it was taken with, where `settings` are those without their secrets.
+    `expected_hash`: the hash of the settings that it was taken with, where `settings` are those without their secrets.
     """
-    head = read(data, name)
+    head = read_head(data, name)
     if head.program != __version__:
         raise SnapshotError(f"{name}: taken by version {head.program}, this is {__version__}")
-    hashed = known_as or settings_hash(settings)
+    hashed = expected_hash or settings_hash(settings)
     if head.settings_hash != hashed:
         raise SnapshotError(f"{name}: taken with settings {head.settings_hash}, these are {hashed}")
     engine = Engine(settings)
@@ -200,7 +200,7 @@
     return names[field]
 
 
-def start_from(data: bytes, settings: Settings, now_us: int, name: str = "snapshot") -> Engine:
+def engine_from_snapshot(data: bytes, settings: Settings, now_us: int, name: str = "snapshot") -> Engine:
     """An engine for a new process, with what may still be believed from an older one's snapshot.
 
     Taken over: the histories of offsets (a point stays true: who held P then held all that was written), and each
@@ -213,8 +213,8 @@
 
     Raises `SnapshotError` where the state is too old, or from a clock that has begun anew since.
     """
-    old = restore(data, settings, name)
-    taken_us = read(data, name).taken_us
+    old = restore_engine(data, settings, name)
+    taken_us = read_head(data, name).taken_us
     if taken_us > now_us:
         raise SnapshotError(f"{name}: taken at {taken_us} us, ahead of the clock at {now_us}: it began anew since")
     if now_us - taken_us > OLDEST_US:
--- a/oatlink/gateway/recorder.py
+++ b/oatlink/gateway/recorder.py
@@ -8,7 +8,7 @@
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder
-from oatlink.core.snapshot import SnapshotError, start_from
+from oatlink.core.snapshot import SnapshotError, engine_from_snapshot
 from oatlink.settings.model import Settings
 
 BUFFER = 262_144  # bytes gathered before a write
@@ -84,18 +84,18 @@
         recorder = self._recorder
         if recorder is None:
             return
-        data = recorder.add(now_us, given, effects)
+        data = recorder.add_input(now_us, given, effects)
         if self._file is not None:
             self._gathered.append(data)
             self._size += len(data)
             if self._size > BUFFER:
                 self.flush()
-        if recorder.full:
-            oldest = recorder.oldest
-            header = recorder.cut(self._engine, now_us)
+        if recorder.is_full:
+            oldest = recorder.oldest_number
+            header = recorder.begin_part(self._engine, now_us)
             if self._file is not None:
-                self._open(recorder.kept[-1].number, header)
-                for number in range(oldest, recorder.oldest):
+                self._open(recorder.kept_parts[-1].number, header)
+                for number in range(oldest, recorder.oldest_number):
                     self._remove(part_path(self._base(), number))
 
     def _remove(self, path: str) -> None:
@@ -124,9 +124,9 @@
     def close(self) -> None:
         """Write the rest and close."""
         self._close_file()
-        if self._recorder is not None and self._recorder.redactor.unredacted:
+        if self._recorder is not None and self._recorder.redactor.unredacted_count:
             self._wrong(
-                f"{self._recorder.redactor.unredacted} keys were recorded as they were: hashed, they would "
+                f"{self._recorder.redactor.unredacted_count} keys were recorded as they were: hashed, they would "
                 "fall into another class"
             )
         self._recorder = None
@@ -162,7 +162,7 @@
         if self._recorder is None or self._file is not None:
             return False, "no ring is kept; set record: 'ring'"
         written = []
-        for part in self._recorder.kept:
+        for part in self._recorder.kept_parts:
             path = f"{part_path(self._base(), part.number)}.dump"
             try:
                 with _create(path) as file:
@@ -177,9 +177,10 @@
         if recorder is None:
             return True, "off"
         where = f"recording to {self._base()}" if self._file is not None else "ring in memory"
-        held = sum(part.size for part in recorder.kept)
+        held = sum(part.size_bytes for part in recorder.kept_parts)
         return True, (
-            f"{where}: {recorder.inputs} inputs, part {recorder.kept[-1].number}, {len(recorder.kept)} kept, "
+            f"{where}: {recorder.input_count} inputs, part {recorder.kept_parts[-1].number}, "
+            f"{len(recorder.kept_parts)} kept, "
             f"{held} of about {self._parts * recorder.part_bytes} bytes"
         )
 
@@ -199,7 +200,7 @@
     if settings.snapshot_file:
         try:
             with open(settings.snapshot_file, "rb") as file:
-                return start_from(file.read(), settings, now_us, settings.snapshot_file)
+                return engine_from_snapshot(file.read(), settings, now_us, settings.snapshot_file)
         except FileNotFoundError:
             pass
         except (OSError, SnapshotError) as error:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -13,7 +13,7 @@
 from tornado.netutil import add_accept_handler
 
 from oatlink.core import messages as m
-from oatlink.core.snapshot import take
+from oatlink.core.snapshot import take_snapshot
 from oatlink.core.ways import ways_of
 from oatlink.gateway.clients import Client, accept_rest, discard
 from oatlink.gateway.clock import Marks, Stream, now_us, slept_us
@@ -189,7 +189,7 @@
         """Write the engine's state, unless the last one is younger."""
         if self.settings.snapshot_file and now_us() - self._snapshot_us >= after_us:
             self._snapshot_us = now_us()
-            data = take(self.engine, self._snapshot_us)
+            data = take_snapshot(self.engine, self._snapshot_us)
             write_snapshot(self.settings.snapshot_file, data, lambda text: self.notes.note("snapshot", text))
 
     # ---- The engine ----
--- a/oatlink/lab/against.py
+++ b/oatlink/lab/against.py
@@ -12,7 +12,7 @@
 from tornado.iostream import StreamClosedError
 
 from oatlink.core import messages as m
-from oatlink.core.recording import Recording, RecordingError, engine_of
+from oatlink.core.recording import Recording, RecordingError, engine_at_start
 from oatlink.gateway.links import connect
 from oatlink.protocols.resp import ProtocolError, ReplyReader, encode_command
 
@@ -60,7 +60,7 @@
     operators: set[int] = set()
     if recording.header.snapshot:
         # What was asked before the part began is answered in it; what clients had said of themselves holds on.
-        for number, session in engine_of(recording.header).sessions.items():
+        for number, session in engine_at_start(recording.header).sessions.items():
             said = found[number]
             said.before = len(session.places)
             said.greeting = [[b"HELLO", b"%d" % session.protocol]] if session.protocol != 2 else []
--- a/tests/fleet/test_gated.py
+++ b/tests/fleet/test_gated.py
@@ -6,7 +6,7 @@
 import pytest
 
 from oatlink.core import messages as m
-from oatlink.core.snapshot import restore, take
+from oatlink.core.snapshot import restore_engine, take_snapshot
 from oatlink.fleet.gate import Alone, Granted, Served
 from oatlink.fleet.messages import Marker
 from oatlink.settings import load_text
@@ -120,7 +120,7 @@
     one.pass_us(1_000_000)
     for send in list(one.sent):
         one.end(send, [b"$-1\r\n"])
-    engine = restore(take(one.engine, one.now), LIMITED)
+    engine = restore_engine(take_snapshot(one.engine, one.now), LIMITED)
     given = [m.Asked(1, [b"GET", PLAIN.encode()]) for _ in range(30)]
     restored = [engine.handle(one_given, one.now) for one_given in given]
     assert restored == [one.engine.handle(one_given, one.now) for one_given in given]
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -156,7 +156,7 @@
         rig.ask("GET", KEY)
         rig.pass_us(100_000)
         assert {one.box for one in rig.sent[before:]} == {"p"}
-        assert {one.age_ms for one in rig.engine.verdicts() if one.name in ("r", "s")} == {-1}
+        assert {one.age_ms for one in rig.engine.box_statuses() if one.name in ("r", "s")} == {-1}
     recording = Recording(b"".join(parts))
     assert replay(recording.header, recording.entries()).differences == 0
 
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -11,7 +11,7 @@
 from oatlink import native
 from oatlink.core import snapshot
 from oatlink.core.engine import Engine
-from oatlink.core.snapshot import read, take
+from oatlink.core.snapshot import read_head, take_snapshot
 from oatlink.lab.day import Report
 from tests.test_engine import SETTINGS
 from tests.test_stored_names import DATA, SNAPSHOT, restored
@@ -25,9 +25,9 @@
 from itertools import islice
 from oatlink import native
 from oatlink.core.engine import Engine
-from oatlink.core.explain import told
+from oatlink.core.explain import recorded_sends
 from oatlink.core.recording import Recording, replay
-from oatlink.core.snapshot import restore, take
+from oatlink.core.snapshot import restore_engine, take_snapshot
 print(native.code())
 for file in sys.argv[1:]:
     data = open(file, "rb").read()
@@ -35,14 +35,14 @@
     found = replay(recording.header, recording.entries())
     print(found.inputs, found.differences, found.first)
     recording = Recording(data)
-    print(list(islice(told(recording.header, recording.entries()), 500)))
+    print(list(islice(recorded_sends(recording.header, recording.entries()), 500)))
     recording = Recording(data)
     engine = Engine(recording.header.settings, recording.header.began_us)
     for at, entry in enumerate(islice(recording.entries(), 1500)):
         engine.handle(entry.given, entry.now_us)
         if at % 500 == 250:
-            engine = restore(take(engine, entry.now_us), recording.header.settings)
-    print(sorted(map(repr, engine.verdicts())))
+            engine = restore_engine(take_snapshot(engine, entry.now_us), recording.header.settings)
+    print(sorted(map(repr, engine.box_statuses())))
 """
 
 # What a wheel's own program makes of the stored files: its form, the replay, and the snapshot written again.
@@ -56,8 +56,8 @@
 recording = Recording(recording)
 print(native.code())
 print(replay(recording.header, recording.entries()).differences)
-engine = snapshot.restore(stored, recording.header.settings, known_as=recording.header.settings_hash)
-print(snapshot.take(engine, snapshot.read(stored).taken_us).hex())
+engine = snapshot.restore_engine(stored, recording.header.settings, expected_hash=recording.header.settings_hash)
+print(snapshot.take_snapshot(engine, snapshot.read_head(stored).taken_us).hex())
 """
 
 
@@ -114,10 +114,10 @@
     files = [DATA / "recording-0.3.0.bin", DATA / "snapshot-0.3.0.bin"]
     form, differences, written = told(compiled_wheel, files, STORED)
     assert form == native.COMPILED and differences == "0"
-    again, stored = read(bytes.fromhex(written)), read(SNAPSHOT)
+    again, stored = read_head(bytes.fromhex(written)), read_head(SNAPSHOT)
     assert sorted(again.engine) == sorted(stored.engine) and list(again.router) == list(stored.router)
     monkeypatch.setattr(snapshot, "__version__", "0.3.0")
-    assert read(take(restored(bytes.fromhex(written)), stored.taken_us)) == stored
+    assert read_head(take_snapshot(restored(bytes.fromhex(written)), stored.taken_us)) == stored
 
 
 def test_without_a_compiler_the_wheel_is_whole_and_plain(tmp_path: Path) -> None:
@@ -129,6 +129,6 @@
 def test_a_snapshot_knows_what_a_compiled_engine_holds(monkeypatch: pytest.MonkeyPatch) -> None:
     # A compiled class has no __dict__; what it says of itself is all that a snapshot has.
     engine = Engine(SETTINGS)
-    whole = take(engine, 1)
+    whole = take_snapshot(engine, 1)
     monkeypatch.setattr(Engine, "__mypyc_attrs__", (*vars(engine), "__dict__"), raising=False)
-    assert take(engine, 1) == whole
+    assert take_snapshot(engine, 1) == whole
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 
 from oatlink.cli import operators
 from oatlink.core import messages as m
-from oatlink.core.explain import explain, told
+from oatlink.core.explain import explain, recorded_sends
 from oatlink.core.recording import Recording, replay
 from oatlink.gateway.listeners import listen
 from oatlink.gateway.server import Gateway
@@ -239,7 +239,7 @@
             seen = len(elections.items)
             if seen > 2:
                 break
-        assert seen > 2, (elections, gateway.engine.verdicts(), gateway.engine._groups[0])
+        assert seen > 2, (elections, gateway.engine.box_statuses(), gateway.engine._groups[0])
         await gateway.stop()
         end()
 
@@ -307,7 +307,7 @@
         )
         recording = Recording(data)
         assert replay(recording.header, recording.entries()).differences == 0
-        for request, chosen, sent_to in told(recording.header, Recording(data).entries()):
+        for request, chosen, sent_to in recorded_sends(recording.header, Recording(data).entries()):
             assert chosen == sent_to, request
             choices += 1
     assert verdicts > 150 and choices > 800
@@ -329,7 +329,7 @@
     rig.says["r"] = info("primary", 100, "h2", "r", "h1", 101)
     rig.give(m.Inspected())
     rig.give(m.Inspected())
-    takes = {one.name: one.takes for one in rig.engine.verdicts()}
+    takes = {one.name: one.takes for one in rig.engine.box_statuses()}
     assert takes["r"] == "writes and current reads"
     assert takes["p"] == "nothing: role unknown"  # it still says that it is primary
     assert takes["s"].startswith("reads") and rig.ask("GET", KEY) is not None
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -28,7 +28,7 @@
 
     def handle(self: Engine, given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
         effects = original(self, given, now_us)
-        parts.append(recorder.add(now_us, given, effects))
+        parts.append(recorder.add_input(now_us, given, effects))
         return effects
 
     Engine.handle = handle  # type: ignore[method-assign]
@@ -112,9 +112,9 @@
         if count == at:
             recorder = Recorder("test", SETTINGS, now_us, part_bytes=part_bytes, parts=parts, engine=self)
         elif count > at:
-            recorder.add(now_us, given, effects)
-            if recorder.full:
-                recorder.cut(self, now_us)
+            recorder.add_input(now_us, given, effects)
+            if recorder.is_full:
+                recorder.begin_part(self, now_us)
         return effects
 
     Engine.handle = handle  # type: ignore[method-assign]
@@ -128,7 +128,7 @@
                 rig.pass_us(number * 3_000)
     finally:
         Engine.handle = made  # type: ignore[method-assign]
-    return [b"".join(one.frames) for one in recorder.kept]
+    return [b"".join(one.frames) for one in recorder.kept_parts]
 
 
 @hypothesis.given(STEPS, st.integers(1, 3_000), st.integers(0, 30))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 from oatlink.core import messages as m
 from oatlink.core.recording import Recorder, Recording, replay
 from oatlink.core.reload import FIXED, changes, objections
-from oatlink.core.snapshot import restore, take
+from oatlink.core.snapshot import restore_engine, take_snapshot
 from oatlink.settings import Settings, load_text
 from tests.test_engine import KEY, PLAIN, SETTINGS, TEMPLATE, Rig, sent
 from tests.test_recording import traced
@@ -45,7 +45,7 @@
         write = sent(rig.ask("SET", KEY, 1))
         assert rig.ask("GET", KEY) is None  # it waits behind the write, of a class that will be gone
         rig.give(m.Reloaded(NEW))
-        rig.engine = restore(take(rig.engine, rig.now), NEW)
+        rig.engine = restore_engine(take_snapshot(rig.engine, rig.now), NEW)
         rig.end(write)
         rig.end(rig.sent[-1], [b"$1\r\n1\r\n"])
         assert rig.text() == b"+OK\r\n$1\r\n1\r\n"
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -10,7 +10,7 @@
 from oatlink.core import snapshot as core
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recording
-from oatlink.core.snapshot import SnapshotError, restore, start_from, take
+from oatlink.core.snapshot import SnapshotError, engine_from_snapshot, restore_engine, take_snapshot
 from oatlink.lab.day import Report
 from oatlink.settings import load_text
 from tests.test_engine import OWN, PLAIN, SETTINGS, TEMPLATE, Rig, info, sent
@@ -24,7 +24,7 @@
         engine = Engine(recording.header.settings, recording.header.began_us)
         for at, entry in enumerate(islice(recording.entries(), 4_000)):
             if at % 500 == 499 or at == 37:
-                engine = restore(take(engine, entry.now_us), recording.header.settings)
+                engine = restore_engine(take_snapshot(engine, entry.now_us), recording.header.settings)
                 snapshots += 1
             assert encode(engine.handle(entry.given, entry.now_us)) == encode(entry.effects), at
             compared += 1
@@ -37,7 +37,7 @@
     rig.ask("GET", PLAIN)
     rig.ask("MULTI", client=2)
     rig.ask("SET", OWN, 5, client=2)
-    rig.engine = restore(take(rig.engine, rig.now), SETTINGS)
+    rig.engine = restore_engine(take_snapshot(rig.engine, rig.now), SETTINGS)
     rig.end(first)
     rig.end(rig.sent[-1], [b"$1\r\n1\r\n"])
     assert rig.text() == b"+OK\r\n$1\r\n1\r\n"
@@ -46,26 +46,26 @@
 
 def test_another_version_other_settings_and_damage_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig()
-    data = take(rig.engine, rig.now)
+    data = take_snapshot(rig.engine, rig.now)
     other = load_text(TEMPLATE.replace("seed: 3", "seed: 4"), "test")
     with pytest.raises(SnapshotError, match="taken with settings"):
-        restore(data, other)
+        restore_engine(data, other)
     for cut in (0, 3, len(core.MAGIC), 40, len(data) - 1):
         with pytest.raises(SnapshotError) as caught:
-            restore(data[:cut], SETTINGS, "f")
+            restore_engine(data[:cut], SETTINGS, "f")
         assert str(caught.value).startswith("f: ") and "\n" not in str(caught.value)
     with pytest.raises(SnapshotError, match="checksum"):
-        restore(data[:-5] + b"xxxxx", SETTINGS)
+        restore_engine(data[:-5] + b"xxxxx", SETTINGS)
     monkeypatch.setattr(core, "__version__", "9.9")
     with pytest.raises(SnapshotError, match="taken by version"):
-        restore(data, SETTINGS)
+        restore_engine(data, SETTINGS)
 
 
 def begin_again(rig: Rig, pass_us: int, data: bytes = b"") -> Rig:
     """A new process that starts from a snapshot of the old one, taken now or before."""
     new = Rig()
     new.now = rig.now + pass_us
-    new.engine = start_from(data or take(rig.engine, rig.now), SETTINGS, new.now)
+    new.engine = engine_from_snapshot(data or take_snapshot(rig.engine, rig.now), SETTINGS, new.now)
     new.says = rig.says
     new.give(m.Started())
     new.list()
@@ -111,7 +111,7 @@
 def test_a_session_that_comes_back_sees_a_write_of_after_the_snapshot() -> None:
     """The same where the snapshot was older than the write: all that came between is unknown to the new process."""
     rig = Rig()
-    data = take(rig.engine, rig.now)
+    data = take_snapshot(rig.engine, rig.now)
     rig.end(sent(rig.ask("SET", OWN, 1)))
     rig.says["p"] = info("primary", 150, run="p")
     assert reads_go_to(begin_again(rig, 100_000, data)) == {"p"}
@@ -127,8 +127,8 @@
 
 def test_a_clock_that_began_anew_and_an_old_state_are_refused() -> None:
     rig = Rig()
-    data = take(rig.engine, rig.now)
+    data = take_snapshot(rig.engine, rig.now)
     with pytest.raises(SnapshotError, match="began anew"):
-        start_from(data, SETTINGS, 5_000)
+        engine_from_snapshot(data, SETTINGS, 5_000)
     with pytest.raises(SnapshotError, match="60 at most"):
-        start_from(data, SETTINGS, rig.now + 61_000_000)
+        engine_from_snapshot(data, SETTINGS, rig.now + 61_000_000)
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -10,7 +10,7 @@
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Entry, Header, Recording, replay
 from oatlink.core.shared import GroupState
-from oatlink.core.snapshot import Head, read, restore, take
+from oatlink.core.snapshot import Head, read_head, restore_engine, take_snapshot
 from oatlink.fleet.gate import Served
 from oatlink.fleet.limits.node import Use
 
@@ -27,7 +27,7 @@
 def restored(data: bytes = SNAPSHOT) -> Engine:
     """The engine of a snapshot with the stored settings."""
     header = Recording(RECORDING).header
-    return restore(data, header.settings, known_as=header.settings_hash)
+    return restore_engine(data, header.settings, expected_hash=header.settings_hash)
 
 
 def record_names(value: Any) -> set[str]:
@@ -60,11 +60,11 @@
 
 
 def test_a_stored_snapshot_is_restored_and_written_again_as_the_same_bytes() -> None:
-    assert take(restored(), read(SNAPSHOT).taken_us) == SNAPSHOT
+    assert take_snapshot(restored(), read_head(SNAPSHOT).taken_us) == SNAPSHOT
 
 
 def test_the_stored_snapshot_has_every_kind_of_record() -> None:
-    head = read(SNAPSHOT)
+    head = read_head(SNAPSHOT)
     assert record_names([*head.engine.values(), *head.router.values()]) == set(snapshot.KINDS)
 
 
@@ -95,7 +95,7 @@
     engine, whole = restored(), restored()
     engine.another = 1  # type: ignore[attr-defined]
     with pytest.raises(TypeError, match="the engine: .* differ about another"):
-        take(engine, 1)
+        take_snapshot(engine, 1)
     stored_names._check_tables()
     for table, name in ((stored_names.ROUTER, "lend"), (stored_names.ENGINE, "_boxes")):
         with monkeypatch.context() as patch:
@@ -103,7 +103,7 @@
             patch.delitem(table, name)
             with pytest.raises(TypeError, match=f"differ about {attribute}$"):
                 stored_names._check_tables()
-                take(whole, 1)
+                take_snapshot(whole, 1)
     name = "oatlink.core.shared.GroupState"
     attributes = stored_names.RECORDS[name][1]
     for changed in (attributes[1:], (*attributes, "another"), (attributes[1], attributes[0], *attributes[2:])):
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -12,7 +12,7 @@
 from oatlink.core.addresses import State
 from oatlink.core.explain import explain
 from oatlink.core.recording import Recorder, Recording
-from oatlink.core.snapshot import restore, take
+from oatlink.core.snapshot import restore_engine, take_snapshot
 from oatlink.core.ways import MOST_DIALS
 from oatlink.interface import Role
 from oatlink.protocols.resp import command
@@ -285,7 +285,7 @@
     one.give(m.Wanted("p", 1, PU))
     (dial,) = dials(one)
     sent(one.ask("SET", PLAIN, 1))
-    one.engine = restore(take(one.engine, one.now), SEVERAL)
+    one.engine = restore_engine(take_snapshot(one.engine, one.now), SEVERAL)
     dialled(one, dial, "refused")
     (following,) = dials(one)
     assert following.address == P6 and state(one, PU) is State.FAILED
@@ -313,14 +313,14 @@
     begun.ask(*words)
     states = 0
     ends: list[tuple[int, ...]] = []
-    todo = [(take(begun.engine, begun.now), begun.now, begun.wake, begun.sent[-1], Seen(), depth)]
+    todo = [(take_snapshot(begun.engine, begun.now), begun.now, begun.wake, begun.sent[-1], Seen(), depth)]
     seen: set[tuple[object, ...]] = set()
     while todo:
         image, now, wake, send, box, left = todo.pop()
         for what, passed in itertools.product(("not written", "part", "whole", "answer begun"), steps):
             one = Rig.__new__(Rig)
             one.__dict__.update(rig_fields(begun))
-            one.engine, one.now, one.wake = restore(image, SEVERAL), now, wake
+            one.engine, one.now, one.wake = restore_engine(image, SEVERAL), now, wake
             one.pass_us(passed)
             states += 1
             # By the specification a box runs what it has whole; the link says `unsent` of the rest.
@@ -338,7 +338,7 @@
             mark = (again.address, again.attempt, one.now, arrived, left)
             if mark not in seen:
                 seen.add(mark)
-                todo.append((take(one.engine, one.now), one.now, one.wake, again, arrived, left - 1))
+                todo.append((take_snapshot(one.engine, one.now), one.now, one.wake, again, arrived, left - 1))
     return states, ends
 
 
