--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -1,7 +1,7 @@
-"""Why a request went where it went: a replay with a witness on the Router's own choice. No I/O.
+"""Explains how a recorded request was routed, by a replay that observes each choice of the Router. No I/O.
 
-The witness asks the Router's rules about each member at the moment of the choice; it holds no rule of its own. It
-asks them about copies, for some of them keep count (the cold budget's tokens), and a replay must stay the same.
+The observer asks the Router's rules about each member at the moment of the choice and has no rule of its own. It asks
+them about copies, since some rules keep counts (such as the tokens of the cold budget) and the replay must not change.
 """
 
 from collections.abc import Iterator
@@ -18,7 +18,10 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """One member at one choice: what was held of it, and what the Router's guards say (empty: none objects)."""
+    """One member at one choice: its state as the Router knew it, and the rules that excluded it (`against`).
+
+    `out` is the number of its open attempts, `room` its concurrency limit. `against` is empty where no rule objected.
+    """
 
     box: str
     role: str
@@ -38,8 +41,8 @@
     candidates: list[Candidate]
 
 
-class Account(msgspec.Struct):
-    """All that befell a request."""
+class Explanation(msgspec.Struct):
+    """Everything that happened to a request."""
 
     request: int
     class_name: str = ""
@@ -49,34 +52,34 @@
     events: list[str] = []
 
 
-class Witness:
-    """Writes down how the Router of an engine chose for one request."""
+class ChoiceObserver:
+    """Records how the Router of an engine chooses a member for one request, or for every request."""
 
-    def __init__(self, engine: Engine, wanted: str | None) -> None:
-        """`wanted`: the request, or None for every one."""
-        self.wanted = wanted
-        self.seen: list[Choice] = []
+    def __init__(self, engine: Engine, request_id: str | None) -> None:
+        """`request_id`: the request to observe, or None for every one."""
+        self.request_id = request_id
+        self.choices: list[Choice] = []
         self.names = engine.names
-        self._whole = engine.router.book.choose
+        self._router_choose = engine.router.book.choose
         engine.router.book.choose = self.choose
 
     def choose(self, book: Book, request: Request) -> Member | None:
-        """The Router's choice, as it is."""
-        if self.wanted is not None and request.id != self.wanted:
-            return self._whole(book, request)
-        # The guards are asked before the choice: it may ask for a report, which holds a member back.
-        rows = [self._row(book, request, member) for member in book.groups[request.group].members.values()]
-        found = self._whole(book, request)
-        chosen = self.names.get(found.entry.member, "") if found is not None else ""
+        """Return the Router's choice, unchanged."""
+        if self.request_id is not None and request.id != self.request_id:
+            return self._router_choose(book, request)
+        # The rules are asked before the choice, since the choice may ask a member for a report, which holds it back.
+        candidates = [self._candidate(book, request, member) for member in book.groups[request.group].members.values()]
+        member = self._router_choose(book, request)
+        chosen = self.names.get(member.entry.member, "") if member is not None else ""
         need = holding.need(book, request) if request.rule.freshness is not api.Freshness.WRITE else -1
         need_ms = (book.now - need) // 1000 if need >= 0 else -1
-        self.seen.append(Choice(int(request.id), book.now, chosen, need_ms, rows))
-        return found
+        self.choices.append(Choice(int(request.id), book.now, chosen, need_ms, candidates))
+        return member
 
-    def _row(self, book: Book, request: Request, member: Member) -> Candidate:
-        """One member by the Router's own rules."""
+    def _candidate(self, book: Book, request: Request, member: Member) -> Candidate:
+        """Evaluate the Router's rules for one member."""
         group = book.groups[request.group]
-        kept = (book.shown, book.shown_us)
+        saved_shown = (book.shown, book.shown_us)
         against = []
         writes = request.rule.freshness is api.Freshness.WRITE
         if member.drained:
@@ -95,61 +98,65 @@
             against.append("cold budget spent")
         elif not room.has_room(book, copy(member), 1.0):
             against.append("no room")
-        book.shown, book.shown_us = kept
-        behind = (book.now - member.position_us) // 1000 if member.position_us >= 0 else -1
+        book.shown, book.shown_us = saved_shown
+        behind_ms = (book.now - member.position_us) // 1000 if member.position_us >= 0 else -1
         return Candidate(
             self.names.get(member.entry.member, str(member.entry.member)),
             member.role.value,
-            behind,
+            behind_ms,
             len(member.out),
             round(member.room, 1),
             against,
         )
 
 
-def explain(header: Header, entries: Iterator[Entry], request: int) -> Account:
-    """Replay a recording and tell of one request. `events` is empty where the recording does not know it."""
+def explain(header: Header, entries: Iterator[Entry], request: int) -> Explanation:
+    """Replay a recording and explain one request. `events` is empty where the recording does not contain it."""
     engine = engine_at_start(header)
-    account = Account(request, choices=Witness(engine, str(request)).seen)
+    explanation = Explanation(request, choices=ChoiceObserver(engine, str(request)).choices)
     for entry in entries:
-        before = engine.last_request
+        last_request = engine.last_request
         effects = engine.handle(entry.given, entry.now_us)
-        if before < request <= engine.last_request and isinstance(entry.given, m.Asked):
-            words = b" ".join(entry.given.args)[:80].decode("utf-8", "replace")
-            account.asked = f"client {entry.given.client}: {words}"
-            account.events.append(f"{entry.now_us} asked")
-            found = engine.request(request)
-            if found is not None:
-                account.class_name, account.bank = found.rule.name, header.settings.banks[found.group].name
+        if last_request < request <= engine.last_request and isinstance(entry.given, m.Asked):
+            command = b" ".join(entry.given.args)[:80].decode("utf-8", "replace")
+            explanation.asked = f"client {entry.given.client}: {command}"
+            explanation.events.append(f"{entry.now_us} asked")
+            started = engine.request(request)
+            if started is not None:
+                explanation.class_name = started.rule.name
+                explanation.bank = header.settings.banks[started.group].name
         if isinstance(entry.given, m.Ended) and entry.given.request == request:
-            given = entry.given
-            first = given.frames[0][:60].decode("utf-8", "replace").strip() if given.frames else ""
-            over = f" over {given.address}" if given.address else ""
-            account.events.append(
-                f"{entry.now_us} attempt {given.attempt} at {given.box}{over} ended: {given.how} {first}".rstrip()
+            ended = entry.given
+            first_frame = ended.frames[0][:60].decode("utf-8", "replace").strip() if ended.frames else ""
+            over = f" over {ended.address}" if ended.address else ""
+            explanation.events.append(
+                f"{entry.now_us} attempt {ended.attempt} at {ended.box}{over} ended: {ended.how} {first_frame}".rstrip()
             )
-        ask = engine.request(request)
-        at = {box for _, box, _, _ in ask.open.values()} if ask is not None else set()
+        open_request = engine.request(request)
+        boxes = {box for _, box, _, _ in open_request.open.values()} if open_request is not None else set()
         for effect in effects:
-            if isinstance(effect, m.Shun) and effect.box in at:
-                account.events.append(f"{entry.now_us} {effect.box}: {effect.address} is silent, left")
+            if isinstance(effect, m.Shun) and effect.box in boxes:
+                explanation.events.append(f"{entry.now_us} {effect.box}: {effect.address} is silent, left")
         for effect in effects:
             if isinstance(effect, m.Send) and effect.request == request:
                 by = f" by {effect.address}" if effect.address else ""
-                account.events.append(f"{entry.now_us} attempt {effect.attempt} sent to {effect.box}{by}")
-        if account.events and engine.request(request) is None and before >= request:
+                explanation.events.append(f"{entry.now_us} attempt {effect.attempt} sent to {effect.box}{by}")
+        if explanation.events and engine.request(request) is None and last_request >= request:
             break
-    return account
+    return explanation
 
 
 def recorded_sends(header: Header, entries: Iterator[Entry]) -> Iterator[tuple[int, str, str]]:
-    """For each recorded send of all requests: the request, what the witness saw chosen last, where it was sent."""
+    """Replay a recording; yield for each recorded send the request, the box chosen last, and the box it was sent to.
+
+    The chosen box is `nobody` where the replay made no choice for the request at that input.
+    """
     engine = engine_at_start(header)
-    witness = Witness(engine, None)
+    observer = ChoiceObserver(engine, None)
     for entry in entries:
-        witness.seen.clear()
+        observer.choices.clear()
         engine.handle(entry.given, entry.now_us)
-        last = {one.request: one.chosen for one in witness.seen}
+        last_chosen = {choice.request: choice.chosen for choice in observer.choices}
         for effect in entry.effects:
             if isinstance(effect, m.Send):
-                yield effect.request, last.get(effect.request, "nobody"), effect.box
+                yield effect.request, last_chosen.get(effect.request, "nobody"), effect.box
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -1,4 +1,7 @@
-"""What operators see: verdicts, banks, elections, sessions, INFO; and what they may ask the recorder for. No I/O."""
+"""The operators' commands: state of boxes, banks, elections, sessions and paths, INFO, and requests. No I/O.
+
+Requests go to the recorder (RECORD) or to the fleet's node (FLEET, LAYOUT, CONTROL), which answer later.
+"""
 
 from collections.abc import Mapping
 
@@ -15,13 +18,18 @@
 from oatlink.interface import Role
 from oatlink.protocols.resp import Array, Map, Simple, Value, encode, error
 
-ADMIN = frozenset((b"MEMBERS", b"BANKS", b"ELECTIONS", b"SESSIONS", b"INSPECT", b"PATHS"))
-MOST_WORDS = 6  # of CONTROL PUT scope key value version
-MOST_SESSIONS = 1_000  # shown to operators at once
+ADMIN_COMMANDS = frozenset((b"MEMBERS", b"BANKS", b"ELECTIONS", b"SESSIONS", b"INSPECT", b"PATHS"))
+MAX_CONTROL_ARGS = 6  # CONTROL PUT scope key value version
+MAX_SHOWN_SESSIONS = 1_000
 
 
 class BoxStatus(msgspec.Struct, frozen=True):
-    """What a gateway believes of a box. `says` is the box's own word, `role` what counts; -1 is not known."""
+    """What a gateway knows of a box, in the columns of `MEMBERS`. A value of -1 is not known.
+
+    `says` is the role that the box reports, `role` the one that the gateway goes by, and `takes` the work that the box
+    would be given now. `out` is the number of its open attempts, `room` its concurrency limit. `heard_ms` is how long
+    ago it last answered, and `age_ms` the proven age of its data.
+    """
 
     name: str
     bank: str
@@ -41,27 +49,29 @@
 
 
 class Operators(Transactions):
-    """The operators' view."""
+    """Answers the commands of the operators' listener."""
 
     def box_statuses(self) -> list[BoxStatus]:
-        """What is believed of each box, and what it would be given now."""
+        """The state of each box, and the work that it would be given now."""
         return [self._box_status(state) for _, state in sorted(self._boxes.items())]
 
     def _box_status(self, state: BoxState) -> BoxStatus:
         report = state.report or BoxReport()
-        believed = belief_of(self.router, state.member)
-        at = self._report(state, state.asked_us)
-        age = -1 if at is None or at.position_us is None else (self._now - at.position_us) // 1_000
-        if believed is None or state.box.state != "ready":
+        belief = belief_of(self.router, state.member)
+        position = self._report(state, state.asked_us)
+        age_ms = -1
+        if position is not None and position.position_us is not None:
+            age_ms = (self._now - position.position_us) // 1_000
+        if belief is None or state.box.state != "ready":
             takes = "nothing: draining"
-        elif believed.in_doubt:
+        elif belief.in_doubt:
             takes = "nothing for now: a check is overdue"
         elif state.doubt[1] > self._now and state.heard_us < state.doubt[0]:
             takes = "reads later in the turn: others saw it fail"
-        elif believed.primary:
+        elif belief.primary:
             takes = "writes and current reads"
-        elif believed.role is Role.REPLICA:
-            takes = "reads that allow its age" if age >= 0 else "reads of any age only: nothing is proven"
+        elif belief.role is Role.REPLICA:
+            takes = "reads that allow its age" if age_ms >= 0 else "reads of any age only: nothing is proven"
         else:
             takes = "nothing: role unknown"
         return BoxStatus(
@@ -69,21 +79,21 @@
             self.settings.banks[state.box.bank].name,
             state.box.address,
             report.role or "unknown",
-            believed.role.value if believed is not None else "unknown",
+            belief.role.value if belief is not None else "unknown",
             takes,
             state.box.state,
             report.replid,
             report.offset,
-            age,
+            age_ms,
             (self._now - state.heard_us) // 1_000 if state.heard_us else -1,
-            believed.warmth if believed is not None else 0.0,
-            believed.out if believed is not None else 0,
-            believed.room if believed is not None else 0.0,
+            belief.warmth if belief is not None else 0.0,
+            belief.out if belief is not None else 0,
+            belief.room if belief is not None else 0.0,
             report.run_id,
         )
 
     def _administer(self, session: Session, args: list[bytes]) -> None:
-        """A command on the operators' listener: a few of the specification's, and the words of `ADMIN`."""
+        """Handle a command of the operators' listener: `ADMIN_COMMANDS`, requests, and a few commands of RESP."""
         name = args[0].upper()
         if name == b"RECORD" and len(args) == 2:
             session.recording.append(Place())
@@ -91,19 +101,19 @@
             self._out.append(m.Record(session.client, args[1][:16].decode("utf-8", "replace").lower()))
             return
         if name in (b"FLEET", b"LAYOUT") and len(args) <= 3:
-            self._send_errand(session, name, args)
+            self._request_layout(session, name, args)
             return
-        if name == b"CONTROL" and len(args) <= MOST_WORDS:
-            self._begin_errand(session, "control", msgspec.msgpack.encode(args[1:]))
+        if name == b"CONTROL" and len(args) <= MAX_CONTROL_ARGS:
+            self._request_of_fleet(session, "control", msgspec.msgpack.encode(args[1:]))
             return
-        if name in ADMIN and len(args) == 1:
+        if name in ADMIN_COMMANDS and len(args) == 1:
             self._say(session, encode(self._admin_value(name), session.protocol))
             return
         spec = find(args[0])
         if spec is None or spec.name not in ("ping", "info", "hello", "auth", "client", "command", "quit", "echo"):
-            words = " ".join(sorted(one.decode() for one in ADMIN))
-            words = f"INFO, PING, RECORD WORD, FLEET, LAYOUT WORD, CONTROL WORD and {words}"
-            self._say(session, error(f"ERR not served to operators; they have {words}"))
+            commands = " ".join(sorted(command.decode() for command in ADMIN_COMMANDS))
+            commands = f"INFO, PING, RECORD WORD, FLEET, LAYOUT WORD, CONTROL WORD and {commands}"
+            self._say(session, error(f"ERR not served to operators; they have {commands}"))
         elif not spec.arity_fits(len(args)):
             self._say(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
         elif not self._local.admits(session, spec):
@@ -111,25 +121,26 @@
         else:
             self._answer_locally(session, spec, args)
 
-    def _on_recorded(self, given: m.AnyInput) -> None:
-        """The recorder has done what an operator asked."""
-        assert isinstance(given, m.Recorded)
-        session = self._sessions.get(given.client)
+    def _on_recorded(self, result: m.AnyInput) -> None:
+        """Answer the operator's oldest open RECORD with the recorder's result."""
+        assert isinstance(result, m.Recorded)
+        session = self._sessions.get(result.client)
         if session is not None and session.recording:
-            text = given.text.encode("utf-8", "replace")
-            session.recording.popleft().answer = encode(Simple(text)) if given.done else error("ERR " + given.text)
+            text = result.text.encode("utf-8", "replace")
+            session.recording.popleft().answer = encode(Simple(text)) if result.done else error("ERR " + result.text)
             self._flush(session)
 
-    def _send_errand(self, session: Session, name: bytes, args: list[bytes]) -> None:
-        """`FLEET`, or `LAYOUT` with a word of its own: the fleet's node answers later."""
+    def _request_layout(self, session: Session, name: bytes, args: list[bytes]) -> None:
+        """Pass `FLEET`, or `LAYOUT` with its subcommand, to the fleet's node."""
         word = "rows" if name == b"FLEET" else args[1][:16].decode("utf-8", "replace").lower() if args[1:] else "status"
-        texts = 3 if word == "propose" else 2 - (name == b"FLEET" or len(args) == 1)
-        if word not in ("rows", "status", "propose", "back", "resume") or len(args) != texts:
+        expected_args = 3 if word == "propose" else 2 - (name == b"FLEET" or len(args) == 1)
+        if word not in ("rows", "status", "propose", "back", "resume") or len(args) != expected_args:
             self._say(session, error("ERR expected FLEET, or LAYOUT with STATUS, PROPOSE TEXT, BACK or RESUME"))
             return
-        self._begin_errand(session, word, args[2] if word == "propose" else b"")
+        self._request_of_fleet(session, word, args[2] if word == "propose" else b"")
 
-    def _begin_errand(self, session: Session, word: str, text: bytes) -> None:
+    def _request_of_fleet(self, session: Session, word: str, text: bytes) -> None:
+        """Send a request to the fleet's node, which answers later."""
         if not self._gate.on:
             self._say(session, error("ERR no fleet in the settings"))
             return
@@ -137,28 +148,28 @@
         session.places.append(session.errands[-1])
         self._out.append(m.Errand(session.client, word, text))
 
-    def _on_replied(self, given: m.AnyInput) -> None:
-        """The fleet's node has answered an operator; answers come in the order of the words."""
-        assert isinstance(given, m.Replied)
-        session = self._sessions.get(given.client)
+    def _on_replied(self, reply: m.AnyInput) -> None:
+        """Answer the operator's oldest open request to the fleet's node; replies come in the order of requests."""
+        assert isinstance(reply, m.Replied)
+        session = self._sessions.get(reply.client)
         if session is not None and session.errands:
-            session.errands.popleft().answer = encode(given.text.encode("utf-8", "replace"))
+            session.errands.popleft().answer = encode(reply.text.encode("utf-8", "replace"))
             self._flush(session)
 
     def _admin_value(self, name: bytes) -> Value:
-        """What an operators' word shows; `INSPECT` asks every box anew and shows nothing."""
+        """The answer to one of `ADMIN_COMMANDS`. `INSPECT` checks every box again and answers OK."""
         now = self._now
         if name == b"MEMBERS":
-            return Array(tuple(_table(msgspec.structs.asdict(one)) for one in self.box_statuses()))
+            return Array(tuple(_table(msgspec.structs.asdict(status)) for status in self.box_statuses()))
         if name == b"PATHS":
-            return Array(tuple(_table(one) for one in self.path_rows()))
+            return Array(tuple(_table(row) for row in self.path_rows()))
         if name == b"BANKS":
             rows = []
             for number, group in enumerate(self._groups):
-                asks = [one for one in self._asks.values() if one.group == number and one.place.answer is None]
-                held = [one for one in asks if one.started and not one.open]
-                oldest = max((now - one.arrived_us for one in held), default=0)
-                newest = group.positions.newest_us()
+                requests = [ask for ask in self._asks.values() if ask.group == number and ask.place.answer is None]
+                pending = [ask for ask in requests if ask.started and not ask.open]
+                longest_pending_us = max((now - ask.arrived_us for ask in pending), default=0)
+                newest_us = group.positions.newest_us()
                 rows.append(
                     _table(
                         {
@@ -166,10 +177,10 @@
                             "primary": group.primary or "unknown",
                             "history": group.positions.current or "",
                             "elections": group.elections,
-                            "open": len(asks),
-                            "held": len(held),
-                            "longest_held_ms": oldest // 1_000,
-                            "sample_age_ms": (now - newest) // 1_000 if newest >= 0 else -1,
+                            "open": len(requests),
+                            "held": len(pending),
+                            "longest_held_ms": longest_pending_us // 1_000,
+                            "sample_age_ms": (now - newest_us) // 1_000 if newest_us >= 0 else -1,
                         }
                     )
                 )
@@ -194,18 +205,18 @@
                 tuple(
                     _table(
                         {
-                            "id": one.client,
-                            "peer": one.peer,
-                            "name": one.name,
-                            "user": one.user,
-                            "age_ms": (now - one.since_us) // 1_000,
-                            "owed": len(one.places),
-                            "waiting": len(one.waiting),
-                            "multi": -1 if one.queued is None else len(one.queued),
-                            "watching": len(one.watching),
+                            "id": session.client,
+                            "peer": session.peer,
+                            "name": session.name,
+                            "user": session.user,
+                            "age_ms": (now - session.since_us) // 1_000,
+                            "owed": len(session.places),
+                            "waiting": len(session.waiting),
+                            "multi": -1 if session.queued is None else len(session.queued),
+                            "watching": len(session.watching),
                         }
                     )
-                    for one in list(self._sessions.values())[:MOST_SESSIONS]
+                    for session in list(self._sessions.values())[:MAX_SHOWN_SESSIONS]
                 )
             )
         self._on_inspected(m.Inspected())
@@ -213,29 +224,31 @@
 
     def _info(self) -> dict[str, dict[str, object]]:
         boxes: dict[str, object] = {}
-        for one in self.box_statuses():
-            fields = msgspec.structs.asdict(one)
+        for status in self.box_statuses():
+            fields = msgspec.structs.asdict(status)
             name = fields.pop("name")
             boxes[name] = ",".join(f"{key}={value}" for key, value in fields.items())
         paths: dict[str, object] = {}
         for row in self.path_rows():
             name = f"{row.pop('box')}/{row.pop('place')}"
             paths[name] = ",".join(f"{key}={value}" for key, value in row.items())
-        groups: dict[str, object] = {
-            self.settings.banks[number].name: f"primary={one.primary or 'unknown'},elections={one.elections}"
-            for number, one in enumerate(self._groups)
+        banks: dict[str, object] = {
+            self.settings.banks[number].name: f"primary={group.primary or 'unknown'},elections={group.elections}"
+            for number, group in enumerate(self._groups)
         }
         return {
             "server": {**server_section(self._started_us, self._now), "oatlink_code": self._code or "unknown"},
             "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._asks)},
             "stats": {f"requests_{name}": count for name, count in self.counts.items()},
             "replication": {"role": "master", "connected_slaves": 0},
-            "banks": groups,
+            "banks": banks,
             "members": boxes,
             "paths": paths,
         }
 
 
 def _table(fields: Mapping[str, object]) -> Value:
-    """A row for operators."""
-    return Map(tuple((key.encode(), one if isinstance(one, int) else str(one).encode()) for key, one in fields.items()))
+    """One row of an answer: integers stay integers, any other value becomes text."""
+    return Map(
+        tuple((key.encode(), value if isinstance(value, int) else str(value).encode()) for key, value in fields.items())
+    )
