--- a/oatlink/core/recording.py
+++ b/oatlink/core/recording.py
@@ -1,11 +1,12 @@
-"""What went into the engine and what came out, as frames in parts; and the replay of them. No I/O.
+"""Recordings of the engine's inputs and effects: their format, their parts, reading and replay. No I/O.
 
 A part is `MAGIC`, then frames: four bytes of length, eight of checksum (xxHash64 of the payload), a payload in
-msgpack. The first payload is a `Header`, each later one an `Entry`. The first part of a gateway's life begins with the
-engine's first input; every other one begins with a snapshot, so that each part replays without the ones before it,
-which may be gone. The engine is deterministic: the same inputs give the same effects, byte for byte.
+msgpack. The first payload is a `Header`, each later one an `Entry`. The first part of a process begins with the
+engine's first input; every other part begins with a snapshot, so that it replays without the parts before it, which
+may have been removed. The engine is deterministic: the same inputs give the same effects, byte for byte.
 
-What may live here: the format, where parts end and which are let go, its reading up to any damage, the comparison.
+This module has the format, the rule that ends a part and drops old ones, the reader, which stops at damage, and the
+comparison of a replay with what was recorded.
 """
 
 from collections import deque
@@ -16,20 +17,21 @@
 
 from oatlink.core import messages as m
 from oatlink.core.engine import Engine
-from oatlink.core.redact import Redactor, comparable, without_secrets
+from oatlink.core.redact import Redactor, comparable_effects, without_secrets
 from oatlink.core.snapshot import SnapshotError, restore_engine, take_snapshot
 from oatlink.settings.load import settings_hash
 from oatlink.settings.model import Settings
 
 MAGIC = b"OATREC\x00\x02"  # the last byte is the format's version
-MAX_FRAME = 256 * 1024 * 1024  # bytes; a longer length is damage
-FRAME_HEAD = 12
+MAX_PAYLOAD_BYTES = 256 * 1024 * 1024  # a greater length is damage
+FRAME_HEAD_BYTES = 12
 
 
 class Header(msgspec.Struct, frozen=True):
-    """What the engine was made with. `began_us`: when it was made, or when the snapshot was taken.
+    """What the engine was created with.
 
-    The settings are without their secrets, `settings_hash` is of those with them. `part` counts from 1 in a life.
+    `began_us` is when it was created, or when `snapshot` was taken. `settings` are without their secrets, but
+    `settings_hash` is the hash of the settings with them. `part` counts from 1 in each recording.
     """
 
     program: str
@@ -41,7 +43,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One input, when it was handled, and the effects it called for."""
+    """One input, the time at which it was handled, and the effects that the engine returned."""
 
     now_us: int
     given: m.AnyInput
@@ -49,7 +51,7 @@
 
 
 class RecordingError(Exception):
-    """Bytes that are no recording, or one of another version; the text is one line with the place."""
+    """The data is no recording, or one of another version. The text is one line that names the place."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -58,12 +60,12 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """A payload with its length and checksum."""
+    """Return a payload with its length and checksum before it."""
     return len(payload).to_bytes(4, "big") + xxhash.xxh64_digest(payload) + payload
 
 
 class Part:
-    """One part as it grows; `size_bytes` is its size, its header left out."""
+    """A part that is being written. `size_bytes` counts its frames without the header."""
 
     def __init__(self, number: int, header: bytes) -> None:
         self.number, self.size_bytes = number, 0
@@ -71,10 +73,10 @@
 
 
 class Recorder:
-    """Cuts what an engine does into parts of about `part_bytes`, and keeps the newest `parts` of them in memory.
+    """Records an engine in parts of about `part_bytes` and keeps the newest `parts` of them in memory.
 
-    The whole kept is bounded by `parts` times `part_bytes`, a snapshot and one input each above that. With `ring` off
-    nothing is kept: frames go to whoever writes them.
+    The kept data is bounded by `parts` times `part_bytes`, plus one snapshot and one input for each part. Without
+    `ring` no frames are kept: the caller writes those that the methods return.
     """
 
     def __init__(
@@ -88,17 +90,19 @@
         ring: bool = True,
         engine: Engine | None = None,
     ) -> None:
-        """With `engine`, what is recorded begins with its state, unless it is as new."""
+        """With `engine`, the recording begins with its state, unless it is new (`Engine.fresh`)."""
         self.redactor = Redactor(settings)
         self._redacts = settings.record_redact != "none"
         self._program, self._settings, self._ring = program, settings, ring
         self.part_bytes, self.parts = part_bytes, parts
         self.kept_parts: deque[Part] = deque()
         self.input_count = 0
-        begun = engine is not None and not engine.fresh
-        self.header = self._begin(began_us, self._state(engine, began_us) if engine is not None and begun else b"")
+        has_state = engine is not None and not engine.fresh
+        snapshot = self._snapshot(engine, began_us) if engine is not None and has_state else b""
+        self.header = self._append_part(began_us, snapshot)
 
-    def _begin(self, began_us: int, snapshot: bytes) -> bytes:
+    def _append_part(self, began_us: int, snapshot: bytes) -> bytes:
+        """Begin a part, drop the oldest where there are too many, and return the header's frame."""
         number = self.kept_parts[-1].number + 1 if self.kept_parts else 1
         header = Header(
             self._program, settings_hash(self._settings), without_secrets(self._settings), began_us, number, snapshot
@@ -111,28 +115,32 @@
 
     @property
     def oldest_number(self) -> int:
-        """The number of the oldest part that is kept; those before it may go."""
+        """The number of the oldest part that is kept; earlier parts may be removed."""
         return self.kept_parts[0].number
 
     @property
     def is_full(self) -> bool:
-        """Whether the next part must begin. Its snapshot does not count: a large state must not cut ever faster."""
+        """Whether the next part must begin.
+
+        The snapshot at the beginning of a part does not count. Prevents parts that become full at once when the state
+        is larger than `part_bytes`.
+        """
         return self.kept_parts[-1].size_bytes >= self.part_bytes
 
-    def _state(self, engine: Engine, now_us: int) -> bytes:
-        return take_snapshot(engine, now_us, self.redactor.hidden)
+    def _snapshot(self, engine: Engine, now_us: int) -> bytes:
+        return take_snapshot(engine, now_us, self.redactor.redact_field)
 
     def begin_part(self, engine: Engine, now_us: int) -> bytes:
-        """Begin a part with the engine's state as it is now; returns its header. Between inputs only."""
+        """Begin a part with the engine's present state and return its header. May be called between inputs only."""
         self._settings = engine.settings
-        self.header = self._begin(now_us, self._state(engine, now_us))
+        self.header = self._append_part(now_us, self._snapshot(engine, now_us))
         return self.header
 
     def add_input(self, now_us: int, given: m.AnyInput, effects: list[m.AnyEffect]) -> bytes:
-        """The frame of one input."""
-        given = self.redactor.given(given)
+        """Record one input with its effects and return its frame."""
+        given = self.redactor.redact_input(given)
         if self._redacts:
-            effects = comparable(effects, True)
+            effects = comparable_effects(effects, True)
         data = frame(_encoder.encode(Entry(now_us, given, effects)))
         part = self.kept_parts[-1]
         part.size_bytes += len(data)
@@ -143,7 +151,7 @@
 
 
 def engine_at_start(header: Header, settings: Settings | None = None, name: str = "recording") -> Engine:
-    """The engine as it was when a part began, by other settings if given. Raises `RecordingError`."""
+    """The engine as it was when a part began, with other settings if given. Raises `RecordingError`."""
     if not header.snapshot:
         return Engine(settings or header.settings, header.began_us)
     try:
@@ -156,7 +164,7 @@
 
 
 class Recording:
-    """A recording read back. `damage` says where reading had to end, and why; empty when it was whole."""
+    """A recording that is read. `damage` says where and why reading stopped; it is empty for an intact recording."""
 
     def __init__(self, data: bytes, name: str = "recording") -> None:
         if data[: len(MAGIC) - 1] != MAGIC[:-1]:
@@ -165,8 +173,8 @@
             raise RecordingError(f"{name}: byte {len(MAGIC) - 1}: expected format {MAGIC[-1]}, got another")
         self._data, self._name = data, name
         self.damage = ""
-        self._at = len(MAGIC)
-        payload = self._payload()
+        self._position = len(MAGIC)
+        payload = self._next_payload()
         if payload is None:
             raise RecordingError(self.damage)
         try:
@@ -174,38 +182,41 @@
         except msgspec.MsgspecError as error:
             raise RecordingError(f"{name}: byte {len(MAGIC)}: {error}") from None
 
-    def _payload(self) -> bytes | None:
+    def _next_payload(self) -> bytes | None:
         """The next frame's payload; None at the end or at damage."""
-        at, data = self._at, self._data
-        if at == len(data):
+        start, data = self._position, self._data
+        if start == len(data):
             return None
-        length = int.from_bytes(data[at : at + 4], "big")
-        end = at + FRAME_HEAD + length
-        if len(data) - at < FRAME_HEAD or (length <= MAX_FRAME and end > len(data)):
-            self.damage = f"{self._name}: byte {at}: cut off inside a frame"
+        length = int.from_bytes(data[start : start + 4], "big")
+        end = start + FRAME_HEAD_BYTES + length
+        if len(data) - start < FRAME_HEAD_BYTES or (length <= MAX_PAYLOAD_BYTES and end > len(data)):
+            self.damage = f"{self._name}: byte {start}: cut off inside a frame"
             return None
-        payload = data[at + FRAME_HEAD : end]
-        if length > MAX_FRAME or xxhash.xxh64_digest(payload) != data[at + 4 : at + FRAME_HEAD]:
-            self.damage = f"{self._name}: byte {at}: the checksum does not match, the frame is damaged"
+        payload = data[start + FRAME_HEAD_BYTES : end]
+        if length > MAX_PAYLOAD_BYTES or xxhash.xxh64_digest(payload) != data[start + 4 : start + FRAME_HEAD_BYTES]:
+            self.damage = f"{self._name}: byte {start}: the checksum does not match, the frame is damaged"
             return None
-        self._at = end
+        self._position = end
         return payload
 
     def entries(self) -> Iterator[Entry]:
         """All entries up to the end or the damage."""
         while not self.damage:
-            at = self._at
-            payload = self._payload()
+            start = self._position
+            payload = self._next_payload()
             if payload is None:
                 return
             try:
                 yield _entry_decoder.decode(payload)
             except msgspec.MsgspecError as error:
-                self.damage = f"{self._name}: byte {at}: {error}"
+                self.damage = f"{self._name}: byte {start}: {error}"
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Where a replay parts from what was recorded. `request` is 0 where no request is concerned."""
+    """An input whose effects in a replay differ from the recorded ones.
+
+    `number` is the input's place in the recording, from 1. `request` is 0 where no request is concerned.
+    """
 
     number: int
     request: int
@@ -215,7 +226,7 @@
 
 
 class Replayed(msgspec.Struct):
-    """The account of a replay."""
+    """The result of a replay: counts of inputs, decisions and differences, and the first difference."""
 
     inputs: int = 0
     decisions: int = 0
@@ -224,27 +235,28 @@
 
 
 def replay(header: Header, entries: Iterator[Entry], settings: Settings | None = None) -> Replayed:
-    """Feed the recorded inputs to an engine as it is now, by other settings if given, and compare the effects.
+    """Feed the recorded inputs to an engine of the present code, with other settings if given, and compare effects.
 
-    After a first difference the two worlds part; later ones are counted, but say little by themselves.
+    After the first difference the replayed state is another one than the recorded; later differences are counted, but
+    may only follow from the first.
     """
     engine = engine_at_start(header, settings)
     redacted = header.settings.record_redact != "none"
-    found = Replayed()
+    result = Replayed()
     for entry in entries:
-        effects = comparable(engine.handle(entry.given, entry.now_us), redacted)
-        found.inputs += 1
-        found.decisions += sum(isinstance(one, m.Send | m.Answer) for one in effects)
+        effects = comparable_effects(engine.handle(entry.given, entry.now_us), redacted)
+        result.inputs += 1
+        result.decisions += sum(isinstance(effect, m.Send | m.Answer) for effect in effects)
         if _encoder.encode(effects) != _encoder.encode(entry.effects):
-            found.differences += 1
-            if found.first is None:
-                request = _request(effects, entry.effects) or getattr(entry.given, "request", 0)
-                found.first = Difference(found.inputs, request, entry.given, entry.effects, effects)
-    return found
-
-
-def _request(one: Sequence[m.AnyEffect], other: Sequence[m.AnyEffect]) -> int:
-    """The first request that only one of the two has sent, or sent elsewhere."""
-    mine = {(s.request, s.attempt, s.box) for s in one if isinstance(s, m.Send)}
-    theirs = {(s.request, s.attempt, s.box) for s in other if isinstance(s, m.Send)}
-    return min((request for request, _, _ in mine ^ theirs), default=0)
+            result.differences += 1
+            if result.first is None:
+                request = _differing_request(effects, entry.effects) or getattr(entry.given, "request", 0)
+                result.first = Difference(result.inputs, request, entry.given, entry.effects, effects)
+    return result
+
+
+def _differing_request(replayed: Sequence[m.AnyEffect], recorded: Sequence[m.AnyEffect]) -> int:
+    """The lowest number of a request that only one side has sent, or that was sent elsewhere; 0 for none."""
+    replayed_sends = {(send.request, send.attempt, send.box) for send in replayed if isinstance(send, m.Send)}
+    recorded_sends = {(send.request, send.attempt, send.box) for send in recorded if isinstance(send, m.Send)}
+    return min((request for request, _, _ in replayed_sends ^ recorded_sends), default=0)
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -1,11 +1,12 @@
-"""The engine's whole state to one value and back. No I/O.
+"""Writes the engine's whole state to bytes and restores it. No I/O.
 
-A snapshot and the recording after it equal the recording from the start: every record, row, timer and the random
-state are in it, shared records stay shared. It is read back only by the same program version with the same settings;
-anything else is refused, for a state that is nearly right decides wrongly without a sign.
+Replaying a recording from a snapshot gives the same effects as replaying it from the start: the snapshot contains
+every record, queue and timer and the state of the random generator, and records that are shared stay shared. Only the
+same program version with the same settings restores it. Anything else is refused, because an engine whose state is
+almost right would decide wrongly without any sign of it.
 
-The value is plain msgpack: tagged arrays, and records by the names in `stored_names` alone, so that a file can make
-nothing but the engine's own records.
+The format is plain msgpack with tagged arrays. Records are named only by the names in `stored_names`, so that a file
+can create no other objects than the engine's own records.
 """
 
 import random
@@ -26,7 +27,8 @@
 from oatlink.settings.model import Settings
 
 MAGIC = b"OATSNAP\x01"
-OLDEST_US = 60_000_000  # a start does not take over what is older: rooms and sessions' writes have passed by then
+# A new process does not start from an older snapshot: its concurrency limits and sessions' writes no longer matter.
+MAX_AGE_US = 60_000_000
 MAX_DEPTH = 64
 
 KINDS: dict[str, type] = {**{name: record for name, (record, _) in RECORDS.items()}, **ENUMS}
@@ -35,11 +37,11 @@
 
 
 class SnapshotError(Exception):
-    """A snapshot that cannot be used; the text is one line."""
+    """The snapshot cannot be used. The text is one line."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """What a snapshot belongs to."""
+    """The content of a snapshot: the program and settings that it belongs to, when it was taken, and the state."""
 
     program: str
     settings_hash: str
@@ -53,50 +55,54 @@
 # ---- Values ----
 
 
-Hide = Callable[[type, str, Any], Any]
-"""Given a record's type, a field's name and its value: the value that may be written down."""
+FieldFilter = Callable[[type, str, Any], Any]
+"""Takes a record's type, a field's name and its value, and returns the value that may be written."""
 
 
 class _Writer:
-    def __init__(self, hide: Hide | None = None) -> None:
-        self._hide = hide
-        self._seen: dict[int, int] = {}
-        self._kept: list[object] = []  # so that no address is used twice meanwhile
+    """Encodes values as tagged arrays, for one snapshot."""
 
-    def put(self, value: Any) -> Any:
-        """A value as tagged arrays; what was met before becomes a reference."""
+    def __init__(self, field_filter: FieldFilter | None = None) -> None:
+        self._field_filter = field_filter
+        self._numbers: dict[int, int] = {}  # id of an object: its number in the snapshot
+        self._alive: list[object] = []  # keeps each object alive, so that no other object gets the same id
+
+    def encode(self, value: Any) -> Any:
+        """A value as tagged arrays; an object that was encoded before becomes a reference to its number."""
         if value is None or isinstance(value, bool | int | float | str | bytes):
             return value
         if isinstance(value, Enum):
             return ["e", _NAMES[type(value)], value.value]
         if isinstance(value, tuple):
-            return ["t", [self.put(one) for one in value]]
-        if id(value) in self._seen:
-            return ["r", self._seen[id(value)]]
-        self._seen[id(value)] = number = len(self._seen)
-        self._kept.append(value)
+            return ["t", [self.encode(item) for item in value]]
+        if id(value) in self._numbers:
+            return ["r", self._numbers[id(value)]]
+        self._numbers[id(value)] = number = len(self._numbers)
+        self._alive.append(value)
         if isinstance(value, OrderedDict):
-            return ["o", number, [[self.put(key), self.put(one)] for key, one in value.items()]]
+            return ["o", number, [[self.encode(key), self.encode(item)] for key, item in value.items()]]
         if isinstance(value, dict):
-            return ["d", number, [[self.put(key), self.put(one)] for key, one in value.items()]]
+            return ["d", number, [[self.encode(key), self.encode(item)] for key, item in value.items()]]
         if isinstance(value, list | deque):
-            return ["l" if isinstance(value, list) else "q", number, [self.put(one) for one in value]]
+            return ["l" if isinstance(value, list) else "q", number, [self.encode(item) for item in value]]
         name = _NAMES.get(type(value))
         if name is None:
             raise SnapshotError(f"{type(value).__name__} is not part of a snapshot")
         kind = type(value)
         values = [(field, getattr(value, field)) for field in _ATTRIBUTES[kind]]
-        if self._hide is not None:
-            values = [(field, self._hide(kind, field, one)) for field, one in values]
-        return ["i", number, name, [self.put(one) for _, one in values]]
+        if self._field_filter is not None:
+            values = [(field, self._field_filter(kind, field, item)) for field, item in values]
+        return ["i", number, name, [self.encode(item) for _, item in values]]
 
 
 class _Reader:
+    """Decodes the tagged arrays of one snapshot."""
+
     def __init__(self) -> None:
-        self._made: dict[int, Any] = {}
+        self._objects: dict[int, Any] = {}  # by their numbers in the snapshot
 
-    def take(self, value: Any, depth: int = 0) -> Any:
-        """The value of tagged arrays."""
+    def decode(self, value: Any, depth: int = 0) -> Any:
+        """The value that tagged arrays stand for."""
         if not isinstance(value, list):
             return value
         if depth > MAX_DEPTH:
@@ -106,53 +112,56 @@
         if tag == "e":
             return KINDS[rest[0]](rest[1])
         if tag == "t":
-            return tuple(self.take(one, deeper) for one in rest[0])
+            return tuple(self.decode(item, deeper) for item in rest[0])
         if tag == "r":
-            return self._made[rest[0]]
+            return self._objects[rest[0]]
         number = rest[0]
-        made: Any
+        decoded: Any
         if tag in ("o", "d"):
-            made = self._made[number] = OrderedDict() if tag == "o" else {}
-            for key, one in rest[1]:
-                made[self.take(key, deeper)] = self.take(one, deeper)
+            decoded = self._objects[number] = OrderedDict() if tag == "o" else {}
+            for key, item in rest[1]:
+                decoded[self.decode(key, deeper)] = self.decode(item, deeper)
         elif tag in ("l", "q"):
-            made = self._made[number] = [] if tag == "l" else deque()
-            for one in rest[1]:
-                made.append(self.take(one, deeper))
+            decoded = self._objects[number] = [] if tag == "l" else deque()
+            for item in rest[1]:
+                decoded.append(self.decode(item, deeper))
         elif tag == "i":
             kind = KINDS[rest[1]]
-            values = [self.take(one, deeper) for one in rest[2]]
+            values = [self.decode(item, deeper) for item in rest[2]]
             if kind is positions.Positions:
-                made = positions.Positions()
-                for field, one in zip(_ATTRIBUTES[kind], values, strict=True):
-                    setattr(made, field, one)
+                decoded = positions.Positions()
+                for field, item in zip(_ATTRIBUTES[kind], values, strict=True):
+                    setattr(decoded, field, item)
             else:
-                made = kind(*values)
-            self._made[number] = made
+                decoded = kind(*values)
+            self._objects[number] = decoded
         else:
             raise SnapshotError(f"unknown tag {tag!r}")
-        return made
+        return decoded
 
 
 # ---- Snapshots ----
 
 
-def take_snapshot(engine: Engine, now_us: int, hide: Hide | None = None) -> bytes:
-    """The whole state, without what `hide` leaves out. Changes nothing; not while the engine handles an input."""
-    writer = _Writer(hide)
+def take_snapshot(engine: Engine, now_us: int, field_filter: FieldFilter | None = None) -> bytes:
+    """The whole state, with each record's fields as `field_filter` returns them.
+
+    Changes nothing. Must not be called while the engine handles an input.
+    """
+    writer = _Writer(field_filter)
     book = engine.router.book
-    held = {name: writer.put(getattr(engine, attribute)) for name, attribute in engine_names(engine).items()}
-    routed = {name: writer.put(getattr(book, attribute)) for name, attribute in ROUTER.items()}
+    engine_state = {name: writer.encode(getattr(engine, attribute)) for name, attribute in engine_names(engine).items()}
+    router_state = {name: writer.encode(getattr(book, attribute)) for name, attribute in ROUTER.items()}
     version, numbers, gauss = book.random.getstate()
-    drawn = [version, list(numbers), gauss]
+    random_state = [version, list(numbers), gauss]
     hashed = settings_hash(engine.settings)
-    head = Head(__version__, hashed, now_us, held, routed, drawn, engine.gate.remembered())
+    head = Head(__version__, hashed, now_us, engine_state, router_state, random_state, engine.gate.remembered())
     payload = msgspec.msgpack.encode(head)
     return MAGIC + xxhash.xxh64_digest(payload) + payload
 
 
 def read_head(data: bytes, name: str = "snapshot") -> Head:
-    """The head of a snapshot. Raises `SnapshotError` for damage, a half-written file or another format."""
+    """Decode a snapshot's head. Raises `SnapshotError` for damage, a half-written file or another format."""
     if data[: len(MAGIC) - 1] != MAGIC[:-1]:
         raise SnapshotError(f"{name}: byte 0: expected a snapshot of oatlink")
     if data[len(MAGIC) - 1 : len(MAGIC)] != MAGIC[-1:]:
@@ -167,9 +176,10 @@
 
 
 def restore_engine(data: bytes, settings: Settings, name: str = "snapshot", expected_hash: str = "") -> Engine:
-    """The engine as it was: the next input gives what it would have given there. Raises `SnapshotError`.
+    """The engine as it was: it handles the next input as the original engine would. Raises `SnapshotError`.
 
-    `expected_hash`: the hash of the settings that it was taken with, where `settings` are those without their secrets.
+    `expected_hash` is the hash of the settings that the snapshot was taken with. It is needed where `settings` are
+    those settings without their secrets.
     """
     head = read_head(data, name)
     if head.program != __version__:
@@ -181,10 +191,10 @@
     names = engine_names(engine)
     reader = _Reader()
     try:
-        for field, one in head.engine.items():
-            setattr(engine, _attribute(names, field, name), reader.take(one))
-        for field, one in head.router.items():
-            setattr(engine.router.book, _attribute(ROUTER, field, name), reader.take(one))
+        for field, value in head.engine.items():
+            setattr(engine, _attribute(names, field, name), reader.decode(value))
+        for field, value in head.router.items():
+            setattr(engine.router.book, _attribute(ROUTER, field, name), reader.decode(value))
         version, numbers, gauss = head.random
         engine.router.book.random = random.Random()
         engine.router.book.random.setstate((version, tuple(numbers), gauss))
@@ -195,42 +205,44 @@
 
 
 def _attribute(names: dict[str, str], field: str, name: str) -> str:
+    """The attribute that a stored field is restored to. Raises `SnapshotError` for an unknown field."""
     if field not in names:
         raise SnapshotError(f"{name}: unknown field {field!r}")
     return names[field]
 
 
 def engine_from_snapshot(data: bytes, settings: Settings, now_us: int, name: str = "snapshot") -> Engine:
-    """An engine for a new process, with what may still be believed from an older one's snapshot.
+    """An engine for a new process, with the part of an older process's snapshot that is still valid.
 
-    Taken over: the histories of offsets (a point stays true: who held P then held all that was written), and each
-    session's last write, so that a client that comes back under its name still reads its own writes. What was written
-    since the snapshot is not known, so each session is bound at the start itself at least.
+    Restored: the histories of offsets (a point stays true: a box that had offset P then had everything written up to
+    it), and each session's last write, so that a client that reconnects under its name still reads its own writes. The
+    writes since the snapshot are unknown, so each session's reads need data at least as new as this start.
 
-    Not taken over: clients, requests and attempts (theirs to retry); roles (an election may have come between; every
-    group asks its members at its first request); positions, rooms and rates of members (shown anew within a few
-    answers, and a box may have started again meanwhile); rosters (discovery says them anew); the random state.
+    Not restored: clients, requests and attempts (clients retry them); roles (an election may have taken place; every
+    group asks its members at its first request); positions, concurrency limits and rates of members (known again
+    within a few answers, and a box may have restarted meanwhile); rosters (discovery sends them again); the state of
+    the random generator.
 
-    Raises `SnapshotError` where the state is too old, or from a clock that has begun anew since.
+    Raises `SnapshotError` where the snapshot is too old, or where the clock has started again since it was taken.
     """
-    old = restore_engine(data, settings, name)
+    old_engine = restore_engine(data, settings, name)
     taken_us = read_head(data, name).taken_us
     if taken_us > now_us:
         raise SnapshotError(f"{name}: taken at {taken_us} us, ahead of the clock at {now_us}: it began anew since")
-    if now_us - taken_us > OLDEST_US:
-        raise SnapshotError(f"{name}: {(now_us - taken_us) // 1_000_000} s old, {OLDEST_US // 1_000_000} at most")
+    if now_us - taken_us > MAX_AGE_US:
+        raise SnapshotError(f"{name}: {(now_us - taken_us) // 1_000_000} s old, {MAX_AGE_US // 1_000_000} at most")
     engine = Engine(settings, now_us)
-    for mine, theirs in zip(engine._groups, old._groups, strict=True):
-        mine.positions = theirs.positions
-    _take_over_sessions(engine.router.book, old.router.book, now_us)
+    for group, old_group in zip(engine._groups, old_engine._groups, strict=True):
+        group.positions = old_group.positions
+    _restore_session_writes(engine.router.book, old_engine.router.book, now_us)
     engine.fresh = False
     return engine
 
 
-def _take_over_sessions(book: Book, old: Book, now_us: int) -> None:
-    """Bind sessions by what they had written, by what was open, and by all that came after the snapshot was taken."""
+def _restore_session_writes(book: Book, old: Book, now_us: int) -> None:
+    """Require of sessions' reads what they had written, what was still open, and anything after the snapshot."""
     book.forgotten_us = max(old.forgotten_us, now_us)
     for session, position_us in old.sessions.items():
         book.remember(session, max(position_us, now_us))
     for session in old.session_writes.by_session:
-        book.remember(session, max(one.settled_us for one in old.session_writes.of(session)))
+        book.remember(session, max(write.settled_us for write in old.session_writes.of(session)))
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -9,7 +9,7 @@
 from oatlink.core.commands import find, idempotency_key, slot_of
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder, Recording, replay
-from oatlink.core.redact import Redactor, tag_of
+from oatlink.core.redact import Redactor, hash_tag_for
 from oatlink.settings.model import Users
 from tests.test_engine import KEY, OTHER, OWN, PLAIN, SETTINGS, Rig, info, sent
 from tests.test_recording import traced
@@ -43,7 +43,7 @@
 def test_a_redacted_command_routes_as_before(args: list[bytes]) -> None:
     spec = find(args[0])
     assert spec is not None
-    made = Redactor(HASHED).words(args)
+    made = Redactor(HASHED).redact_command(args)
     assert len(made) == len(args)
     keys, hashed = spec.keys(args), spec.keys(made)
     assert [slots_of([one]) for one in keys] == [slots_of([one]) for one in hashed]
@@ -53,10 +53,10 @@
 
 
 def test_nothing_said_by_a_client_is_left() -> None:
-    made = Redactor(HASHED).words([b"SET", b"v:customer-17", b"balance 100"])
+    made = Redactor(HASHED).redact_command([b"SET", b"v:customer-17", b"balance 100"])
     assert b"customer" not in made[1] and made[1].startswith(b"v:") and made[2] == b""
     for words in ([b"AUTH", b"user", b"password"], [b"HELLO", b"3", b"AUTH", b"user", b"password"], [b"AUTH", b"x"]):
-        given = Redactor(SETTINGS).given(m.Asked(1, words))
+        given = Redactor(SETTINGS).redact_input(m.Asked(1, words))
         assert isinstance(given, m.Asked) and not {b"user", b"password", b"x"} & set(given.args)
 
 
@@ -91,7 +91,7 @@
 
 def test_every_slot_has_a_tag() -> None:
     for slot in range(0, 16_384, 997):
-        assert slot_of(tag_of(slot)) == slot
+        assert slot_of(hash_tag_for(slot)) == slot
 
 
 def test_a_redacted_recording_replays_without_a_difference() -> None:
