--- a/oatlink/core/statements.py
+++ b/oatlink/core/statements.py
@@ -1,15 +1,16 @@
-"""What a statement does, as far as routing is concerned: reads, writes, locks, changes its session. No I/O.
+"""Classifies statements for routing: whether they read, write, lock or change their session. No I/O.
 
-SQL is parsed by pglast, the parser of the server itself; RESP goes by the command table. When in doubt it is a write: a
-write taken for a read may be lost, a read taken for a write only costs the primary some work.
+SQL is parsed by pglast, which is the server's own parser; RESP commands are classified by the command table. In doubt a
+statement counts as a write: a write that is classified as a read may be lost, while a read that is classified as a
+write only costs the primary some work.
 
-A statement is a read only where every part of it is known to be one: its statement kind, each common table expression,
-each function by name (`READS`, those of `pg_catalog` that neither write nor lock nor depend on the session), each
-operator and no schema beside `pg_catalog` for either. What this cannot know are views and types whose own definitions
-write; a standby refuses those with 25006 and has run nothing.
+A statement is a read only where each part of it is known to be one: the kind of statement, each common table
+expression, each function by its name (`READ_FUNCTIONS`, those of `pg_catalog` that neither write nor lock nor depend on
+the session) and each operator; functions and operators of any schema other than `pg_catalog` are not. Views and types
+whose own definitions write cannot be recognized; a standby refuses those with 25006 and has run nothing.
 
-`session`: what it leaves in its session, so that later statements must stay with the same connection: settings,
-prepared statements, temporary tables, cursors, session locks, channels listened to.
+`session` is the state that a statement leaves in its session, so that later statements must use the same connection:
+settings, prepared statements, temporary tables, cursors, session locks, channels that it listens to.
 """
 
 from collections import OrderedDict
@@ -23,46 +24,49 @@
 from oatlink.core.commands import Kind, find
 
 
-class Does(IntEnum):
-    """What a statement does; of several the greatest counts."""
+class StatementEffect(IntEnum):
+    """What a statement does. The effect of several statements is the greatest of theirs."""
 
     READ = 0
     CONTROL = 1  # begins, ends or marks a transaction
     SESSION = 2  # changes the session and nothing else
     LOCK = 3  # takes locks that only the primary has
     WRITE = 4
-    UNKNOWN = 5  # not understood: treated as a write
+    UNKNOWN = 5  # not classified: treated as a write
 
     @property
     def needs_primary(self) -> bool:
         """Whether it must never reach a replica."""
-        return self >= Does.LOCK
+        return self >= StatementEffect.LOCK
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class Analysis:
     """What is known of a text of one or several statements.
 
-    `session`: what stays in the session (`settings`, `prepared`, `temporary`, `cursor`, `locks`, `listen`, `unknown`).
-    `uses`: the prepared statements by name that it runs; until they are known (`with_prepared`) it is `UNKNOWN`, and
-    `rest` is what it does beside them. `control`: `begin`, `begin read only`, `end` or
-    `mark`, in order. `local`: it changes settings of its transaction only.
+    `session` names the state that stays in the session: `settings`, `prepared`, `temporary`, `cursor`, `locks`,
+    `listen`, `sequence`, `snapshot` or `unknown`. `executes` has the names of the prepared statements that the text
+    runs; where there are any, `effect` is `UNKNOWN` until they are looked up (`effect_with_prepared`), and
+    `direct_effect` is the effect of everything else. `control` lists `begin`, `begin read only`, `end` and `mark` in
+    their order. `is_local` is set where the text changes settings of its transaction only. `prepares` has the name and
+    effect of each statement that it prepares.
     """
 
-    does: Does
+    effect: StatementEffect
     count: int = 1
     session: frozenset[str] = frozenset()
-    uses: tuple[str, ...] = ()
+    executes: tuple[str, ...] = ()
     control: tuple[str, ...] = ()
-    local: bool = False
-    prepares: tuple[tuple[str, Does], ...] = ()
-    rest: Does = Does.UNKNOWN
+    is_local: bool = False
+    prepares: tuple[tuple[str, StatementEffect], ...] = ()
+    direct_effect: StatementEffect = StatementEffect.UNKNOWN
 
 
-_UNKNOWN = Reading(Does.UNKNOWN, session=frozenset(("unknown",)))
+_UNKNOWN = Analysis(StatementEffect.UNKNOWN, session=frozenset(("unknown",)))
 
-# Of pg_catalog: without effects and without locks, so harmless at a replica; also those that only draw or tell time.
-_HARMLESS = """
+# Functions of pg_catalog without effects and without locks, which a replica may run. Those that only draw random values
+# or tell the time are among them.
+_READ_FUNCTION_NAMES = """
 abs acos age any_value array_agg array_append array_cat array_dims array_length array_lower array_ndims
 array_position array_positions array_prepend array_remove array_replace array_to_json array_to_string
 array_upper ascii asin atan atan2 avg bit_and bit_length bit_or bool_and bool_or btrim cardinality cbrt ceil
@@ -96,88 +100,91 @@
 ts_rank_cd unnest upper user uuid_extract_timestamp uuid_extract_version var_pop var_samp variance version
 width_bucket xmlagg
 """
-READS = frozenset(_HARMLESS.split())
+READ_FUNCTIONS = frozenset(_READ_FUNCTION_NAMES.split())
 _SESSION_FUNCTIONS = {"set_config": "settings", "currval": "sequence", "lastval": "sequence"}
-_SHARED = frozenset(("pg_export_snapshot",))
+_SNAPSHOT_FUNCTIONS = frozenset(("pg_export_snapshot",))
 
 
-class _Walk:
-    """Goes through one statement and gathers what it does."""
+class _StatementVisitor:
+    """Walks the parse trees of statements and collects what they do.
+
+    A method `_NodeName` handles a statement of that kind of node, a method `_in_NodeName` a node inside a statement.
+    """
 
     def __init__(self) -> None:
-        self.does = Does.READ
+        self.effect = StatementEffect.READ
         self.session: set[str] = set()
-        self.uses: list[str] = []
+        self.executes: list[str] = []
         self.control: list[str] = []
-        self.prepares: list[tuple[str, Does]] = []
-        self.local = False
-
-    def raise_to(self, does: Does) -> None:
-        """At least this."""
-        self.does = max(self.does, does)
-
-    def statement(self, node: ast.Node) -> None:
-        """A statement by its kind; one that is not known here is a write."""
-        known = getattr(self, f"_{type(node).__name__}", None)
-        if known is None:
-            self.raise_to(Does.WRITE)
-            self.inside(node)
+        self.prepares: list[tuple[str, StatementEffect]] = []
+        self.is_local = False
+
+    def add_effect(self, effect: StatementEffect) -> None:
+        """Raise the collected effect to this one, unless it is greater already."""
+        self.effect = max(self.effect, effect)
+
+    def visit_statement(self, node: ast.Node) -> None:
+        """Handle a statement by its kind. A kind without a method here counts as a write."""
+        handle = getattr(self, f"_{type(node).__name__}", None)
+        if handle is None:
+            self.add_effect(StatementEffect.WRITE)
+            self.visit_nodes(node)
         else:
-            known(node)
+            handle(node)
 
-    def inside(self, value: Any) -> None:
-        """Every node within one."""
+    def visit_nodes(self, value: Any) -> None:
+        """Handle a node and every node inside it."""
         if isinstance(value, tuple):
-            for one in value:
-                self.inside(one)
+            for item in value:
+                self.visit_nodes(item)
         elif isinstance(value, ast.Node):
-            check = getattr(self, f"_in_{type(value).__name__}", None)
-            if check is not None:
-                check(value)
+            handle = getattr(self, f"_in_{type(value).__name__}", None)
+            if handle is not None:
+                handle(value)
             for name in value:
-                self.inside(getattr(value, name))
+                self.visit_nodes(getattr(value, name))
 
     # ---- Expressions, and statements within statements ----
 
     def _in_FuncCall(self, node: Any) -> None:
         names = [part.sval for part in node.funcname]
         if len(names) > 2 or (len(names) == 2 and names[0] != "pg_catalog"):
-            self.raise_to(Does.WRITE)  # somebody's own function
+            self.add_effect(StatementEffect.WRITE)  # a user-defined function
             return
         name = names[-1]
-        if name in READS:
+        if name in READ_FUNCTIONS:
             return
         if name in _SESSION_FUNCTIONS:
             self.session.add(_SESSION_FUNCTIONS[name])
-            self.raise_to(Does.SESSION)
-        elif name in _SHARED:
+            self.add_effect(StatementEffect.SESSION)
+        elif name in _SNAPSHOT_FUNCTIONS:
             self.session.add("snapshot")
-            self.raise_to(Does.LOCK)
+            self.add_effect(StatementEffect.LOCK)
         elif "advisory" in name and name.startswith("pg_"):
-            self.raise_to(Does.LOCK)
+            self.add_effect(StatementEffect.LOCK)
             if "xact" not in name:
                 self.session.add("locks")
         else:
-            self.raise_to(Does.WRITE)
+            self.add_effect(StatementEffect.WRITE)
 
     def _in_A_Expr(self, node: Any) -> None:
         if len(node.name or ()) > 1 and node.name[0].sval != "pg_catalog":
-            self.raise_to(Does.WRITE)
+            self.add_effect(StatementEffect.WRITE)
 
     def _in_SelectStmt(self, node: Any) -> None:
         if node.lockingClause:
-            self.raise_to(Does.LOCK)
+            self.add_effect(StatementEffect.LOCK)
         if node.intoClause:
-            self._made(node.intoClause.rel)
+            self._create_relation(node.intoClause.rel)
 
-    def _made(self, relation: Any) -> None:
-        """A relation is made; a temporary one stays in its session."""
-        self.raise_to(Does.WRITE)
+    def _create_relation(self, relation: Any) -> None:
+        """Count the creation of a relation as a write; a temporary relation stays in its session."""
+        self.add_effect(StatementEffect.WRITE)
         if relation is not None and relation.relpersistence == "t":
             self.session.add("temporary")
 
     def _in_InsertStmt(self, _: Any) -> None:
-        self.raise_to(Does.WRITE)
+        self.add_effect(StatementEffect.WRITE)
 
     _in_UpdateStmt = _in_DeleteStmt = _in_MergeStmt = _in_InsertStmt
 
@@ -188,48 +195,49 @@
     # ---- Statements ----
 
     def _SelectStmt(self, node: Any) -> None:
-        self.inside(node)
+        self.visit_nodes(node)
 
     def _VariableShowStmt(self, node: Any) -> None:
         pass
 
     def _ExplainStmt(self, node: Any) -> None:
-        within = _Walk()
-        within.statement(node.query)
-        runs = False
+        explained = _StatementVisitor()
+        explained.visit_statement(node.query)
+        is_run = False
         for option in node.options or ():
             if option.defname == "analyze":
-                given = getattr(option.arg, "sval", None)
-                if given is None:
-                    given = str(getattr(option.arg, "ival", getattr(option.arg, "boolval", "true")))
-                runs = given.lower() not in ("false", "off", "0")
-        if runs:
-            self._take(within)
-        elif within.does is Does.UNKNOWN:
-            self.raise_to(Does.UNKNOWN)
-
-    def _take(self, other: "_Walk") -> None:
-        self.raise_to(other.does)
+                argument = getattr(option.arg, "sval", None)
+                if argument is None:
+                    argument = str(getattr(option.arg, "ival", getattr(option.arg, "boolval", "true")))
+                is_run = argument.lower() not in ("false", "off", "0")
+        if is_run:
+            self._merge(explained)
+        elif explained.effect is StatementEffect.UNKNOWN:
+            self.add_effect(StatementEffect.UNKNOWN)
+
+    def _merge(self, other: "_StatementVisitor") -> None:
+        """Add everything that another visitor has collected."""
+        self.add_effect(other.effect)
         self.session |= other.session
-        self.uses += other.uses
+        self.executes += other.executes
         self.control += other.control
         self.prepares += other.prepares
-        self.local = self.local or other.local
+        self.is_local = self.is_local or other.is_local
 
     def _CopyStmt(self, node: Any) -> None:
         if node.is_from or node.is_program or node.filename:
-            self.raise_to(Does.WRITE)  # a file or program at the server is one of its own, not of a replica
+            self.add_effect(StatementEffect.WRITE)  # a file or program of the server that runs it: a replica has others
         if node.query is not None:
-            self.statement(node.query)
+            self.visit_statement(node.query)
 
     def _TransactionStmt(self, node: Any) -> None:
         kind = node.kind
         kinds = enums.TransactionStmtKind
         if kind in (kinds.TRANS_STMT_PREPARE, kinds.TRANS_STMT_COMMIT_PREPARED, kinds.TRANS_STMT_ROLLBACK_PREPARED):
-            self.raise_to(Does.WRITE)
+            self.add_effect(StatementEffect.WRITE)
             self.control.append("end")
             return
-        self.raise_to(Does.CONTROL)
+        self.add_effect(StatementEffect.CONTROL)
         if kind in (kinds.TRANS_STMT_BEGIN, kinds.TRANS_STMT_START):
             self.control.append("begin read only" if _read_only(node.options) else "begin")
         elif kind in (kinds.TRANS_STMT_COMMIT, kinds.TRANS_STMT_ROLLBACK):
@@ -241,149 +249,150 @@
 
     def _VariableSetStmt(self, node: Any) -> None:
         if node.name == "TRANSACTION" or node.is_local:
-            self.raise_to(Does.CONTROL)
-            self.local = True
+            self.add_effect(StatementEffect.CONTROL)
+            self.is_local = True
         else:
-            self.raise_to(Does.SESSION)
+            self.add_effect(StatementEffect.SESSION)
             self.session.add("settings")
-        self.inside(node.args)
+        self.visit_nodes(node.args)
 
     def _PrepareStmt(self, node: Any) -> None:
-        within = _Walk()
-        within.statement(node.query)
-        self.prepares.append((node.name, within.does))
-        self.raise_to(Does.SESSION)
+        prepared = _StatementVisitor()
+        prepared.visit_statement(node.query)
+        self.prepares.append((node.name, prepared.effect))
+        self.add_effect(StatementEffect.SESSION)
         self.session.add("prepared")
 
     def _ExecuteStmt(self, node: Any) -> None:
-        self.uses.append(node.name)
-        self.inside(node.params)
+        self.executes.append(node.name)
+        self.visit_nodes(node.params)
 
     def _DeallocateStmt(self, node: Any) -> None:
-        self.raise_to(Does.SESSION)
+        self.add_effect(StatementEffect.SESSION)
         self.session.add("prepared")
 
     def _DeclareCursorStmt(self, node: Any) -> None:
-        self.statement(node.query)
-        self.raise_to(Does.SESSION)
+        self.visit_statement(node.query)
+        self.add_effect(StatementEffect.SESSION)
         self.session.add("cursor")
 
     def _FetchStmt(self, node: Any) -> None:
-        self.raise_to(Does.SESSION)
+        self.add_effect(StatementEffect.SESSION)
         self.session.add("cursor")
 
     _ClosePortalStmt = _FetchStmt
 
     def _ListenStmt(self, node: Any) -> None:
-        # A standby refuses LISTEN: notices are told by the primary alone.
-        self.raise_to(Does.LOCK)
+        # A standby refuses LISTEN: only the primary sends notifications.
+        self.add_effect(StatementEffect.LOCK)
         self.session.add("listen")
 
     _UnlistenStmt = _ListenStmt
 
     def _LockStmt(self, node: Any) -> None:
-        self.raise_to(Does.LOCK)
+        self.add_effect(StatementEffect.LOCK)
 
     def _DiscardStmt(self, node: Any) -> None:
-        self.raise_to(Does.SESSION)
+        self.add_effect(StatementEffect.SESSION)
         self.session.add("settings")
 
     _LoadStmt = _DiscardStmt
 
     def _ConstraintsSetStmt(self, node: Any) -> None:
-        self.raise_to(Does.CONTROL)
-        self.local = True
+        self.add_effect(StatementEffect.CONTROL)
+        self.is_local = True
 
     def _CreateStmt(self, node: Any) -> None:
-        self._made(node.relation)
+        self._create_relation(node.relation)
 
     def _ViewStmt(self, node: Any) -> None:
-        self._made(node.view)
+        self._create_relation(node.view)
 
     def _CreateTableAsStmt(self, node: Any) -> None:
-        self._made(node.into.rel)
+        self._create_relation(node.into.rel)
 
 
 def _read_only(options: Any) -> bool:
-    """Whether a transaction is begun READ ONLY; the last option counts."""
-    found = False
+    """Whether a transaction begins as READ ONLY; the last option decides."""
+    is_read_only = False
     for option in options or ():
         if option.defname == "transaction_read_only":
-            found = bool(option.arg.val.ival)
-    return found
+            is_read_only = bool(option.arg.val.ival)
+    return is_read_only
 
 
-def read_sql(text: str) -> Reading:
-    """What a text of SQL does. Text that the server's parser refuses is `UNKNOWN`: the primary says what is wrong."""
+def analyze_sql(text: str) -> Analysis:
+    """Analyze a text of SQL. Text that the parser refuses is `UNKNOWN`; the primary then reports the error."""
     try:
         parsed = parse_sql(text)
     except (ParseError, RecursionError, ValueError):
         return _UNKNOWN
-    whole = _Walk()
+    visitor = _StatementVisitor()
     try:
-        for one in parsed:
-            if one.stmt is not None:
-                whole.statement(one.stmt)
-    except RecursionError:  # a statement nested deeper than this process can follow
+        for raw_statement in parsed:
+            if raw_statement.stmt is not None:
+                visitor.visit_statement(raw_statement.stmt)
+    except RecursionError:  # the statement is nested too deeply for this process
         return _UNKNOWN
-    return Reading(
-        Does.UNKNOWN if whole.uses else whole.does,
+    return Analysis(
+        StatementEffect.UNKNOWN if visitor.executes else visitor.effect,
         len(parsed),
-        frozenset(whole.session),
-        tuple(whole.uses),
-        tuple(whole.control),
-        whole.local,
-        tuple(whole.prepares),
-        whole.does,
+        frozenset(visitor.session),
+        tuple(visitor.executes),
+        tuple(visitor.control),
+        visitor.is_local,
+        tuple(visitor.prepares),
+        visitor.effect,
     )
 
 
-_COMMANDS = {
-    Kind.READ: Does.READ,
-    Kind.KEYLESS_READ: Does.READ,
-    Kind.LOCAL: Does.SESSION,
-    Kind.TRANSACTION: Does.CONTROL,
-    Kind.WRITE: Does.WRITE,
-    Kind.SCRIPT: Does.WRITE,
-    Kind.KEYLESS: Does.WRITE,
-    Kind.BLOCKING: Does.WRITE,
+_COMMAND_EFFECTS = {
+    Kind.READ: StatementEffect.READ,
+    Kind.KEYLESS_READ: StatementEffect.READ,
+    Kind.LOCAL: StatementEffect.SESSION,
+    Kind.TRANSACTION: StatementEffect.CONTROL,
+    Kind.WRITE: StatementEffect.WRITE,
+    Kind.SCRIPT: StatementEffect.WRITE,
+    Kind.KEYLESS: StatementEffect.WRITE,
+    Kind.BLOCKING: StatementEffect.WRITE,
 }
 
 
-def read_command(name: bytes) -> Does:
-    """What a RESP command does, by the command table; one that is not in it is `UNKNOWN`."""
+def command_effect(name: bytes) -> StatementEffect:
+    """The effect of a RESP command by the command table. A command that is not in the table is `UNKNOWN`."""
     spec = find(name)
-    return Does.UNKNOWN if spec is None else _COMMANDS[spec.kind]
+    return StatementEffect.UNKNOWN if spec is None else _COMMAND_EFFECTS[spec.kind]
 
 
-class Readings:
-    """A bounded cache by the statement's text; a session's prepared statements are looked up by who keeps them."""
+class AnalysisCache:
+    """A bounded cache of analyses by text. It does not hold prepared statements, which belong to a session."""
 
-    def __init__(self, most: int = 4_096, longest: int = 16_384) -> None:
-        """`most` texts are kept, none longer than `longest` characters; the one unused for longest goes first."""
-        self._most, self._longest = most, longest
-        self._kept: OrderedDict[str, Reading] = OrderedDict()
+    def __init__(self, max_texts: int = 4_096, max_text_length: int = 16_384) -> None:
+        """Keeps `max_texts` texts of at most `max_text_length` characters and evicts the least recently used one."""
+        self._max_texts, self._max_text_length = max_texts, max_text_length
+        self._analyses: OrderedDict[str, Analysis] = OrderedDict()
         self.hits = self.misses = 0
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._analyses)
 
-    def read(self, text: str) -> Reading:
-        """See `read_sql`."""
-        found = self._kept.get(text)
-        if found is not None:
-            self._kept.move_to_end(text)
+    def analyze(self, text: str) -> Analysis:
+        """See `analyze_sql`."""
+        analysis = self._analyses.get(text)
+        if analysis is not None:
+            self._analyses.move_to_end(text)
             self.hits += 1
-            return found
+            return analysis
         self.misses += 1
-        found = read_sql(text)
-        if len(text) <= self._longest:
-            self._kept[text] = found
-            if len(self._kept) > self._most:
-                self._kept.popitem(last=False)
-        return found
-
-
-def with_prepared(reading: Reading, known: dict[str, Does]) -> Does:
-    """What a text does once the prepared statements that it runs are known by name; an unknown one is a write."""
-    return max([reading.rest, *(known.get(name, Does.UNKNOWN) for name in reading.uses)])
+        analysis = analyze_sql(text)
+        if len(text) <= self._max_text_length:
+            self._analyses[text] = analysis
+            if len(self._analyses) > self._max_texts:
+                self._analyses.popitem(last=False)
+        return analysis
+
+
+def effect_with_prepared(analysis: Analysis, prepared: dict[str, StatementEffect]) -> StatementEffect:
+    """The effect of a text, given the effects of prepared statements by name. One that is missing is `UNKNOWN`."""
+    effects = (prepared.get(name, StatementEffect.UNKNOWN) for name in analysis.executes)
+    return max([analysis.direct_effect, *effects])
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""What statements do: a labelled corpus, every write in every wrapping, and bounds of the cache."""
+"""Classification of statements: a labelled corpus, each write combined with each read, and the bounds of the cache."""
 
 import itertools
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from oatlink.core.commands import COMMANDS, Kind
-from oatlink.core.statements import Does, Readings, read_command, read_sql, with_prepared
+from oatlink.core.statements import AnalysisCache, StatementEffect, analyze_sql, command_effect, effect_with_prepared
 
 READS = """
 SELECT 1
@@ -119,89 +119,98 @@
 
 @pytest.mark.parametrize("text", READS)
 def test_reads_are_reads(text: str) -> None:
-    found = read_sql(text)
-    assert found.does is Does.READ and not found.session and found.count == 1
+    analysis = analyze_sql(text)
+    assert analysis.effect is StatementEffect.READ and not analysis.session and analysis.count == 1
 
 
 @pytest.mark.parametrize("text", WRITES)
 def test_writes_are_writes(text: str) -> None:
-    assert read_sql(text).does is Does.WRITE
+    assert analyze_sql(text).effect is StatementEffect.WRITE
 
 
 @pytest.mark.parametrize("text", LOCKS)
 def test_locks_are_locks(text: str) -> None:
-    found = read_sql(text)
-    assert found.does is Does.LOCK and found.does.needs_primary
+    effect = analyze_sql(text).effect
+    assert effect is StatementEffect.LOCK and effect.needs_primary
 
 
-def test_no_write_is_taken_for_a_read_however_it_is_wrapped() -> None:
-    """Every write beside, before and after every read, with comments, in a block, prepared."""
-    counted = 0
+def test_no_write_is_classified_as_a_read_in_any_combination() -> None:
+    """Every write beside, before and after every read, with comments, in a transaction, and prepared."""
+    checked = 0
     for write, read in itertools.product(WRITES + LOCKS, READS):
-        beside = (f"{read}\n; {write}", f"{write};{read}\n;", f"/* {read} */ {write} -- {read}", f"{read}\n;;{write};")
-        for text in beside:
-            assert read_sql(text).does.needs_primary, text
-            counted += 1
+        combinations = (
+            f"{read}\n; {write}",
+            f"{write};{read}\n;",
+            f"/* {read} */ {write} -- {read}",
+            f"{read}\n;;{write};",
+        )
+        for text in combinations:
+            assert analyze_sql(text).effect.needs_primary, text
+            checked += 1
     for write in WRITES + LOCKS:
         for text in (f"  {write}  ;", f"\n\t{write}\n", f"BEGIN; {write}; COMMIT", f"SET x = 1; {write}"):
-            assert read_sql(text).does.needs_primary, text
-            counted += 1
-        prepared = read_sql(f"PREPARE p AS {write}")
-        assert prepared.does is Does.UNKNOWN or prepared.prepares[0][1].needs_primary, write
-    assert counted > 8_000
-
-
-def test_a_prepared_statement_is_what_it_was_prepared_as() -> None:
-    known = dict(read_sql("PREPARE p(int) AS SELECT $1").prepares + read_sql("PREPARE w AS DELETE FROM t").prepares)
-    assert known == {"p": Does.READ, "w": Does.WRITE}
-    read, write, both, lost = (
-        read_sql(text) for text in ("EXECUTE p(1)", "EXECUTE w", "EXECUTE p(1); EXECUTE w", "EXECUTE q")
+            assert analyze_sql(text).effect.needs_primary, text
+            checked += 1
+        prepared = analyze_sql(f"PREPARE p AS {write}")
+        assert prepared.effect is StatementEffect.UNKNOWN or prepared.prepares[0][1].needs_primary, write
+    assert checked > 8_000
+
+
+def test_execute_has_the_effect_of_the_prepared_statement() -> None:
+    prepared = dict(
+        analyze_sql("PREPARE p(int) AS SELECT $1").prepares + analyze_sql("PREPARE w AS DELETE FROM t").prepares
+    )
+    assert prepared == {"p": StatementEffect.READ, "w": StatementEffect.WRITE}
+    read, write, both, missing = (
+        analyze_sql(text) for text in ("EXECUTE p(1)", "EXECUTE w", "EXECUTE p(1); EXECUTE w", "EXECUTE q")
     )
-    # Until it is known what it runs, it is not a read.
-    assert all(one.does is Does.UNKNOWN for one in (read, write, both, lost))
-    assert with_prepared(read, known) is Does.READ and with_prepared(write, known) is Does.WRITE
-    assert with_prepared(both, known) is Does.WRITE and with_prepared(lost, known) is Does.UNKNOWN
-    assert with_prepared(read_sql("EXECUTE p(nextval('ids'))"), known) is Does.WRITE
-    assert with_prepared(read_sql("EXPLAIN ANALYZE EXECUTE w"), known) is Does.WRITE
-    assert with_prepared(read_sql("SELECT 1"), {}) is Does.READ
+    # Until the prepared statement is looked up, EXECUTE does not count as a read.
+    assert all(analysis.effect is StatementEffect.UNKNOWN for analysis in (read, write, both, missing))
+    assert effect_with_prepared(read, prepared) is StatementEffect.READ
+    assert effect_with_prepared(write, prepared) is StatementEffect.WRITE
+    assert effect_with_prepared(both, prepared) is StatementEffect.WRITE
+    assert effect_with_prepared(missing, prepared) is StatementEffect.UNKNOWN
+    assert effect_with_prepared(analyze_sql("EXECUTE p(nextval('ids'))"), prepared) is StatementEffect.WRITE
+    assert effect_with_prepared(analyze_sql("EXPLAIN ANALYZE EXECUTE w"), prepared) is StatementEffect.WRITE
+    assert effect_with_prepared(analyze_sql("SELECT 1"), {}) is StatementEffect.READ
 
 
 @pytest.mark.parametrize(
-    ("text", "does", "session"),
+    ("text", "effect", "session"),
     [
-        ("SET search_path = a", Does.SESSION, {"settings"}),
-        ("RESET ALL", Does.SESSION, {"settings"}),
-        ("SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY", Does.SESSION, {"settings"}),
-        ("SELECT set_config('a.b', 'x', false)", Does.SESSION, {"settings"}),
-        ("DISCARD ALL", Does.SESSION, {"settings"}),
-        ("LOAD 'x'", Does.SESSION, {"settings"}),
-        ("PREPARE p AS SELECT 1", Does.SESSION, {"prepared"}),
-        ("DEALLOCATE p", Does.SESSION, {"prepared"}),
-        ("DECLARE c CURSOR FOR SELECT 1", Does.SESSION, {"cursor"}),
-        ("DECLARE c CURSOR WITH HOLD FOR SELECT * FROM t FOR UPDATE", Does.LOCK, {"cursor"}),
-        ("FETCH 10 FROM c", Does.SESSION, {"cursor"}),
-        ("CLOSE c", Does.SESSION, {"cursor"}),
-        ("CREATE TEMP TABLE t (a int)", Does.WRITE, {"temporary"}),
-        ("CREATE TEMPORARY TABLE t AS SELECT 1", Does.WRITE, {"temporary"}),
-        ("SELECT 1 INTO TEMP t", Does.WRITE, {"temporary"}),
-        ("CREATE TEMP VIEW v AS SELECT 1", Does.WRITE, {"temporary"}),
-        ("SELECT * FROM pg_temp.t", Does.READ, {"temporary"}),
-        ("SELECT pg_advisory_lock(1)", Does.LOCK, {"locks"}),
-        ("SELECT pg_advisory_xact_lock(1)", Does.LOCK, set()),
-        ("LISTEN c", Does.LOCK, {"listen"}),
-        ("SELECT currval('ids')", Does.SESSION, {"sequence"}),
-        ("SET x = 1; SELECT 1", Does.SESSION, {"settings"}),
-        ("SELEC 1", Does.UNKNOWN, {"unknown"}),
-        ("", Does.READ, set()),
+        ("SET search_path = a", StatementEffect.SESSION, {"settings"}),
+        ("RESET ALL", StatementEffect.SESSION, {"settings"}),
+        ("SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY", StatementEffect.SESSION, {"settings"}),
+        ("SELECT set_config('a.b', 'x', false)", StatementEffect.SESSION, {"settings"}),
+        ("DISCARD ALL", StatementEffect.SESSION, {"settings"}),
+        ("LOAD 'x'", StatementEffect.SESSION, {"settings"}),
+        ("PREPARE p AS SELECT 1", StatementEffect.SESSION, {"prepared"}),
+        ("DEALLOCATE p", StatementEffect.SESSION, {"prepared"}),
+        ("DECLARE c CURSOR FOR SELECT 1", StatementEffect.SESSION, {"cursor"}),
+        ("DECLARE c CURSOR WITH HOLD FOR SELECT * FROM t FOR UPDATE", StatementEffect.LOCK, {"cursor"}),
+        ("FETCH 10 FROM c", StatementEffect.SESSION, {"cursor"}),
+        ("CLOSE c", StatementEffect.SESSION, {"cursor"}),
+        ("CREATE TEMP TABLE t (a int)", StatementEffect.WRITE, {"temporary"}),
+        ("CREATE TEMPORARY TABLE t AS SELECT 1", StatementEffect.WRITE, {"temporary"}),
+        ("SELECT 1 INTO TEMP t", StatementEffect.WRITE, {"temporary"}),
+        ("CREATE TEMP VIEW v AS SELECT 1", StatementEffect.WRITE, {"temporary"}),
+        ("SELECT * FROM pg_temp.t", StatementEffect.READ, {"temporary"}),
+        ("SELECT pg_advisory_lock(1)", StatementEffect.LOCK, {"locks"}),
+        ("SELECT pg_advisory_xact_lock(1)", StatementEffect.LOCK, set()),
+        ("LISTEN c", StatementEffect.LOCK, {"listen"}),
+        ("SELECT currval('ids')", StatementEffect.SESSION, {"sequence"}),
+        ("SET x = 1; SELECT 1", StatementEffect.SESSION, {"settings"}),
+        ("SELEC 1", StatementEffect.UNKNOWN, {"unknown"}),
+        ("", StatementEffect.READ, set()),
     ],
 )
-def test_what_stays_in_the_session(text: str, does: Does, session: set[str]) -> None:
-    found = read_sql(text)
-    assert found.does is does and found.session == session
+def test_state_that_stays_in_the_session(text: str, effect: StatementEffect, session: set[str]) -> None:
+    analysis = analyze_sql(text)
+    assert analysis.effect is effect and analysis.session == session
 
 
 @pytest.mark.parametrize(
-    ("text", "control", "local"),
+    ("text", "control", "is_local"),
     [
         ("BEGIN", ("begin",), False),
         ("START TRANSACTION ISOLATION LEVEL SERIALIZABLE, READ ONLY", ("begin read only",), False),
@@ -215,34 +224,35 @@
         ("BEGIN; SELECT 1; COMMIT", ("begin", "end"), False),
     ],
 )
-def test_transactions_are_followed(text: str, control: tuple[str, ...], local: bool) -> None:
-    found = read_sql(text)
-    assert found.does is Does.CONTROL and found.control == control and found.local is local and not found.session
+def test_transaction_control_is_recognized(text: str, control: tuple[str, ...], is_local: bool) -> None:
+    analysis = analyze_sql(text)
+    assert analysis.effect is StatementEffect.CONTROL and analysis.control == control
+    assert analysis.is_local is is_local and not analysis.session
 
 
-def test_commands_of_resp_go_by_the_command_table() -> None:
+def test_resp_commands_are_classified_by_the_command_table() -> None:
     for name, spec in COMMANDS.items():
-        does = read_command(name)
-        assert does.needs_primary == (spec.kind in (Kind.WRITE, Kind.SCRIPT, Kind.KEYLESS, Kind.BLOCKING)), name
-    assert read_command(b"get") is Does.READ and read_command(b"nosuch") is Does.UNKNOWN
+        effect = command_effect(name)
+        assert effect.needs_primary == (spec.kind in (Kind.WRITE, Kind.SCRIPT, Kind.KEYLESS, Kind.BLOCKING)), name
+    assert command_effect(b"get") is StatementEffect.READ and command_effect(b"nosuch") is StatementEffect.UNKNOWN
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_read_or_unknown(text: str) -> None:
-    assert read_sql(text).does in Does
+def test_any_text_is_analyzed_without_an_error(text: str) -> None:
+    assert analyze_sql(text).effect in StatementEffect
 
 
-def test_what_is_nested_too_deep_is_unknown_and_harms_nothing() -> None:
+def test_a_text_that_is_nested_too_deeply_raises_nothing() -> None:
     for text in ("SELECT " + "(" * 4_000 + "1" + ")" * 4_000, "SELECT " + "-" * 1 + " - " * 3_000 + "1"):
-        assert read_sql(text).does in (Does.UNKNOWN, Does.READ)
-    assert read_sql("SELECT 1").does is Does.READ
+        assert analyze_sql(text).effect in (StatementEffect.UNKNOWN, StatementEffect.READ)
+    assert analyze_sql("SELECT 1").effect is StatementEffect.READ
 
 
-def test_the_cache_is_bounded_and_answers_what_the_reader_does() -> None:
-    cache = Readings(most=10, longest=100)
+def test_the_cache_is_bounded_and_returns_what_the_analysis_does() -> None:
+    cache = AnalysisCache(max_texts=10, max_text_length=100)
     for number in range(50):
-        assert cache.read(f"SELECT {number}").does is Does.READ
-        assert cache.read("DELETE FROM t").does is Does.WRITE
+        assert cache.analyze(f"SELECT {number}").effect is StatementEffect.READ
+        assert cache.analyze("DELETE FROM t").effect is StatementEffect.WRITE
     assert len(cache) == 10 and cache.hits == 49 and cache.misses == 51
-    cache.read("SELECT '" + "x" * 200 + "'")
-    assert len(cache) == 10 and cache.read("DELETE FROM t") is cache.read("DELETE FROM t")
+    cache.analyze("SELECT '" + "x" * 200 + "'")
+    assert len(cache) == 10 and cache.analyze("DELETE FROM t") is cache.analyze("DELETE FROM t")
