--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Recordings: a day replays to the same effects; damage ends the reading at its place; a changed guard is found."""
+"""Recordings: replays give the same effects, reading stops at damage, and a replay finds a changed rule."""
 
 import subprocess
 import sys
@@ -22,34 +22,34 @@
 
 @contextmanager
 def traced(recorder: Recorder) -> Iterator[list[bytes]]:
-    """Record all that engines do meanwhile; the frames, header first."""
-    parts = [recorder.header]
+    """Record every engine while the context is open; yields the frames, beginning with the header."""
+    frames = [recorder.header]
     original = Engine.handle
 
     def handle(self: Engine, given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
         effects = original(self, given, now_us)
-        parts.append(recorder.add_input(now_us, given, effects))
+        frames.append(recorder.add_input(now_us, given, effects))
         return effects
 
     Engine.handle = handle  # type: ignore[method-assign]
     try:
-        yield parts
+        yield frames
     finally:
         Engine.handle = original  # type: ignore[method-assign]
 
 
 def recorded(steps: list[tuple[int, int]]) -> bytes:
-    """A short history of an engine, recorded."""
-    with traced(Recorder("test", SETTINGS, 1_000_000_000)) as parts:
+    """The recording of an engine that goes through the steps, each a kind of step and a number."""
+    with traced(Recorder("test", SETTINGS, 1_000_000_000)) as frames:
         rig = Rig()
-        for what, number in steps:
-            if what < 2:
-                rig.ask(*[("GET", KEY), ("SET", PLAIN, number)][what])
-            elif what < 5 and rig.sent:
-                rig.end(rig.sent[number % len(rig.sent)], how=["reply", "reset", "no room"][what - 2])
+        for kind, number in steps:
+            if kind < 2:
+                rig.ask(*[("GET", KEY), ("SET", PLAIN, number)][kind])
+            elif kind < 5 and rig.sent:
+                rig.end(rig.sent[number % len(rig.sent)], how=["reply", "reset", "no room"][kind - 2])
             else:
                 rig.pass_us(number * 3_000)
-    return b"".join(parts)
+    return b"".join(frames)
 
 
 STEPS = st.lists(st.tuples(st.integers(0, 5), st.integers(0, 300)), max_size=40)
@@ -58,27 +58,27 @@
 @hypothesis.given(STEPS)
 def test_a_recording_replays_to_the_same_effects(steps: list[tuple[int, int]]) -> None:
     recording = Recording(recorded(steps))
-    found = replay(recording.header, recording.entries())
-    assert found.inputs >= 4 and found.differences == 0 and not recording.damage
+    replayed = replay(recording.header, recording.entries())
+    assert replayed.inputs >= 4 and replayed.differences == 0 and not recording.damage
 
 
 @hypothesis.given(STEPS, st.integers(0, 10**6), st.integers(1, 255))
-def test_damage_ends_the_reading_at_its_place(steps: list[tuple[int, int]], at: int, flip: int) -> None:
+def test_reading_stops_at_damage_and_names_its_byte(steps: list[tuple[int, int]], position: int, flip: int) -> None:
     data = bytearray(recorded(steps))
-    whole = len(list(Recording(bytes(data)).entries()))
-    at %= len(data)
-    data[at] ^= flip
+    intact_count = len(list(Recording(bytes(data)).entries()))
+    position %= len(data)
+    data[position] ^= flip
     try:
         recording = Recording(bytes(data), "f")
     except RecordingError as error:
         assert str(error).startswith("f: byte ")
         return
     count = len(list(recording.entries()))
-    assert count < whole and recording.damage.startswith("f: byte ")
-    assert int(recording.damage.split()[2].rstrip(":")) <= at
+    assert count < intact_count and recording.damage.startswith("f: byte ")
+    assert int(recording.damage.split()[2].rstrip(":")) <= position
 
 
-def test_a_cut_off_file_is_read_up_to_the_cut() -> None:
+def test_a_truncated_file_is_read_up_to_its_end() -> None:
     data = recorded([(0, 0), (1, 1), (2, 0), (5, 9)])
     count = len(list(Recording(data).entries()))
     for cut in range(len(data) - 200, len(data)):
@@ -93,25 +93,25 @@
 @pytest.mark.parametrize(
     "data", [b"", b"x" * 50, core.MAGIC, core.MAGIC[:-1] + b"\x09" + b"x" * 20, core.MAGIC + core.frame(b"\x90")]
 )
-def test_what_is_no_recording_is_one_line(data: bytes) -> None:
+def test_data_that_is_no_recording_gives_an_error_of_one_line(data: bytes) -> None:
     with pytest.raises(RecordingError, match="^f: byte|^$") as caught:
         Recording(data, "f")
     assert "\n" not in str(caught.value)
 
 
-def parts_of(steps: list[tuple[int, int]], part_bytes: int, parts: int = 1_000, at: int = 0) -> list[bytes]:
-    """The same history in parts, recorded from its input `at` on."""
-    rig, made = Rig(), Engine.handle
+def parts_of(steps: list[tuple[int, int]], part_bytes: int, parts: int = 1_000, first: int = 0) -> list[bytes]:
+    """The parts of a recording that begins after the input with the number `first`."""
+    rig, original = Rig(), Engine.handle
     recorder = Recorder("test", SETTINGS, rig.now, part_bytes=part_bytes, parts=parts, engine=rig.engine)
     count = 0
 
     def handle(self: Engine, given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
         nonlocal count, recorder
-        effects = made(self, given, now_us)
+        effects = original(self, given, now_us)
         count += 1
-        if count == at:
+        if count == first:
             recorder = Recorder("test", SETTINGS, now_us, part_bytes=part_bytes, parts=parts, engine=self)
-        elif count > at:
+        elif count > first:
             recorder.add_input(now_us, given, effects)
             if recorder.is_full:
                 recorder.begin_part(self, now_us)
@@ -119,23 +119,23 @@
 
     Engine.handle = handle  # type: ignore[method-assign]
     try:
-        for what, number in steps:
-            if what < 3:
-                rig.ask(*[("GET", KEY), ("SET", PLAIN, number), ("MULTI",)][what])
-            elif what < 5 and rig.sent:
-                rig.end(rig.sent[number % len(rig.sent)], how=["reply", "reset"][what - 3])
+        for kind, number in steps:
+            if kind < 3:
+                rig.ask(*[("GET", KEY), ("SET", PLAIN, number), ("MULTI",)][kind])
+            elif kind < 5 and rig.sent:
+                rig.end(rig.sent[number % len(rig.sent)], how=["reply", "reset"][kind - 3])
             else:
                 rig.pass_us(number * 3_000)
     finally:
-        Engine.handle = made  # type: ignore[method-assign]
-    return [b"".join(one.frames) for one in recorder.kept_parts]
+        Engine.handle = original  # type: ignore[method-assign]
+    return [b"".join(part.frames) for part in recorder.kept_parts]
 
 
 @hypothesis.given(STEPS, st.integers(1, 3_000), st.integers(0, 30))
-def test_every_part_replays_by_itself_wherever_it_was_cut_or_begun(
-    steps: list[tuple[int, int]], part_bytes: int, at: int
+def test_every_part_replays_by_itself_wherever_it_begins(
+    steps: list[tuple[int, int]], part_bytes: int, first: int
 ) -> None:
-    for number, data in enumerate(parts_of(steps, part_bytes, at=at), 1):
+    for number, data in enumerate(parts_of(steps, part_bytes, first=first), 1):
         recording = Recording(data)
         assert recording.header.part == number
         assert replay(recording.header, recording.entries()).differences == 0
@@ -143,28 +143,28 @@
 
 def test_the_ring_is_bounded_and_its_oldest_part_still_replays() -> None:
     steps = [(number % 6, number * 7 % 300) for number in range(600)]
-    whole = parts_of(steps, 2_000)
+    all_parts = parts_of(steps, 2_000)
     ring = parts_of(steps, 2_000, parts=3)
-    assert len(whole) > 10 and len(ring) == 3 and ring == whole[-3:]
-    assert sum(map(len, ring)) < sum(map(len, whole)) / 3
+    assert len(all_parts) > 10 and len(ring) == 3 and ring == all_parts[-3:]
+    assert sum(map(len, ring)) < sum(map(len, all_parts)) / 3
     recording = Recording(ring[0])
     assert recording.header.snapshot and replay(recording.header, recording.entries()).inputs > 3
-    # A state of another version is refused with the place, before anything is replayed.
+    # A damaged state is refused before anything is replayed.
     broken = msgspec.structs.replace(recording.header, snapshot=recording.header.snapshot[:-9])
     with pytest.raises(RecordingError, match="half-written"):
         replay(broken, iter(()))
 
 
-def test_a_day_of_trouble_replays_without_a_difference_and_a_changed_guard_is_named(
+def test_a_day_of_trouble_replays_without_a_difference_and_a_changed_rule_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, day_of_trouble: tuple[Report, list[Path]]
 ) -> None:
     _, files = day_of_trouble
     inputs = 0
     for file in files:
         recording = Recording(file.read_bytes())
-        found = replay(recording.header, recording.entries())
-        assert found.differences == 0, found.first
-        inputs += found.inputs
+        replayed = replay(recording.header, recording.entries())
+        assert replayed.differences == 0, replayed.first
+        inputs += replayed.inputs
     assert inputs > 3_000
     path = tmp_path / "day.0"
     path.write_bytes(files[0].read_bytes())
@@ -173,9 +173,9 @@
     path.write_bytes(path.read_bytes()[:-3])
     done = subprocess.run([sys.executable, "-m", "oatlink", "replay", str(path)], capture_output=True, text=True)
     assert done.returncode == 0 and "cut off inside a frame" in done.stderr
-    # A guard is changed: the replay must find it and name the request.
+    # With two rules changed, the replay differs and names a request.
     monkeypatch.setattr(checks, "in_doubt", lambda *_: False)
     monkeypatch.setattr(room, "has_room", lambda book, member, share, *_: len(member.out) < 1)
     recording = Recording(files[1].read_bytes())
-    found = replay(recording.header, recording.entries())
-    assert found.differences > 0 and found.first is not None and found.first.request > 0
+    replayed = replay(recording.header, recording.entries())
+    assert replayed.differences > 0 and replayed.first is not None and replayed.first.request > 0
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -1,4 +1,4 @@
-"""Redacted recordings hold nothing that clients said and still route the same."""
+"""Redacted recordings contain no data of clients, and a replay of them still routes the same."""
 
 import msgspec
 from hypothesis import given
@@ -17,8 +17,8 @@
 HASHED = msgspec.structs.replace(SETTINGS, record_redact="keys")
 KEYS = st.one_of(
     st.binary(min_size=1, max_size=20),
-    st.binary(max_size=9).map(lambda one: b"v:" + one),
-    st.binary(max_size=9).map(lambda one: b"o:{" + one + b"}x"),
+    st.binary(max_size=9).map(lambda suffix: b"v:" + suffix),
+    st.binary(max_size=9).map(lambda tag: b"o:{" + tag + b"}x"),
 )
 COMMANDS = st.one_of(
     st.tuples(st.just(b"GET"), KEYS),
@@ -40,24 +40,24 @@
 
 
 @given(COMMANDS.map(list))
-def test_a_redacted_command_routes_as_before(args: list[bytes]) -> None:
+def test_a_redacted_command_is_routed_like_the_original(args: list[bytes]) -> None:
     spec = find(args[0])
     assert spec is not None
-    made = Redactor(HASHED).redact_command(args)
-    assert len(made) == len(args)
-    keys, hashed = spec.keys(args), spec.keys(made)
-    assert [slots_of([one]) for one in keys] == [slots_of([one]) for one in hashed]
+    redacted = Redactor(HASHED).redact_command(args)
+    assert len(redacted) == len(args)
+    keys, hashed_keys = spec.keys(args), spec.keys(redacted)
+    assert [slots_of([key]) for key in keys] == [slots_of([key]) for key in hashed_keys]
     classifier = Classifier(SETTINGS)
-    assert classifier.class_of(spec, args, keys, "", "") is classifier.class_of(spec, made, hashed, "", "")
-    assert (idempotency_key(spec, args) is None) is (idempotency_key(spec, made) is None)
+    assert classifier.class_of(spec, args, keys, "", "") is classifier.class_of(spec, redacted, hashed_keys, "", "")
+    assert (idempotency_key(spec, args) is None) is (idempotency_key(spec, redacted) is None)
 
 
-def test_nothing_said_by_a_client_is_left() -> None:
-    made = Redactor(HASHED).redact_command([b"SET", b"v:customer-17", b"balance 100"])
-    assert b"customer" not in made[1] and made[1].startswith(b"v:") and made[2] == b""
-    for words in ([b"AUTH", b"user", b"password"], [b"HELLO", b"3", b"AUTH", b"user", b"password"], [b"AUTH", b"x"]):
-        given = Redactor(SETTINGS).redact_input(m.Asked(1, words))
-        assert isinstance(given, m.Asked) and not {b"user", b"password", b"x"} & set(given.args)
+def test_no_data_of_a_client_remains() -> None:
+    redacted = Redactor(HASHED).redact_command([b"SET", b"v:customer-17", b"balance 100"])
+    assert b"customer" not in redacted[1] and redacted[1].startswith(b"v:") and redacted[2] == b""
+    for args in ([b"AUTH", b"user", b"password"], [b"HELLO", b"3", b"AUTH", b"user", b"password"], [b"AUTH", b"x"]):
+        recorded = Redactor(SETTINGS).redact_input(m.Asked(1, args))
+        assert isinstance(recorded, m.Asked) and not {b"user", b"password", b"x"} & set(recorded.args)
 
 
 def test_no_password_is_recorded_and_logins_still_replay() -> None:
@@ -65,7 +65,7 @@
     settings = msgspec.structs.replace(SETTINGS, users=users)
     recorder = Recorder("test", settings, 1_000_000_000)
     rig = Rig(settings)
-    with traced(recorder) as parts:
+    with traced(recorder) as frames:
         rig.engine = Engine(settings, rig.now)
         rig.give(m.Opened(1))
         answers = []
@@ -83,7 +83,7 @@
         rig.ask("AUTH", "teller", "newsecret")
         answers += [rig.text()[:1]]
     assert answers == [b"-", b"-", b"%", b"+", b"-", b"-"]
-    data = b"".join(parts)
+    data = b"".join(frames)
     assert b"secret" not in data and b"wrong-one" not in data
     recording = Recording(data)
     assert replay(recording.header, recording.entries()).differences == 0
@@ -96,7 +96,7 @@
 
 def test_a_redacted_recording_replays_without_a_difference() -> None:
     recorder = Recorder("test", HASHED, 1_000_000_000)
-    with traced(recorder) as parts:
+    with traced(recorder) as frames:
         rig = Rig()
         for number in range(60):
             send = rig.ask(
@@ -111,29 +111,31 @@
             if number == 30:
                 rig.says["p"], rig.says["r"] = b"", info("primary", 100, "h2", "r", "h1", 101)
             rig.pass_us(40_000)
-    data = b"".join(parts)
+    data = b"".join(frames)
     assert b"topsecret" not in data and KEY.encode() not in data.split(b"key_pattern")[0][len(recorder.header) :]
     recording = Recording(data)
-    found = replay(recording.header, recording.entries())
-    assert found.inputs > 100 and found.differences == 0, found.first
+    replayed = replay(recording.header, recording.entries())
+    assert replayed.inputs > 100 and replayed.differences == 0, replayed.first
 
 
-def test_a_part_that_begins_amid_secrets_holds_none_of_them_and_replays() -> None:
+def test_a_part_that_begins_with_secrets_in_the_state_contains_none_of_them_and_replays() -> None:
     rig = Rig(HASHED)
     first = sent(rig.ask("SET", PLAIN, "topsecret"))
-    rig.ask("GET", PLAIN)  # waits, answered out of a snapshot's request
+    rig.ask("GET", PLAIN)  # waits for the write; answered by a request that the snapshot contains
     rig.ask("MULTI", client=2)
     rig.ask("SET", OWN, "topsecret", client=2)
-    rig.end(sent(rig.ask("GET", OTHER)), [b"$9\r\ntopsecret\r\n"])  # in its row, behind the others' answers
+    rig.end(
+        sent(rig.ask("GET", OTHER)), [b"$9\r\ntopsecret\r\n"]
+    )  # its answer waits behind those of the commands before it
     recorder = Recorder("test", HASHED, rig.now, engine=rig.engine)
-    with traced(recorder) as parts:
+    with traced(recorder) as frames:
         rig.end(first, [b"+OK\r\n"])
         rig.end(rig.sent[-1], [b"$9\r\ntopsecret\r\n"])
         rig.end(sent(rig.ask("EXEC", client=2)), [b"+OK\r\n", b"+QUEUED\r\n", b"*1\r\n+OK\r\n"])
     assert rig.text().count(b"topsecret") == 2 and rig.text(2).endswith(b"+OK\r\n")
-    data = b"".join(parts)
+    data = b"".join(frames)
     assert b"topsecret" not in data and OWN.encode() not in data
     recording = Recording(data)
     assert recording.header.snapshot
-    found = replay(recording.header, recording.entries())
-    assert found.inputs == 4 and found.differences == 0, found.first
+    replayed = replay(recording.header, recording.entries())
+    assert replayed.inputs == 4 and replayed.differences == 0, replayed.first
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: the state to one value and back gives the same effects after; what may be believed at a start."""
+"""Snapshots: a restored engine gives the same effects, and a new process takes over what is still valid."""
 
 from itertools import islice
 from pathlib import Path
@@ -16,22 +16,22 @@
 from tests.test_engine import OWN, PLAIN, SETTINGS, TEMPLATE, Rig, info, sent
 
 
-def test_a_day_goes_on_from_a_snapshot_as_if_nothing_had_been(day_of_trouble: tuple[Report, list[Path]]) -> None:
+def test_a_day_goes_on_from_snapshots_with_the_same_effects(day_of_trouble: tuple[Report, list[Path]]) -> None:
     encode = msgspec.msgpack.encode
     compared = snapshots = 0
     for file in day_of_trouble[1]:
         recording = Recording(file.read_bytes())
         engine = Engine(recording.header.settings, recording.header.began_us)
-        for at, entry in enumerate(islice(recording.entries(), 4_000)):
-            if at % 500 == 499 or at == 37:
+        for index, entry in enumerate(islice(recording.entries(), 4_000)):
+            if index % 500 == 499 or index == 37:
                 engine = restore_engine(take_snapshot(engine, entry.now_us), recording.header.settings)
                 snapshots += 1
-            assert encode(engine.handle(entry.given, entry.now_us)) == encode(entry.effects), at
+            assert encode(engine.handle(entry.given, entry.now_us)) == encode(entry.effects), index
             compared += 1
     assert compared > 1_500 and snapshots >= 4
 
 
-def test_open_requests_holds_and_transactions_are_in_it() -> None:
+def test_a_snapshot_contains_open_and_pending_requests_and_transactions() -> None:
     rig = Rig()
     first = sent(rig.ask("SET", PLAIN, 1))
     rig.ask("GET", PLAIN)
@@ -61,8 +61,8 @@
         restore_engine(data, SETTINGS)
 
 
-def begin_again(rig: Rig, pass_us: int, data: bytes = b"") -> Rig:
-    """A new process that starts from a snapshot of the old one, taken now or before."""
+def restart_from(rig: Rig, pass_us: int, data: bytes = b"") -> Rig:
+    """A new process that starts from a snapshot of the old one: from `data`, or from one that is taken now."""
     new = Rig()
     new.now = rig.now + pass_us
     new.engine = engine_from_snapshot(data or take_snapshot(rig.engine, rig.now), SETTINGS, new.now)
@@ -73,12 +73,12 @@
     return new
 
 
-def test_a_session_that_comes_back_still_reads_its_own_writes() -> None:
+def test_a_reconnected_session_still_reads_its_own_writes() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", OWN, 1)))
     rig.says["p"] = info("primary", 150, run="p")
-    new = begin_again(rig, 100_000)
-    for _ in range(3):  # the first read of a gateway may go to the primary by chance; all must
+    new = restart_from(rig, 100_000)
+    for _ in range(3):  # a gateway's first read may reach the primary by chance, so all are checked
         send = sent(new.ask("GET", OWN))
         assert send.box == "p"  # the replicas are still at 100
         new.end(send, [b"$1\r\n1\r\n"])
@@ -86,46 +86,46 @@
 
 
 def reads_go_to(rig: Rig, count: int = 3) -> set[str]:
-    """Where a session's next reads go."""
-    found = set()
+    """The boxes that a session's next reads are sent to."""
+    boxes = set()
     for _ in range(count):
         send = sent(rig.ask("GET", OWN))
-        found.add(send.box)
+        boxes.add(send.box)
         rig.end(send, [b"$1\r\n1\r\n"])
         rig.pass_us(1_000)
-    return found
+    return boxes
 
 
-def test_a_session_that_comes_back_sees_a_write_that_was_open_at_the_snapshot() -> None:
-    """A client whose gateway died under its write read from a replica that had not got it.
+def test_a_reconnected_session_reads_its_write_that_was_open_at_the_snapshot() -> None:
+    """Guards against a client's read from a replica without the client's own write, after its gateway died.
 
-    Only what was answered stood in the sessions that a new process takes over; a write that was out was forgotten with
-    its request, though the primary had committed it (here: the primary at 150, the replicas at 100).
+    A new process took over only the writes that had been answered. A write that was still open was lost with its
+    request, although the primary had committed it (here the primary is at 150, the replicas at 100).
     """
     rig = Rig()
     sent(rig.ask("SET", OWN, 1))
     rig.says["p"] = info("primary", 150, run="p")
-    assert reads_go_to(begin_again(rig, 100_000)) == {"p"}
+    assert reads_go_to(restart_from(rig, 100_000)) == {"p"}
 
 
-def test_a_session_that_comes_back_sees_a_write_of_after_the_snapshot() -> None:
-    """The same where the snapshot was older than the write: all that came between is unknown to the new process."""
+def test_a_reconnected_session_reads_its_write_that_came_after_the_snapshot() -> None:
+    """Guards against the same failure where the write came after the snapshot: the new process does not know of it."""
     rig = Rig()
     data = take_snapshot(rig.engine, rig.now)
     rig.end(sent(rig.ask("SET", OWN, 1)))
     rig.says["p"] = info("primary", 150, run="p")
-    assert reads_go_to(begin_again(rig, 100_000, data)) == {"p"}
+    assert reads_go_to(restart_from(rig, 100_000, data)) == {"p"}
 
 
-def test_an_election_between_is_not_missed() -> None:
+def test_an_election_after_the_snapshot_is_noticed() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
     rig.says["p"], rig.says["r"] = info("replica", 100, "h2", "p"), info("primary", 100, "h2", "r", "h1", 101)
-    new = begin_again(rig, 1_000_000)
+    new = restart_from(rig, 1_000_000)
     assert sent(new.ask("SET", PLAIN, 2)).box == "r"
 
 
-def test_a_clock_that_began_anew_and_an_old_state_are_refused() -> None:
+def test_a_snapshot_that_is_too_old_or_ahead_of_the_clock_is_refused() -> None:
     rig = Rig()
     data = take_snapshot(rig.engine, rig.now)
     with pytest.raises(SnapshotError, match="began anew"):
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -1,4 +1,4 @@
-"""Files that an earlier program wrote are read, and the same names are written: renamed code does not change them."""
+"""Stored files of version 0.3.0 are read, and the same names are written, whatever names the code has now."""
 
 from pathlib import Path
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture(autouse=True)
-def as_the_version_that_wrote_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def as_version_0_3_0(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(snapshot, "__version__", "0.3.0")
 
 
@@ -34,13 +34,13 @@
     """The names of the records and enums in a snapshot's values."""
     if not isinstance(value, list):
         return set()
-    own = {value[2]} if value and value[0] == "i" else {value[1]} if value and value[0] == "e" else set()
-    return own.union(*map(record_names, value))
+    own_name = {value[2]} if value and value[0] == "i" else {value[1]} if value and value[0] == "e" else set()
+    return own_name.union(*map(record_names, value))
 
 
 def outer_names(*types: Any) -> list[str]:
-    """Each structure that the types lead to: its tag and its fields in order, without the name of its class."""
-    found: dict[Any, str] = {}
+    """For each structure reachable from the types, its tag and its fields in order, without the name of its class."""
+    structures: dict[Any, str] = {}
 
     def walk(info: Any) -> None:
         if isinstance(info, list | tuple):
@@ -48,15 +48,15 @@
                 walk(part)
         elif isinstance(info, msgspec.inspect.Type | msgspec.inspect.Field):
             if isinstance(info, msgspec.inspect.StructType | msgspec.inspect.DataclassType):
-                if info.cls in found:
+                if info.cls in structures:
                     return
                 tag = getattr(info, "tag", None) or "-"
-                found[info.cls] = " ".join([f"{tag}:", *(field.encode_name for field in info.fields)])
+                structures[info.cls] = " ".join([f"{tag}:", *(field.encode_name for field in info.fields)])
             for name in info.__struct_fields__:
                 walk(getattr(info, name))
 
     walk(msgspec.inspect.multi_type_info(types))
-    return sorted(found.values())
+    return sorted(structures.values())
 
 
 def test_a_stored_snapshot_is_restored_and_written_again_as_the_same_bytes() -> None:
@@ -78,11 +78,11 @@
 
 def test_a_stored_recording_is_encoded_again_as_the_same_bytes() -> None:
     recording = Recording(RECORDING)
-    payloads = [msgspec.msgpack.encode(one) for one in (recording.header, *recording.entries())]
-    at = 0
+    payloads = [msgspec.msgpack.encode(record) for record in (recording.header, *recording.entries())]
+    position = 0
     for payload in payloads:
-        at = RECORDING.index(payload, at) + len(payload)
-    assert at == len(RECORDING)
+        position = RECORDING.index(payload, position) + len(payload)
+    assert position == len(RECORDING)
 
 
 def test_the_names_in_recordings_and_heads_are_the_stored_ones() -> None:
@@ -90,9 +90,9 @@
     assert "\n".join(names) + "\n" == (DATA / "names-0.3.0.txt").read_text()
 
 
-def test_an_attribute_that_the_tables_do_not_know_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An attribute that is new or renamed would be left out of snapshots without a sign."""
-    engine, whole = restored(), restored()
+def test_an_attribute_that_is_missing_in_the_tables_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a new or renamed attribute that would be left out of snapshots without any error."""
+    engine, unchanged_engine = restored(), restored()
     engine.another = 1  # type: ignore[attr-defined]
     with pytest.raises(TypeError, match="the engine: .* differ about another"):
         take_snapshot(engine, 1)
@@ -103,7 +103,7 @@
             patch.delitem(table, name)
             with pytest.raises(TypeError, match=f"differ about {attribute}$"):
                 stored_names._check_tables()
-                take_snapshot(whole, 1)
+                take_snapshot(unchanged_engine, 1)
     name = "oatlink.core.shared.GroupState"
     attributes = stored_names.RECORDS[name][1]
     for changed in (attributes[1:], (*attributes, "another"), (attributes[1], attributes[0], *attributes[2:])):
