--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Helpers agree with the gateway, for they ask the same engine: status, check, explain."""
+"""The operators' commands (status, check, explain, replay, record) agree with the gateway: they use its engine."""
 
 import asyncio
 import contextlib
@@ -29,21 +29,22 @@
 
 
 def run(*words: str, code: int = 0) -> str:
-    done = subprocess.run([sys.executable, "-m", "oatlink", *words], capture_output=True, text=True, timeout=30)
-    assert done.returncode == code, done.stdout + done.stderr
-    return done.stdout + done.stderr
+    """The output of an `oatlink` command that must end with this exit code."""
+    process = subprocess.run([sys.executable, "-m", "oatlink", *words], capture_output=True, text=True, timeout=30)
+    assert process.returncode == code, process.stdout + process.stderr
+    return process.stdout + process.stderr
 
 
 class Site:
-    """A stand-in bank and a gateway before it, each a process, as an operator has them."""
+    """A stand-in bank and a gateway in front of it, each in a process of its own as in operation."""
 
     def __init__(self, folder: Path) -> None:
-        self.bank, said = program("bank")
-        self.boxes = json.loads(said)["banks"]["bank-0"]
+        self.bank, first_line = program("bank")
+        self.boxes = json.loads(first_line)["banks"]["bank-0"]
         self.folder = folder
         self.roster = folder / "roster.json"
         self.recording = folder / "recording"
-        self.tell()
+        self.write_roster()
         self.settings = folder / "site.jsonnet"
         self.settings.write_text(
             f"{{ listen: ['127.0.0.1:0'], roster_file: '{self.roster}', record_file: '{self.recording}',\n"
@@ -68,7 +69,7 @@
         self.start()
 
     def change(self, *pairs: tuple[str, str]) -> None:
-        """Replace words of the settings' text."""
+        """Replace parts of the settings' text."""
         text = self.settings.read_text()
         for old, new in pairs:
             text = text.replace(old, new)
@@ -78,36 +79,38 @@
         return json.loads(run("status", self.address, "--json"))
 
     def with_admin(self, more: str) -> str:
-        """Start anew with an operators' port and more settings; returns its address."""
-        held = reserve()
-        address = f"127.0.0.1:{port_of(held)}"
+        """Restart the gateway with an operators' port and more settings; returns the port's address."""
+        reserved = reserve()
+        address = f"127.0.0.1:{port_of(reserved)}"
         self.change(("record_file:", f"admin_listen: '{address}', {more} record_file:"))
         self.restart()
-        held.close()
+        reserved.close()
         return address
 
-    def tell(self, **states: str) -> None:
+    def write_roster(self, **states: str) -> None:
+        """Replace the roster file; boxes are `ready` unless `states` has another state for them."""
         members = [
             {"name": name, "address": address, "state": states.get(name.replace("-", "_"), "ready")}
             for name, address in self.boxes.items()
         ]
-        new = self.roster.with_suffix(".new")
-        new.write_text(json.dumps({"banks": [{"name": "b", "slots": [[0, 16383]], "members": members}]}))
-        new.rename(self.roster)
+        new_file = self.roster.with_suffix(".new")
+        new_file.write_text(json.dumps({"banks": [{"name": "b", "slots": [[0, 16383]], "members": members}]}))
+        new_file.rename(self.roster)
 
     def close(self) -> None:
-        for one in (self.gateway, self.bank):
-            one.terminate()
-            one.wait(5)
+        for process in (self.gateway, self.bank):
+            process.terminate()
+            process.wait(5)
 
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[Site]:
-    with contextlib.closing(Site(tmp_path)) as one:
-        yield one
+    with contextlib.closing(Site(tmp_path)) as opened:
+        yield opened
 
 
-async def work(port: int, count: int) -> None:
+async def send_requests(port: int, count: int) -> None:
+    """Send as many writes, each followed by a read."""
     wire = await Wire.open(port)
     for number in range(count):
         await wire.ask("SET", "v:1", number)
@@ -115,63 +118,65 @@
         await asyncio.sleep(0.01)
 
 
-def test_check_and_status_and_gateway_say_the_same(site: Site) -> None:
-    asyncio.run(work(site.port, 40))
-    shown = site.status()
-    assert shown["members"]["box-0-0"]["takes"] == "writes and current reads"
-    assert int(shown["stats"]["requests_served"]) == 80
-    found = json.loads(run("check", str(site.settings), "--against", site.address, "--json"))
-    assert found["differ"] == [] and found["boxes"]["box-0-1"]["takes"] == "reads that allow its age"
+def test_check_and_status_agree_with_the_gateway(site: Site) -> None:
+    asyncio.run(send_requests(site.port, 40))
+    status = site.status()
+    assert status["members"]["box-0-0"]["takes"] == "writes and current reads"
+    assert int(status["stats"]["requests_served"]) == 80
+    checked = json.loads(run("check", str(site.settings), "--against", site.address, "--json"))
+    assert checked["differ"] == [] and checked["boxes"]["box-0-1"]["takes"] == "reads that allow its age"
     assert "box-0-0" in run("status", site.address) and "box-0-2" in run("check", str(site.settings))
 
 
-def test_a_draining_box_is_the_same_to_the_helper(site: Site) -> None:
-    asyncio.run(work(site.port, 20))
-    site.tell(box_0_1="terminating")
-    asyncio.run(work(site.port, 30))
-    found = json.loads(run("check", str(site.settings), "--against", site.address, "--json", code=1))
-    assert found["differ"] == []
-    assert found["boxes"]["box-0-1"]["takes"] == found["boxes"]["box-0-1"]["gateway"] == "nothing: draining"
+def test_check_agrees_with_the_gateway_on_a_draining_box(site: Site) -> None:
+    asyncio.run(send_requests(site.port, 20))
+    site.write_roster(box_0_1="terminating")
+    asyncio.run(send_requests(site.port, 30))
+    checked = json.loads(run("check", str(site.settings), "--against", site.address, "--json", code=1))
+    assert checked["differ"] == []
+    assert checked["boxes"]["box-0-1"]["takes"] == checked["boxes"]["box-0-1"]["gateway"] == "nothing: draining"
     run("check", str(site.settings), "box-0-2")
     assert "no box 'nobody'" in run("check", str(site.settings), "nobody", code=2)
 
 
-def test_explain_names_the_guards_of_a_recorded_request(site: Site) -> None:
-    asyncio.run(work(site.port, 20))
-    site.tell(box_0_1="terminating")
-    asyncio.run(work(site.port, 10))
+def test_explain_names_the_rules_that_excluded_members(site: Site) -> None:
+    asyncio.run(send_requests(site.port, 20))
+    site.write_roster(box_0_1="terminating")
+    asyncio.run(send_requests(site.port, 10))
     site.stop()
     recording = Recording(site.recording.read_bytes())
     assert replay(recording.header, recording.entries()).differences == 0
     text = run("explain", str(site.recording), "59")
     assert "class default-write" in text and "chose box-0-0" in text and "not the primary" in text
-    account = explain(recording.header, Recording(site.recording.read_bytes()).entries(), 60)
-    assert account.class_name == "view" and account.choices
-    for choice in account.choices:
-        drained = [one for one in choice.candidates if one.box == "box-0-1"]
-        assert all("draining" in one.against for one in drained) and choice.chosen != "box-0-1"
+    explanation = explain(recording.header, Recording(site.recording.read_bytes()).entries(), 60)
+    assert explanation.class_name == "view" and explanation.choices
+    for choice in explanation.choices:
+        drained = [candidate for candidate in choice.candidates if candidate.box == "box-0-1"]
+        assert all("draining" in candidate.against for candidate in drained) and choice.chosen != "box-0-1"
     assert "no request 999" in run("explain", str(site.recording), "999", code=1)
 
 
-def test_a_recording_is_driven_at_a_running_gateway_and_what_if_names_the_first_other_decision(site: Site) -> None:
-    asyncio.run(work(site.port, 15))
+def test_a_recording_is_replayed_against_a_gateway_and_what_if_names_the_first_difference(site: Site) -> None:
+    asyncio.run(send_requests(site.port, 15))
     site.stop()
     copy = site.folder / "copy"
     copy.write_bytes(site.recording.read_bytes())
     site.start()
-    found = json.loads(run("replay", str(copy), "--against", site.address, "--pace", "0.2", "--json"))
-    assert found["differences"] == 0 and sum(row["count"] for row in found["rows"]) == 30
+    replayed = json.loads(run("replay", str(copy), "--against", site.address, "--pace", "0.2", "--json"))
+    assert replayed["differences"] == 0 and sum(row["count"] for row in replayed["rows"]) == 30
     run("what-if", str(copy), "--settings", str(site.settings))
-    other = site.folder / "other.jsonnet"
-    other.write_text(site.settings.read_text().replace("'bounded'", "'latest'").replace("staleness_ms: 500,", ""))
-    assert "first at input" in run("what-if", str(copy), "--settings", str(other), code=1)
+    other_settings = site.folder / "other.jsonnet"
+    other_settings.write_text(
+        site.settings.read_text().replace("'bounded'", "'latest'").replace("staleness_ms: 500,", "")
+    )
+    assert "first at input" in run("what-if", str(copy), "--settings", str(other_settings), code=1)
     assert "127.0.0.1:1: refused" in run("replay", str(copy), "--against", "127.0.0.1:1", code=2)
 
 
 def test_a_gateway_of_another_version_is_refused(site: Site, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operators, "__version__", "9.9")
-    done = CliRunner().invoke(operators.check, [str(site.settings), "--against", site.address])
-    assert done.exit_code == 2 and "they may decide differently" in done.output
+    result = CliRunner().invoke(operators.check, [str(site.settings), "--against", site.address])
+    assert result.exit_code == 2 and "they may decide differently" in result.output
 
 
 def test_a_gateway_starts_from_its_snapshot(site: Site) -> None:
@@ -182,24 +187,24 @@
     )
     site.stop()
 
-    async def once() -> None:
+    async def restart_twice() -> None:
         settings = load(str(site.settings))
-        for turn in range(2):
+        for start in range(2):
             gateway, port = started(settings)
             wire = await Wire.open(port)
-            assert ("teller@0" in gateway.engine.router.book.sessions) is bool(turn)
+            assert ("teller@0" in gateway.engine.router.book.sessions) is bool(start)
             await wire.ask("CLIENT", "SETNAME", "teller")
             assert await wire.ask("SET", "v:1", 1) == resp.Simple(b"OK")
             await gateway.stop()
-        path.write_bytes(path.read_bytes()[:-9])  # half-written: the gateway starts all the same
+        path.write_bytes(path.read_bytes()[:-9])  # half-written: the gateway starts nevertheless
         gateway = Gateway(settings)
         assert not gateway.engine.router.book.sessions
         await gateway.stop()
 
-    asyncio.run(once())
+    asyncio.run(restart_twice())
 
 
-def test_operators_have_a_port_of_their_own_that_bears_a_thousand_questions_a_second() -> None:
+def test_the_operators_port_answers_a_thousand_commands_beside_the_service() -> None:
     async def test() -> None:
         embedded = Embedded(2, 3, 1)
         end = await embedded.start()
@@ -212,18 +217,18 @@
         await admin.ask("HELLO", 3)
         assert await wire.ask("SET", "a", 1) == resp.Simple(b"OK")
 
-        async def question(count: int) -> None:
+        async def ask_admin(count: int) -> None:
             for number in range(count):
-                found = await admin.ask(["MEMBERS", "BANKS", "ELECTIONS", "SESSIONS", "INFO"][number % 5])
-                assert not isinstance(found, resp.Error)
+                reply = await admin.ask(["MEMBERS", "BANKS", "ELECTIONS", "SESSIONS", "INFO"][number % 5])
+                assert not isinstance(reply, resp.Error)
 
-        asking = asyncio.ensure_future(question(1_000))
-        served = 0
+        asking = asyncio.ensure_future(ask_admin(1_000))
+        served_count = 0
         while not asking.done():
             assert await wire.ask("GET", "a") == b"1"
-            served += 1
+            served_count += 1
         await asking
-        assert served > 100
+        assert served_count > 100
         members = await admin.ask("MEMBERS")
         assert isinstance(members, resp.Array) and len(members.items) == 6
         assert await admin.ask("INSPECT") == resp.Simple(b"OK")
@@ -236,26 +241,26 @@
             await asyncio.sleep(0.02)
             elections = await admin.ask("ELECTIONS")
             assert isinstance(elections, resp.Array)
-            seen = len(elections.items)
-            if seen > 2:
+            election_count = len(elections.items)
+            if election_count > 2:
                 break
-        assert seen > 2, (elections, gateway.engine.box_statuses(), gateway.engine._groups[0])
+        assert election_count > 2, (elections, gateway.engine.box_statuses(), gateway.engine._groups[0])
         await gateway.stop()
         end()
 
     asyncio.run(test())
 
 
-def test_record_starts_in_service_and_what_it_writes_replays_across_a_reload(site: Site) -> None:
-    where = site.with_admin("record: 'on-request',")
-    assert run("record", where, "status") == "off\n"
-    assert "no ring is kept" in run("record", where, "dump", code=2)
-    asyncio.run(work(site.port, 20))
+def test_a_recording_that_is_started_in_service_replays_across_a_reload(site: Site) -> None:
+    admin = site.with_admin("record: 'on-request',")
+    assert run("record", admin, "status") == "off\n"
+    assert "no ring is kept" in run("record", admin, "dump", code=2)
+    asyncio.run(send_requests(site.port, 20))
 
-    async def meanwhile() -> None:
+    async def record_requests() -> None:
         wire = await Wire.open(site.port)
         assert await wire.ask("CLIENT", "SETNAME", "teller") == resp.Simple(b"OK")
-        assert str(site.recording) in run("record", where, "start")
+        assert str(site.recording) in run("record", admin, "start")
         assert await wire.ask("SET", "v:1", 1) == resp.Simple(b"OK")
         site.change(("staleness_ms: 500", "staleness_ms: 40"))
         site.gateway.send_signal(signal.SIGHUP)
@@ -264,77 +269,76 @@
             assert await wire.ask("GET", "v:1") is not None
             await asyncio.sleep(0.01)
 
-    asyncio.run(meanwhile())
-    assert "already recording" in run("record", where, "start", code=2)
-    assert "part 1" in run("record", where, "status")
-    run("record", where, "stop")
+    asyncio.run(record_requests())
+    assert "already recording" in run("record", admin, "start", code=2)
+    assert "part 1" in run("record", admin, "status")
+    run("record", admin, "stop")
     assert oct(site.recording.stat().st_mode)[-3:] == "600"
     recording = Recording(site.recording.read_bytes())
-    given = [entry.given for entry in recording.entries()]
-    assert recording.header.snapshot and any(isinstance(one, m.Reloaded) for one in given)
+    inputs = [entry.given for entry in recording.entries()]
+    assert recording.header.snapshot and any(isinstance(given, m.Reloaded) for given in inputs)
     assert run("replay", str(site.recording)).endswith(" 0 differences\n")
-    found = json.loads(run("replay", str(site.recording), "--against", site.address, "--pace", "0.2", "--json"))
-    assert found["differences"] == 0 and sum(row["count"] for row in found["rows"]) == 61
-    # A second start is a recording of its own; a bad word and a bad file are one line.
-    assert f"{site.recording}.run2" in run("record", where, "start")
-    run("record", where, "stop")
-    assert "Invalid value" in run("record", where, "eject", code=2)
+    replayed = json.loads(run("replay", str(site.recording), "--against", site.address, "--pace", "0.2", "--json"))
+    assert replayed["differences"] == 0 and sum(row["count"] for row in replayed["rows"]) == 61
+    # A second start begins another recording. An unknown word gives one line.
+    assert f"{site.recording}.run2" in run("record", admin, "start")
+    run("record", admin, "stop")
+    assert "Invalid value" in run("record", admin, "eject", code=2)
     site.change(("staleness_ms: 40", "staleness_ms: 0"))
     site.gateway.send_signal(signal.SIGHUP)
-    asyncio.run(work(site.port, 3))
+    asyncio.run(send_requests(site.port, 3))
 
 
-def test_a_ring_is_written_down_when_asked(site: Site) -> None:
-    where = site.with_admin("record: 'ring', record_ring_bytes: 60000,")
-    asyncio.run(work(site.port, 200))
-    said = run("record", where, "dump").split()
-    files = said[2:]
-    assert len(files) == 8 and all(Path(one).stat().st_size < 40_000 for one in files)
-    shown = run("replay", *files).splitlines()
-    assert len(shown) == 8 and all(line.endswith(" 0 differences") for line in shown)
+def test_the_ring_is_written_to_files_by_dump(site: Site) -> None:
+    admin = site.with_admin("record: 'ring', record_ring_bytes: 60000,")
+    asyncio.run(send_requests(site.port, 200))
+    files = run("record", admin, "dump").split()[2:]
+    assert len(files) == 8 and all(Path(file).stat().st_size < 40_000 for file in files)
+    lines = run("replay", *files).splitlines()
+    assert len(lines) == 8 and all(line.endswith(" 0 differences") for line in lines)
 
 
-def test_what_gateways_said_of_members_and_where_they_sent_is_what_the_helpers_say(
+def test_replays_give_the_answers_and_sends_of_the_gateways(
     day_of_trouble: tuple[Report, list[Path]],
 ) -> None:
-    """MEMBERS and BANKS asked of two gateway processes all through a day of trouble, and every choice of theirs."""
-    verdicts = choices = 0
+    """Two gateway processes answer MEMBERS and BANKS through a day of trouble; each of their choices is compared."""
+    members_count = send_count = 0
     for file in day_of_trouble[1]:
         data = file.read_bytes()
         recording = Recording(data)
-        verdicts += sum(
-            isinstance(one.given, m.Asked) and one.given.args[0] == b"MEMBERS" for one in recording.entries()
+        members_count += sum(
+            isinstance(entry.given, m.Asked) and entry.given.args[0] == b"MEMBERS" for entry in recording.entries()
         )
         recording = Recording(data)
         assert replay(recording.header, recording.entries()).differences == 0
         for request, chosen, sent_to in recorded_sends(recording.header, Recording(data).entries()):
             assert chosen == sent_to, request
-            choices += 1
-    assert verdicts > 150 and choices > 800
+            send_count += 1
+    assert members_count > 150 and send_count > 800
 
 
-def test_the_witness_changes_nothing() -> None:
+def test_explain_does_not_affect_replays() -> None:
     data = recorded([(0, 0), (1, 1), (5, 40), (0, 2), (3, 1), (5, 200), (1, 3), (2, 2), (0, 9)])
     recording = Recording(data)
-    account = explain(recording.header, recording.entries(), 2)
-    assert account.asked.startswith("client 1: SET") and account.events
-    found = replay(Recording(data).header, Recording(data).entries())
-    assert found.differences == 0
+    explanation = explain(recording.header, recording.entries(), 2)
+    assert explanation.asked.startswith("client 1: SET") and explanation.events
+    replayed = replay(Recording(data).header, Recording(data).entries())
+    assert replayed.differences == 0
 
 
-def test_a_claim_that_a_later_one_has_overturned_is_not_believed() -> None:
+def test_a_primary_role_that_a_later_report_supersedes_is_not_used() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     rig.pass_us(1_000)
     rig.says["r"] = info("primary", 100, "h2", "r", "h1", 101)
     rig.give(m.Inspected())
     rig.give(m.Inspected())
-    takes = {one.name: one.takes for one in rig.engine.box_statuses()}
+    takes = {status.name: status.takes for status in rig.engine.box_statuses()}
     assert takes["r"] == "writes and current reads"
-    assert takes["p"] == "nothing: role unknown"  # it still says that it is primary
+    assert takes["p"] == "nothing: role unknown"  # it still reports that it is the primary
     assert takes["s"].startswith("reads") and rig.ask("GET", KEY) is not None
 
 
-def test_what_is_no_gateway_is_one_line(tmp_path: Path) -> None:
+def test_an_address_without_a_gateway_gives_one_line(tmp_path: Path) -> None:
     assert "Connection refused" in run("status", "127.0.0.1:1", code=2)
     assert "expected host:port" in run("status", "nowhere", code=2)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins: truthful offsets, partial and full resynchronisation, WAIT, failover, faults, the control port."""
+"""Stand-ins: correct offsets, partial and full resynchronisation, WAIT, failover, faults, the control port."""
 
 import asyncio
 import contextlib
@@ -26,15 +26,15 @@
         bank.stop()
 
 
-def held(box: Box) -> int:
-    """The offset that the data themselves show: each write adds one entry to the list."""
-    value = box.store.data.get(b"l", [])
-    assert isinstance(value, list)
-    return len(value)
+def write_count(box: Box) -> int:
+    """The number of writes in the box's data; each write adds one entry to the list."""
+    entries = box.store.data.get(b"l", [])
+    assert isinstance(entries, list)
+    return len(entries)
 
 
 @scene(replicated)
-async def test_offsets_count_exactly_the_writes_held(bank: Bank) -> None:
+async def test_offsets_count_exactly_the_writes_in_the_data(bank: Bank) -> None:
     x, y, _ = bank.boxes
     wire = await Wire.open(x.port)
     size = len(resp.command("RPUSH", "l", 1))
@@ -42,31 +42,31 @@
     y.faults.lag_ms = 150
     for number in range(1, 10):
         await wire.ask("RPUSH", "l", 1)
-        assert x.offset == base + number * size and held(x) == number
+        assert x.offset == base + number * size and write_count(x) == number
         for box in bank.boxes:
-            assert box.offset >= base and (box.offset - base) // size <= held(box)
+            assert box.offset >= base and (box.offset - base) // size <= write_count(box)
         await asyncio.sleep(0.02)
     assert y.offset < x.offset
     y.faults.lag_ms = 0
     await bank.synced()
-    assert {held(one) for one in bank.boxes} == {9}
+    assert {write_count(box) for box in bank.boxes} == {9}
 
 
 @scene(replicated)
 async def test_a_replica_refuses_writes_and_answers_reads_from_what_it_has(bank: Bank) -> None:
     x, y, _ = bank.boxes
     y.faults.lag_ms = 300
-    one, two = await Wire.open(x.port), await Wire.open(y.port)
-    await one.ask("SET", "a", 1)
-    assert await two.ask("GET", "a") == resp.Null(b"$")
-    refused = await two.ask("SET", "a", 2)
+    primary_wire, replica_wire = await Wire.open(x.port), await Wire.open(y.port)
+    await primary_wire.ask("SET", "a", 1)
+    assert await replica_wire.ask("GET", "a") == resp.Null(b"$")
+    refused = await replica_wire.ask("SET", "a", 2)
     assert isinstance(refused, resp.Error) and refused.prefix == b"READONLY"
-    role = await two.ask("ROLE")
+    role = await replica_wire.ask("ROLE")
     assert isinstance(role, resp.Array) and role.items[0] == b"slave"
 
 
 @scene(replicated)
-async def test_wait_counts_the_replicas_that_hold_the_write(bank: Bank) -> None:
+async def test_wait_counts_the_replicas_that_have_the_write(bank: Bank) -> None:
     x, y, z = bank.boxes
     wire = await Wire.open(x.port)
     await wire.ask("SET", "a", 1)
@@ -77,7 +77,7 @@
 
 
 @scene(replicated)
-async def test_a_crashed_primarys_unshipped_write_is_lost_and_its_history_resynchronised(bank: Bank) -> None:
+async def test_a_crashed_primarys_unreplicated_write_is_lost_and_its_history_resynchronised(bank: Bank) -> None:
     x = bank.boxes[0]
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", "kept")
@@ -98,7 +98,7 @@
 
 
 @scene(replicated)
-async def test_a_short_break_is_resynchronised_partly(bank: Bank) -> None:
+async def test_a_short_interruption_is_resynchronised_partially(bank: Bank) -> None:
     x, y, _ = bank.boxes
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", 1)
@@ -108,11 +108,11 @@
     await wire.ask("RPUSH", "l", 2)
     y.start()
     await bank.synced()
-    assert y.store.data is store and held(y) == 2  # a full one would have made the data anew
+    assert y.store.data is store and write_count(y) == 2  # a full resynchronisation would have replaced the data
 
 
 @scene(replicated)
-async def test_a_hung_primary_is_fenced_when_it_wakes(bank: Bank) -> None:
+async def test_a_hung_primary_is_fenced_when_it_resumes(bank: Bank) -> None:
     x = bank.boxes[0]
     x.faults.hang = True
     wire = await Wire.open(x.port)
@@ -121,23 +121,23 @@
         while bank.primary is None:
             await asyncio.sleep(0.01)
     x.faults.hang = False
-    found = await pending
-    assert isinstance(found, resp.Error) and found.prefix == b"READONLY"
+    reply = await pending
+    assert isinstance(reply, resp.Error) and reply.prefix == b"READONLY"
 
 
 @scene(replicated)
-async def test_a_hand_over_loses_no_write(bank: Bank) -> None:
+async def test_a_handover_loses_no_write(bank: Bank) -> None:
     x = bank.boxes[0]
     wire = await Wire.open(x.port)
     for number in range(50):
         await wire.ask("RPUSH", "l", number)
     chosen = await bank.hand_over()
-    assert chosen is not None and held(chosen) == 50 and chosen.is_primary and not x.is_primary
+    assert chosen is not None and write_count(chosen) == 50 and chosen.is_primary and not x.is_primary
     await bank.synced()
 
 
 @scene(replicated)
-async def test_repeats_inside_the_window_are_dropped_on_the_next_primary_too(bank: Bank) -> None:
+async def test_repeats_inside_the_window_are_also_dropped_by_the_next_primary(bank: Bank) -> None:
     wire = await Wire.open(bank.boxes[0].port)
     first = await wire.ask("XADD", "s", "IDMP", "p", "k", "*", "f", "v")
     await bank.synced()
@@ -148,15 +148,15 @@
     assert await other.ask("XLEN", "s") == 1
 
 
-def test_the_window_ends() -> None:
+def test_a_repeat_after_the_window_runs_again() -> None:
     store = Store(window_ms=100)
-    words = [b"XADD", b"s", b"IDMP", b"p", b"k", b"*", b"f", b"v"]
-    first = store.execute(words, 1_000)[0]
-    assert store.execute(words, 1_099) == (first, [])
-    assert store.execute(words, 1_100)[0] != first
+    command = [b"XADD", b"s", b"IDMP", b"p", b"k", b"*", b"f", b"v"]
+    first = store.execute(command, 1_000)[0]
+    assert store.execute(command, 1_099) == (first, [])
+    assert store.execute(command, 1_100)[0] != first
 
 
-def test_work_takes_its_time_and_a_cold_box_does_less() -> None:
+def test_requests_take_the_configured_time_and_a_cold_box_has_less_capacity() -> None:
     box = Box("x", work=Work(read_us=10_000, cores=2, cold_share=0.25, warm_s=100.0))
 
     async def test() -> None:
