--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -160,9 +160,9 @@
         """The answer to one of `ADMIN_COMMANDS`. `INSPECT` checks every box again and answers OK."""
         now = self._now
         if name == b"MEMBERS":
-            return Array(tuple(_table(msgspec.structs.asdict(status)) for status in self.box_statuses()))
+            return Array(tuple(_row(msgspec.structs.asdict(status)) for status in self.box_statuses()))
         if name == b"PATHS":
-            return Array(tuple(_table(row) for row in self.path_rows()))
+            return Array(tuple(_row(row) for row in self.path_rows()))
         if name == b"BANKS":
             rows = []
             for number, group in enumerate(self._groups):
@@ -171,7 +171,7 @@
                 longest_pending_us = max((now - ask.arrived_us for ask in pending), default=0)
                 newest_us = group.positions.newest_us()
                 rows.append(
-                    _table(
+                    _row(
                         {
                             "name": self.settings.banks[number].name,
                             "primary": group.primary or "unknown",
@@ -188,7 +188,7 @@
         if name == b"ELECTIONS":
             return Array(
                 tuple(
-                    _table(
+                    _row(
                         {
                             "bank": self.settings.banks[number].name,
                             "ago_ms": (now - at_us) // 1_000,
@@ -203,7 +203,7 @@
         if name == b"SESSIONS":
             return Array(
                 tuple(
-                    _table(
+                    _row(
                         {
                             "id": session.client,
                             "peer": session.peer,
@@ -223,6 +223,7 @@
         return Simple(b"OK")
 
     def _info(self) -> dict[str, dict[str, object]]:
+        """The sections of INFO, each with its lines by name."""
         boxes: dict[str, object] = {}
         for status in self.box_statuses():
             fields = msgspec.structs.asdict(status)
@@ -247,7 +248,7 @@
         }
 
 
-def _table(fields: Mapping[str, object]) -> Value:
+def _row(fields: Mapping[str, object]) -> Value:
     """One row of an answer: integers stay integers, any other value becomes text."""
     return Map(
         tuple((key.encode(), value if isinstance(value, int) else str(value).encode()) for key, value in fields.items())
