--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -187,8 +187,8 @@
         while gateway.probing and time.monotonic() < deadline_s:
             await asyncio.sleep(0.005)
     rows = {}
-    for report in gateway.engine.verdicts():
-        fields = {key: str(value) for key, value in msgspec.structs.asdict(report).items()}
+    for one in gateway.engine.box_statuses():
+        fields = {key: str(value) for key, value in msgspec.structs.asdict(one).items()}
         rows[fields.pop("name")] = fields
     deadline_s = time.monotonic() + wait_s
     while time.monotonic() < deadline_s and any(row["state"] == "untried" for row in gateway.engine.path_rows()):
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -11,7 +11,7 @@
 from oatlink import native
 from oatlink.core import snapshot
 from oatlink.core.engine import Engine
-from oatlink.core.snapshot import read, take
+from oatlink.core.snapshot import read_head, take_snapshot
 from oatlink.lab.day import Report
 from tests.test_engine import SETTINGS
 from tests.test_stored_names import DATA, SNAPSHOT, restored
@@ -25,24 +25,24 @@
 from itertools import islice
 from oatlink import native
 from oatlink.core.engine import Engine
-from oatlink.core.explain import told
+from oatlink.core.explain import recorded_sends
 from oatlink.core.recording import Recording, replay
-from oatlink.core.snapshot import restore, take
-print(native.code_kind())
+from oatlink.core.snapshot import restore_engine, take_snapshot
+print(native.code())
 for file in sys.argv[1:]:
     data = open(file, "rb").read()
     recording = Recording(data)
     replayed = replay(recording.header, recording.entries())
     print(replayed.inputs, replayed.differences, replayed.first)
     recording = Recording(data)
-    print(list(islice(told(recording.header, recording.entries()), 500)))
+    print(list(islice(recorded_sends(recording.header, recording.entries()), 500)))
     recording = Recording(data)
     engine = Engine(recording.header.settings, recording.header.began_us)
     for index, entry in enumerate(islice(recording.entries(), 1500)):
         engine.handle(entry.given, entry.now_us)
-        if index % 500 == 250:
-            engine = restore(take(engine, entry.now_us), recording.header.settings)
-    print(sorted(map(repr, engine.verdicts())))
+        if at % 500 == 250:
+            engine = restore_engine(take_snapshot(engine, entry.now_us), recording.header.settings)
+    print(sorted(map(repr, engine.box_statuses())))
 """
 
 # Run in the unpacked wheel with the stored files: prints `code_kind()`, the replay's differences and the snapshot
@@ -57,8 +57,8 @@
 recording = Recording(recording)
 print(native.code_kind())
 print(replay(recording.header, recording.entries()).differences)
-engine = snapshot.restore(stored, recording.header.settings, known_as=recording.header.settings_hash)
-print(snapshot.take(engine, snapshot.read(stored).taken_us).hex())
+engine = snapshot.restore_engine(stored, recording.header.settings, expected_hash=recording.header.settings_hash)
+print(snapshot.take_snapshot(engine, snapshot.read_head(stored).taken_us).hex())
 """
 
 
@@ -115,10 +115,10 @@
     files = [DATA / "recording-0.3.0.bin", DATA / "snapshot-0.3.0.bin"]
     form, differences, written = report(compiled_wheel, files, STORED_NAMES_SCRIPT)
     assert form == native.COMPILED and differences == "0"
-    again, stored = read(bytes.fromhex(written)), read(SNAPSHOT)
+    again, stored = read_head(bytes.fromhex(written)), read_head(SNAPSHOT)
     assert sorted(again.engine) == sorted(stored.engine) and list(again.router) == list(stored.router)
     monkeypatch.setattr(snapshot, "__version__", "0.3.0")
-    assert read(take(restored(bytes.fromhex(written)), stored.taken_us)) == stored
+    assert read_head(take_snapshot(restored(bytes.fromhex(written)), stored.taken_us)) == stored
 
 
 def test_without_a_compiler_the_wheel_is_complete_and_plain_python(tmp_path: Path) -> None:
@@ -130,6 +130,6 @@
 def test_snapshots_of_compiled_and_plain_engines_are_equal(monkeypatch: pytest.MonkeyPatch) -> None:
     # A compiled class has no __dict__; a snapshot then depends on the attributes listed in __mypyc_attrs__.
     engine = Engine(SETTINGS)
-    snapshot = take(engine, 1)
+    whole = take_snapshot(engine, 1)
     monkeypatch.setattr(Engine, "__mypyc_attrs__", (*vars(engine), "__dict__"), raising=False)
-    assert take(engine, 1) == snapshot
+    assert take_snapshot(engine, 1) == whole
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -1,4 +1,4 @@
-"""Files that an earlier program wrote are read, and the same names are written: renamed code does not change them."""
+"""Stored files of version 0.3.0 are read, and the same names are written, whatever names the code has now."""
 
 from pathlib import Path
 from typing import Any
@@ -10,7 +10,7 @@
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Entry, Header, Recording, replay
 from oatlink.core.shared import GroupState
-from oatlink.core.snapshot import Head, read, restore, take
+from oatlink.core.snapshot import Head, read_head, restore_engine, take_snapshot
 from oatlink.fleet.gate import Served
 from oatlink.fleet.limits.node import Use
 
@@ -20,27 +20,27 @@
 
 
 @pytest.fixture(autouse=True)
-def as_the_version_that_wrote_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def as_version_0_3_0(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(snapshot, "__version__", "0.3.0")
 
 
 def restored(data: bytes = SNAPSHOT) -> Engine:
     """The engine of a snapshot with the stored settings."""
     header = Recording(RECORDING).header
-    return restore(data, header.settings, known_as=header.settings_hash)
+    return restore_engine(data, header.settings, expected_hash=header.settings_hash)
 
 
 def record_names(value: Any) -> set[str]:
     """The names of the records and enums in a snapshot's values."""
     if not isinstance(value, list):
         return set()
-    own = {value[2]} if value and value[0] == "i" else {value[1]} if value and value[0] == "e" else set()
-    return own.union(*map(record_names, value))
+    own_name = {value[2]} if value and value[0] == "i" else {value[1]} if value and value[0] == "e" else set()
+    return own_name.union(*map(record_names, value))
 
 
 def outer_names(*types: Any) -> list[str]:
-    """Each structure that the types lead to: its tag and its fields in order, without the name of its class."""
-    found: dict[Any, str] = {}
+    """For each structure reachable from the types, its tag and its fields in order, without the name of its class."""
+    structures: dict[Any, str] = {}
 
     def walk(info: Any) -> None:
         if isinstance(info, list | tuple):
@@ -48,23 +48,23 @@
                 walk(part)
         elif isinstance(info, msgspec.inspect.Type | msgspec.inspect.Field):
             if isinstance(info, msgspec.inspect.StructType | msgspec.inspect.DataclassType):
-                if info.cls in found:
+                if info.cls in structures:
                     return
                 tag = getattr(info, "tag", None) or "-"
-                found[info.cls] = " ".join([f"{tag}:", *(field.encode_name for field in info.fields)])
+                structures[info.cls] = " ".join([f"{tag}:", *(field.encode_name for field in info.fields)])
             for name in info.__struct_fields__:
                 walk(getattr(info, name))
 
     walk(msgspec.inspect.multi_type_info(types))
-    return sorted(found.values())
+    return sorted(structures.values())
 
 
 def test_a_stored_snapshot_is_restored_and_written_again_as_the_same_bytes() -> None:
-    assert take(restored(), read(SNAPSHOT).taken_us) == SNAPSHOT
+    assert take_snapshot(restored(), read_head(SNAPSHOT).taken_us) == SNAPSHOT
 
 
 def test_the_stored_snapshot_has_every_kind_of_record() -> None:
-    head = read(SNAPSHOT)
+    head = read_head(SNAPSHOT)
     assert record_names([*head.engine.values(), *head.router.values()]) == set(snapshot.KINDS)
 
 
@@ -78,11 +78,11 @@
 
 def test_a_stored_recording_is_encoded_again_as_the_same_bytes() -> None:
     recording = Recording(RECORDING)
-    payloads = [msgspec.msgpack.encode(one) for one in (recording.header, *recording.entries())]
-    at = 0
+    payloads = [msgspec.msgpack.encode(record) for record in (recording.header, *recording.entries())]
+    position = 0
     for payload in payloads:
-        at = RECORDING.index(payload, at) + len(payload)
-    assert at == len(RECORDING)
+        position = RECORDING.index(payload, position) + len(payload)
+    assert position == len(RECORDING)
 
 
 def test_the_names_in_recordings_and_heads_are_the_stored_ones() -> None:
@@ -90,12 +90,12 @@
     assert "\n".join(names) + "\n" == (DATA / "names-0.3.0.txt").read_text()
 
 
-def test_an_attribute_that_the_tables_do_not_know_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An attribute that is new or renamed would be left out of snapshots without a sign."""
-    engine, whole = restored(), restored()
+def test_an_attribute_that_is_missing_in_the_tables_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a new or renamed attribute that would be left out of snapshots without any error."""
+    engine, unchanged_engine = restored(), restored()
     engine.another = 1  # type: ignore[attr-defined]
     with pytest.raises(TypeError, match="the engine: .* differ about another"):
-        take(engine, 1)
+        take_snapshot(engine, 1)
     stored_names._check_tables()
     for table, name in ((stored_names.ROUTER, "lend"), (stored_names.ENGINE, "_boxes")):
         with monkeypatch.context() as patch:
@@ -103,7 +103,7 @@
             patch.delitem(table, name)
             with pytest.raises(TypeError, match=f"differ about {attribute}$"):
                 stored_names._check_tables()
-                take(whole, 1)
+                take_snapshot(unchanged_engine, 1)
     name = "oatlink.core.shared.GroupState"
     attributes = stored_names.RECORDS[name][1]
     for changed in (attributes[1:], (*attributes, "another"), (attributes[1], attributes[0], *attributes[2:])):
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -12,7 +12,7 @@
 from oatlink.core.explain import explain
 from oatlink.core.paths import MAX_OPEN_DIALS
 from oatlink.core.recording import Recorder, Recording
-from oatlink.core.snapshot import restore, take
+from oatlink.core.snapshot import restore_engine, take_snapshot
 from oatlink.interface import Role
 from oatlink.member_status import member_status
 from oatlink.protocols.resp import command
@@ -287,7 +287,7 @@
     rig.give(m.Wanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     sent(rig.ask("SET", PLAIN, 1))
-    rig.engine = restore(take(rig.engine, rig.now), SETTINGS)
+    rig.engine = restore_engine(take_snapshot(rig.engine, rig.now), SETTINGS)
     finish_dial(rig, dial, "refused")
     (following,) = take_dials(rig)
     assert following.address == IPV6 and path_state(rig, UNIX) is State.FAILED
@@ -315,14 +315,16 @@
     initial.ask(*words)
     states = 0
     ends: list[tuple[int, ...]] = []
-    todo = [(take(initial.engine, initial.now), initial.now, initial.wake, initial.sent[-1], Arrivals(), depth)]
+    todo = [
+        (take_snapshot(initial.engine, initial.now), initial.now, initial.wake, initial.sent[-1], Arrivals(), depth)
+    ]
     seen: set[tuple[object, ...]] = set()
     while todo:
         image, now, wake, send, arrivals, left = todo.pop()
         for written, passed in itertools.product(("not written", "part", "whole", "answer begun"), steps):
             rig = Rig.__new__(Rig)
             rig.__dict__.update(rig_fields(initial))
-            rig.engine, rig.now, rig.wake = restore(image, SETTINGS), now, wake
+            rig.engine, rig.now, rig.wake = restore_engine(image, SETTINGS), now, wake
             rig.pass_us(passed)
             states += 1
             # By the specification a box runs complete commands only; the link reports any other one as `unsent`.
@@ -340,7 +342,7 @@
             visited = (again.address, again.attempt, rig.now, arrived, left)
             if visited not in seen:
                 seen.add(visited)
-                todo.append((take(rig.engine, rig.now), rig.now, rig.wake, again, arrived, left - 1))
+                todo.append((take_snapshot(rig.engine, rig.now), rig.now, rig.wake, again, arrived, left - 1))
     return states, ends
 
 
