--- a/oatlink/interface.py
+++ b/oatlink/interface.py
@@ -1,4 +1,4 @@
-"""What the router is told and what it answers: settings, events and actions, with no logic.
+"""The router's interface: its settings, the events it takes and the actions it returns. No logic.
 
 Times are integer microseconds on one clock. Positions are times on that same clock.
 """
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """What happens when a request runs more than once."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
@@ -36,18 +36,18 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
-    WITHDRAWN = "withdrawn"  # taken back before its first byte: what it was sent by held no more
+    WITHDRAWN = "withdrawn"  # not written, as the guards of its send no longer held
     MISS = "miss"
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the attempt might have had its effect."""
+        """Whether the attempt may have had its effect."""
         never = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT, Outcome.WITHDRAWN, Outcome.MISS)
         return self not in never
 
 
 class Role(Enum):
-    """A member's part in its group."""
+    """A member's role in its group."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -63,7 +63,7 @@
 
 
 class RosterKind(Enum):
-    """What a roster holds: changes, everything, an old copy, or news of a failed call."""
+    """What a roster contains: changes, everything, an old copy, or nothing as the call failed."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a router is told at its start."""
+    """A router's settings."""
 
     seed: int
     zone: str
@@ -114,7 +114,7 @@
     dropped_stay_open: bool = False
 
     def validate(self) -> None:
-        """Raise `ValueError` naming the first setting that makes no sense."""
+        """Raise `ValueError` that names the first invalid setting."""
         for name in ("peers", "step_us", "max_attempts", "max_open", "ask_within_us", "fall_us", "overload_factor"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name} must be above 0")
@@ -136,12 +136,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """The router begins, with nothing known."""
+    """The router starts and knows nothing yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class RosterEntry:
-    """One member as discovery lists it."""
+    """A member as discovery lists it."""
 
     member: int
     group: int
@@ -150,16 +150,13 @@
     listing: Listing = Listing.READY
     primary: bool = False
     started_us: int = 0
-    # Other gateways saw it fail at the first time; until the second it is given fewer requests.
-    suspicion: tuple[int, int] = (
-        0,
-        0,
-    )
+    # Other gateways saw it fail at the first time; until the second, its expected wait is taken to be longer.
+    suspicion: tuple[int, int] = (0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """News from discovery."""
+    """A roster, or changes of it, from discovery."""
 
     kind: RosterKind
     entries: tuple[RosterEntry, ...] = ()
@@ -167,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a member says of itself, as old as its position and role."""
+    """What a member reports of itself; its role was true at the time of its position."""
 
     position_us: int | None = None
     role: Role = Role.UNKNOWN
@@ -175,9 +172,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request has come in. `since_write_us` is the carried age of its session's last write.
+    """A request has arrived.
 
-    `min_position_us`: no replica with an older position may take it, whatever its class allows.
+    `since_write_us`: how long ago its session last wrote, where the request carries this. `min_position_us`: no replica
+    at an older position may take it, whatever its class allows.
     """
 
     request: str
@@ -192,14 +190,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """The client has left; the request has ended."""
+    """The client has left, which ends the request."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; `over` when the request has ended with it or before."""
+    """An attempt has ended. `over`: the request ended with it or before."""
 
     request: str
     attempt: int
@@ -223,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for has come due."""
+    """A timer that was set has fired."""
 
     name: str
 
@@ -233,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send an attempt; its number is the count of the request's earlier sends."""
+    """Send an attempt; its number is the number of the request's earlier attempts."""
 
     request: str
     member: int
@@ -241,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a request unserved; the client may come again."""
+    """End a request unserved; the client may safely try again."""
 
     request: str
     retry_after_us: int = 0
@@ -249,14 +247,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a request with an error that promises nothing."""
+    """End a request with an error; it may or may not have run."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt whose answer is not needed any more."""
 
     request: str
     attempt: int
@@ -283,12 +281,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRoster:
-    """Ask discovery once for the whole roster."""
+    """Fetch the whole roster from discovery once."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at a time."""
+    """Set a timer: a `TimerFired` at this time."""
 
     name: str
     at_us: int
@@ -296,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A log line for operators."""
 
     text: str
 
--- a/oatlink/state.py
+++ b/oatlink/state.py
@@ -1,4 +1,4 @@
-"""What a router keeps of its requests, members and groups: plain records, with no logic and no tuned value.
+"""The records that a router keeps of requests, members and groups: plain data without logic or tuned values.
 
 Times are integer microseconds on one clock; `LONG_AGO` lies before all of them, `NEVER` after.
 """
@@ -32,21 +32,21 @@
     session: str | None
     min_position_us: int | None
     worth: float
-    arrival_number: int = 0  # counts a group's arrivals
+    arrival_number: int = 0  # its place among the arrivals of its group
     attempts: list[Attempt] = field(default_factory=list)
     tried_members: list[int] = field(default_factory=list)
     may_have_run_us: int | None = None
     has_copy: bool = False
     has_failed: bool = False
-    check_count: int = 0
-    is_primary_only: bool = False  # to the primary, which alone takes it; told apart where there are many routers
-    admission_draw: float = 0.0  # above 0, at most 1, where there are many routers
-    settled_by_us: int = 0  # by when an attempt of it has ended wherever it runs, also with nobody waiting
+    check_count: int = 0  # checks of replicas on its behalf
+    is_primary_only: bool = False  # only the primary may take it; set where there are many routers
+    admission_draw: float = 0.0  # above 0 and at most 1 on arrival, where there are many routers
+    settled_by_us: int = 0  # when all its attempts have ended wherever they run, even if nobody waits for them
 
     @property
     def may_have_run(self) -> bool:
         """Whether an attempt may have had its effect, or still may."""
-        return self.may_have_run_us is not None or any(one.is_outstanding for one in self.attempts)
+        return self.may_have_run_us is not None or any(attempt.is_outstanding for attempt in self.attempts)
 
 
 @dataclass(slots=True)
@@ -56,12 +56,12 @@
     by_session: dict[str, dict[str, Request]] = field(default_factory=dict)
 
     def add(self, request: Request) -> None:
-        """Take in a request; one without a session is passed over."""
+        """Add a request; one without a session is ignored."""
         if request.session is not None:
             self.by_session.setdefault(request.session, {})[request.id] = request
 
     def remove(self, request: Request) -> bool:
-        """Let a request go; whether it was there."""
+        """Remove a request; return whether it was there."""
         requests = self.by_session.get(request.session or "", {})
         was_there = requests.pop(request.id, None) is not None
         if was_there and not requests:
@@ -75,13 +75,16 @@
 
 @dataclass(slots=True)
 class Member:
-    """The record of a member: role, position and time heard, and what it has shown of its strength."""
+    """What is known of a member: its role and position, when it was heard of, and how it has performed.
+
+    Each attribute that is named after an event and ends in `_us` is the time at which that last happened.
+    """
 
     entry: api.RosterEntry
-    round_robin_position: float
-    tokens: float
+    round_robin_position: float  # that of its last attempt; the lowest is next
+    tokens: float  # for attempts and checks while it is cold (`rules.cold`)
     concurrency_limit: float
-    check_cost_us: float
+    check_cost_us: float  # average duration of its checks
     role: api.Role = api.Role.UNKNOWN
     role_us: int = 0
     position_us: int = -1
@@ -90,42 +93,42 @@
     answered_us: int = LONG_AGO
     is_draining: bool = False
     was_terminating: bool = False
-    check_sent_us: int | None = None
+    check_sent_us: int | None = None  # None while no check is outstanding
     checked_us: int = LONG_AGO
     connection_broken_us: int = LONG_AGO
-    failed_check_count: int = 0
-    refused_connection_count: int = 0
-    outstanding: dict[tuple[str, int], int] = field(default_factory=dict)
-    average_service_us: float = 0.0
+    failed_check_count: int = 0  # since a check was answered
+    refused_connection_count: int = 0  # since an attempt was answered
+    outstanding: dict[tuple[str, int], int] = field(default_factory=dict)  # request and attempt: when it was sent
+    average_service_us: float = 0.0  # moving average; 0 until it has answered
     limit_reduced_us: int = 0
     paused_until_us: int = 0
     started_us: int = 0
-    answer_rate: float = 0.0
+    answer_rate: float = 0.0  # answers a second, at `answer_rate_us`
     answer_rate_us: int = 0
     tokens_us: int = 0
 
 
 @dataclass(slots=True)
 class Group:
-    """The members of one group; the requests held for it are in `oatlink.holds`."""
+    """The members of one group. Its pending requests are in `oatlink.pending`."""
 
     id: int
     members: dict[int, Member] = field(default_factory=dict)
     primary: int | None = None
     arrival_count: int = 0
-    average_service_us: float = 0.0  # what answers took of late
-    typical_service_us: float = -1.0  # what answers take; below 0 it must be counted anew
+    average_service_us: float = 0.0  # moving average over its answers
+    typical_service_us: float = -1.0  # mean of its members' averages; below 0 if it must be computed anew
     admission_ratio: float = 1.0
-    admitted_us: int = LONG_AGO  # when a request was last let in by that share
+    admitted_us: int = LONG_AGO  # when a request was last admitted by that ratio
     checked_us: int = LONG_AGO
-    primary_lost_us: int = 0  # since when there was no primary,
-    primary_known_us: int = 0  # until this one was known
+    primary_lost_us: int = 0  # when the last primary was lost
+    primary_known_us: int = 0  # when the present primary became known
     sweep_due_us: int = NEVER
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What a router holds of a member, for people."""
+    """What a router knows of a member, for operators."""
 
     role: api.Role
     is_primary: bool
