--- a/oatlink/rules/__init__.py
+++ b/oatlink/rules/__init__.py
@@ -1,3 +1,3 @@
-"""Every decision of the router, one module a question. Its events and actions: `oatlink/interface.py`."""
+"""The router's decisions, one module for each question. Events and actions: `oatlink/interface.py`."""
 
 from oatlink.rules.router import Router as Router
--- a/oatlink/rules/parameters.py
+++ b/oatlink/rules/parameters.py
@@ -1,24 +1,25 @@
-"""What follows from the settings, and the times that several modules go by."""
+"""Derives parameters from the settings, and has the times that several modules use."""
 
 from oatlink.interface import Freshness, Settings
 from oatlink.router_state import RouterState
 
-HEARTBEAT_US = 10_000_000  # the design's default; also how long what a member has shown is believed
-PENDING_CHECK_US = 500_000  # the design's period of checks while a group lacks a primary
-FEW_PEERS_COUNT = 4  # routers, each of which may have an attempt out and keep the design's heartbeat
+HEARTBEAT_US = 10_000_000  # the design's default; what a member has shown counts for about as long
+PENDING_CHECK_US = 500_000  # the design's interval of checks while a group has no primary
+FEW_PEERS_COUNT = 4  # so few routers may each have an attempt outstanding, and keep the design's heartbeat
 
 
 def configure(state: RouterState, settings: Settings) -> None:
-    """Go by these settings from now on."""
+    """Use these settings from now on."""
     settings.validate()
     state.settings = settings
     state.classes |= {rule.name: rule for rule in settings.classes}
     worth = sum(rule.worth for rule in settings.classes) or 1.0
-    # A third of the aim, weighed by worth: slower answers leave no time to hold a request or try again.
+    # A third of the aim, weighted by worth: slower answers leave no time to keep a request pending or to
+    # retry.
     state.target_service_us = sum(rule.worth * rule.aim_us for rule in settings.classes) / worth / 3
     bounds = [rule.staleness_us for rule in settings.classes if rule.freshness is Freshness.BOUNDED]
     state.staleness_bound_us = min(bounds, default=HEARTBEAT_US)
-    state.tick_us = max(4 * settings.step_us, 20_000)  # looks are rarer than batches, finer than any aim
+    state.tick_us = max(4 * settings.step_us, 20_000)  # longer than a batch of events, shorter than any aim
     state.margin_us = 2 * settings.step_us
     state.heartbeat_us = HEARTBEAT_US * max(1, settings.peers // FEW_PEERS_COUNT)
     state.tenant_budgets = {}
--- a/oatlink/rules/primaries.py
+++ b/oatlink/rules/primaries.py
@@ -1,16 +1,20 @@
-"""Which member of a group is its primary."""
+"""Decides which member of a group is its primary."""
 
 from oatlink.interface import Effect, Log, Report, Role
 from oatlink.router_state import Member, RouterState
 from oatlink.rules import checks, queueing, sweeps
 
 
-def record_report(state: RouterState, member: Member, report: Report | None, fresh: bool) -> None:
-    """Set role, position and time heard. A report, as old as its position, overturns no later role."""
+def record_report(state: RouterState, member: Member, report: Report | None, is_current: bool) -> None:
+    """Set a member's role, position and time heard.
+
+    What a report says was true at the time of its position, or now (`is_current`); it overturns no later
+    role.
+    """
     member.heard_us = state.now_us
     if report is None:
         return
-    true_us = state.now_us if fresh or report.position_us is None else report.position_us
+    true_us = state.now_us if is_current or report.position_us is None else report.position_us
     if report.position_us is not None:
         member.position_us = max(member.position_us, report.position_us)
         member.lag_us = state.now_us - member.position_us
@@ -24,16 +28,19 @@
 
 
 def _record_claim(state: RouterState, member: Member, true_us: int) -> None:
-    """One primary a group: the later claim stands, an older one is turned unknown and checked at once."""
+    """Take in that a member is primary.
+
+    A group has one: the later claim holds, the older is checked at once.
+    """
     group = state.groups[member.entry.group]
     if true_us < member.role_us:
         return
-    held = group.members.get(group.primary) if group.primary is not None else None
-    if held is not None and held is not member:
-        if held.role_us > true_us:
+    current = group.members.get(group.primary) if group.primary is not None else None
+    if current is not None and current is not member:
+        if current.role_us > true_us:
             return
-        held.role, group.primary = Role.UNKNOWN, None
-        checks.check(state, held)
+        current.role, group.primary = Role.UNKNOWN, None
+        checks.check(state, current)
     member.role, member.role_us = Role.PRIMARY, true_us
     if group.primary is None and not member.is_draining:
         group.primary, group.primary_known_us = member.entry.member, state.now_us
@@ -41,7 +48,7 @@
 
 
 def adopt_listed_role(state: RouterState, member: Member) -> None:
-    """Where members cannot say their role, the list's word stands until an answer is heard."""
+    """Use the role that discovery lists, where members don't report theirs, until an answer says another."""
     if member.entry.primary:
         _record_claim(state, member, member.role_us)
     else:
@@ -49,7 +56,10 @@
 
 
 def mark_unknown(state: RouterState, member: Member) -> None:
-    """Turn a member unknown. Threat: a silent one. Its reads go elsewhere where a repeat is allowed."""
+    """Turn a member's role unknown, and queue its outstanding idempotent requests for other members.
+
+    Otherwise requests at a member that has fallen silent would wait for it until they expire.
+    """
     group = state.groups[member.entry.group]
     if group.primary == member.entry.member:
         group.primary, group.primary_lost_us = None, state.now_us
--- a/oatlink/rules/roster.py
+++ b/oatlink/rules/roster.py
@@ -1,23 +1,23 @@
-"""Who is there, who drains, and when discovery is asked."""
+"""Keeps which members are there and which are draining, and decides when discovery is asked."""
 
 from oatlink import interface as api
 from oatlink.router_state import NEVER, Member, RouterState
 from oatlink.rules import checks, parameters, primaries
 
-INITIAL_CHECK_COST_US = 5_000  # what a check is taken to last before one has been answered
-INITIAL_LIMIT_ATTEMPTS = 16.0  # out at a member that has shown nothing, of all routers together
+INITIAL_CHECK_COST_US = 5_000  # assumed duration of a check until one has been answered
+INITIAL_LIMIT_ATTEMPTS = 16.0  # at a member that has answered nothing yet, of all routers together
 
 
 def start(state: RouterState) -> None:
-    """Subscribe where discovery must be asked. Threat: all routers may start in the same instant."""
+    """Subscribe where discovery must be asked; at a random time, as all routers may start together."""
     if state.settings.must_ask_roster:
-        many_peers = state.settings.peers > parameters.FEW_PEERS_COUNT
-        spread_us = state.settings.ask_within_us // 4 if many_peers else 0
+        has_many_peers = state.settings.peers > parameters.FEW_PEERS_COUNT
+        spread_us = state.settings.ask_within_us // 4 if has_many_peers else 0
         state.roster_request_us = state.now_us + round(spread_us * state.random.random())
 
 
 def request_roster(state: RouterState) -> None:
-    """Subscribe, and again should nothing come; a plain fetch too once that has failed for long."""
+    """Subscribe, and plan to again if nothing comes; fetch the roster too once that has failed for long."""
     state.roster_request_us = state.now_us + state.settings.ask_within_us // 4
     state.actions.append(api.FollowRoster())
     if state.now_us + state.roster_retry_wait_us >= state.roster_request_us:
@@ -25,10 +25,11 @@
 
 
 def apply_roster(state: RouterState, roster: api.Roster) -> None:
-    """Take in a list: who is there, who drains, who has started."""
-    if roster.kind is api.RosterKind.FAILED:  # Threat: it hides drains. Ask again, ever more rarely
-        longest = state.settings.ask_within_us // 4
-        state.roster_retry_wait_us = min(longest, max(2 * state.roster_retry_wait_us, longest // 8))
+    """Take in a roster: members that are there, drain, have started or are gone."""
+    if roster.kind is api.RosterKind.FAILED:
+        # While discovery fails, drains go unseen: it is asked again, with back-off.
+        longest_us = state.settings.ask_within_us // 4
+        state.roster_retry_wait_us = min(longest_us, max(2 * state.roster_retry_wait_us, longest_us // 8))
         wait_us = round(state.roster_retry_wait_us * state.random.uniform(0.5, 1.5))
         state.roster_request_us = state.now_us + wait_us
         return
@@ -37,22 +38,23 @@
     for entry in roster.entries:
         _apply_entry(state, entry)
     if roster.kind is not api.RosterKind.CHANGES:
-        named = {entry.member for entry in roster.entries}
-        for member in [one for one in state.members.values() if one.entry.member not in named]:
+        listed = {entry.member for entry in roster.entries}
+        for member in [member for member in state.members.values() if member.entry.member not in listed]:
             _remove_member(state, member)
 
 
 def _apply_entry(state: RouterState, entry: api.RosterEntry) -> None:
-    """Take in one line of a list."""
+    """Take in one entry of a roster."""
     member = state.members.get(entry.member)
     if entry.listing is api.Listing.GONE:
         return _remove_member(state, member)
     group = state.group_of(entry.group)
     group.typical_service_us = -1.0
-    if member is None:  # Threat: a new one is everybody's next. Its first turn and token are drawn
-        turn = state.round_robin_position - state.random.random() * (len(group.members) + 1)
-        room = max(1.0, INITIAL_LIMIT_ATTEMPTS / state.settings.peers)
-        member = Member(entry, turn, state.random.random(), room, INITIAL_CHECK_COST_US)
+    if member is None:
+        # Its position and tokens are drawn at random: otherwise all routers would choose a new member next.
+        position = state.round_robin_position - state.random.random() * (len(group.members) + 1)
+        limit = max(1.0, INITIAL_LIMIT_ATTEMPTS / state.settings.peers)
+        member = Member(entry, position, state.random.random(), limit, INITIAL_CHECK_COST_US)
     member.entry = entry
     state.members[entry.member] = group.members[entry.member] = member
     if entry.started_us > member.started_us:
@@ -63,12 +65,17 @@
         primaries.mark_unknown(state, member)
     elif not state.settings.may_probe and member.role is api.Role.UNKNOWN:
         primaries.adopt_listed_role(state, member)
-    elif entry.suspicion[0] > max(0, member.heard_us):  # others saw it fail since it was heard of here
+    elif entry.suspicion[0] > max(0, member.heard_us):
+        # Other gateways saw it fail since it was last heard of here.
         checks.check(state, member)
 
 
 def _remove_member(state: RouterState, member: Member | None) -> None:
-    """A member is gone. Where a dropped one stays open, only one that was seen draining is bound."""
+    """Remove a member that is gone.
+
+    Where members dropped from the roster stay open (`dropped_stay_open`), only one that was draining is
+    removed.
+    """
     if member is None or state.settings.dropped_stay_open and not member.was_terminating:
         return
     member.is_draining = True
--- a/oatlink/rules/router.py
+++ b/oatlink/rules/router.py
@@ -1,4 +1,4 @@
-"""What has happened goes in, what to do comes out; no clock, no I/O. All state is in the book."""
+"""The router: events go in, actions come out. No clock, no I/O; all it knows is in its `RouterState`."""
 
 import heapq
 import random
@@ -29,14 +29,18 @@
         state.average_worth = (sum(rule.worth for rule in settings.classes) or 1.0) / len(settings.classes)
 
     def configure(self, settings: api.Settings) -> None:
-        """Go by these settings from now on. What came before keeps its class, also where that is no more."""
+        """Use these settings from now on. Earlier requests keep their class, even one that is gone."""
         parameters.configure(self.state, settings)
 
     def handle(self, event: api.Event, now_us: int, more_follow: bool = False) -> list[api.Action]:
-        """Return what an event calls for. With `more_follow`, what waits is sent after the instant's last."""
+        """Return the actions that an event calls for.
+
+        With `more_follow`, events of the same instant follow; pending requests are dispatched after the last.
+        """
         state = self.state
         state.now_us, state.actions, state.more_follow = now_us, [], more_follow
-        if now_us > state.timer_us + 2 * state.tick_us:  # Threat: this router stood still, not the members
+        if now_us > state.timer_us + 2 * state.tick_us:
+            # The timer came late: this process stood still, so long waits until now are no member's fault.
             state.stalled_us = now_us
         match event:
             case api.Arrival():
@@ -54,26 +58,27 @@
             case api.Start():
                 roster.start(state)
         if state.deferred_groups and not more_follow:
-            unsettled, state.deferred_groups = state.deferred_groups, {}
-            for group_id in unsettled:
+            group_ids, state.deferred_groups = state.deferred_groups, {}
+            for group_id in group_ids:
                 dispatch.dispatch_pending(state, state.groups[group_id])
         _sweep_due_groups(state)
         return state.actions
 
     def may_write(self, request_id: str, index: int, now_us: int) -> bool:
-        """Whether an attempt may still be written: what it was sent by is looked at again. No change."""
+        """Whether an attempt may still be written, by the guards that its send passed. Changes nothing."""
         state, request = self.state, self.state.requests.get(request_id)
         if request is None:
             return False
         attempt = request.attempts[index]
-        member, was, state.now_us = state.members.get(attempt.member), state.now_us, now_us
-        may = member is not None and sending.may_write(state, request, member, attempt.sent_us)
-        state.now_us = was  # a replay does not ask, and must go on from the same state
-        return may
+        member = state.members.get(attempt.member)
+        previous_us, state.now_us = state.now_us, now_us
+        may_write = member is not None and sending.may_write(state, request, member, attempt.sent_us)
+        state.now_us = previous_us  # a replay doesn't call this, and must go on from the same state
+        return may_write
 
 
 def _sweep_due_groups(state: RouterState) -> None:
-    """Look at the groups whose time has come; one timer for the next, none when nothing waits."""
+    """Sweep the groups whose time has come, and set one timer for the next, or none if nothing is due."""
     while state.due_sweeps and state.due_sweeps[0][0] <= state.now_us:
         at_us, group_id = heapq.heappop(state.due_sweeps)
         group = state.groups[group_id]
@@ -89,17 +94,17 @@
 
 
 def _sweep_group(state: RouterState, group: Group) -> None:
-    """What waits in a group: silent members, requests past their time, room for the held."""
-    holds = state.pending[group.id]
+    """Check silent members, end expired requests and dispatch the pending ones."""
+    pending = state.pending[group.id]
     since_check_us = state.now_us - group.checked_us
-    if holds.entries and group.primary is None and since_check_us >= parameters.PENDING_CHECK_US:
+    if pending.entries and group.primary is None and since_check_us >= parameters.PENDING_CHECK_US:
         checks.check_all(state, group)
     for member in list(group.members.values()):
         if state.now_us >= checks.overdue_at(state, group, member):
             checks.check(state, member)
-    for request in holds.ended(state.now_us, service_time.reserve_us(state, group)):
-        if any(one.is_outstanding for one in request.attempts):
-            holds.remove(request.id)
+    for request in pending.ended(state.now_us, service_time.reserve_us(state, group)):
+        if any(attempt.is_outstanding for attempt in request.attempts):
+            pending.remove(request.id)
         else:
             queueing.give_up(state, request)
     dispatch.dispatch_pending(state, group)
--- a/oatlink/rules/sending.py
+++ b/oatlink/rules/sending.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may start. The one place that starts attempts; it asks every guard each time."""
+"""Decides whether an attempt may start. Only this module starts attempts, after evaluating every guard."""
 
 from oatlink import interface as api
 from oatlink.router_state import Attempt, Member, Request, RouterState
@@ -6,7 +6,7 @@
 
 
 def send(state: RouterState, request: Request, member: Member) -> bool:
-    """Start an attempt, if every rule allows it."""
+    """Start an attempt if every guard allows it; return whether it was started."""
     if not may_send(state, request, member):
         return False
     member.outstanding[(request.id, len(request.attempts))] = state.now_us
@@ -20,7 +20,7 @@
 
 
 def may_send(state: RouterState, request: Request, member: Member) -> bool:
-    """The guards of the rules: drain, group, repeats, time, age, attempts and cold budget."""
+    """The guards of a send: drain, group, repeats, time, position, number of attempts and cold budget."""
     return (
         may_write(state, request, member, state.now_us)
         and may_repeat(state, request)
@@ -29,7 +29,10 @@
 
 
 def may_write(state: RouterState, request: Request, member: Member, sent_us: int) -> bool:
-    """The guards that time alone may turn. Threat: a connection that comes up when all has changed."""
+    """The guards whose result may change between an attempt's send and its first byte.
+
+    A connection may open only after the conditions of the send have changed; nothing is written to it then.
+    """
     is_primary = state.groups[member.entry.group].primary == member.entry.member
     return (
         (state.settings.members_check_reads or is_primary or _is_fresh_enough(state, request, member))
@@ -42,25 +45,25 @@
 
 
 def _is_fresh_enough(state: RouterState, request: Request, member: Member) -> bool:
-    """Whether a member's position, as far as known, serves a request; a write needs none."""
+    """Whether a member's known position serves a request; a write needs none."""
     is_write = request.request_class.freshness is api.Freshness.WRITE
     return is_write or member.position_us >= queueing.min_position_us(state, request)
 
 
 def may_repeat(state: RouterState, request: Request) -> bool:
-    """Whether attempts are left, and the class allows one more after the earlier ones."""
+    """Whether a request has attempts left, and its class allows one more after the earlier ones."""
     may_copy = state.settings.second_copies and request.request_class.effect is api.Effect.IDEMPOTENT
-    may_overlap = may_copy or not any(one.is_outstanding for one in request.attempts)
-    may = may_overlap and _is_repeat_safe(state, request)
-    return may and len(request.attempts) < state.settings.max_attempts
+    has_outstanding = any(attempt.is_outstanding for attempt in request.attempts)
+    is_safe = (may_copy or not has_outstanding) and _is_repeat_safe(state, request)
+    return is_safe and len(request.attempts) < state.settings.max_attempts
 
 
 def _is_repeat_safe(state: RouterState, request: Request) -> bool:
-    """Whether one more attempt could do no harm beside those that may have run."""
-    first, rule = request.may_have_run_us, request.request_class
+    """Whether one more attempt does no harm after those that may have run."""
+    first_us, rule = request.may_have_run_us, request.request_class
     return (
-        first is None
+        first_us is None
         or rule.effect is api.Effect.IDEMPOTENT
         or rule.effect is api.Effect.KEYED
-        and state.now_us + state.margin_us < first + rule.repeat_window_us
+        and state.now_us + state.margin_us < first_us + rule.repeat_window_us
     )
