--- a/oatlink/rules/queueing.py
+++ b/oatlink/rules/queueing.py
@@ -20,8 +20,8 @@
     """Keep a request until its group can take it, in the queue of its key, in order of arrival."""
     pending = state.pending[group.id]
     requeue(state, pending, request)
-    end_us, reserve_us, latest_us = _end_times(state, request)
-    pending.set_ends(request, end_us - reserve_us, end_us, latest_us)
+    end_us, max_reserve_us, latest_us = _end_times(state, request)
+    pending.set_ends(request, end_us - max_reserve_us, end_us, latest_us)
 
 
 def requeue(
