--- a/oatlink/gateway/links/__init__.py
+++ b/oatlink/gateway/links/__init__.py
@@ -5,9 +5,20 @@
 module owns one kind of its state.
 """
 
-from oatlink.gateway.links.connection import CHUNK, Connection, Pending, swallow
+from oatlink.gateway.links.connection import CHUNK, Connection, PendingRequest, swallow
 from oatlink.gateway.links.dialling import DialError, connect
 from oatlink.gateway.links.link import Link
 from oatlink.gateway.links.turn import Flushed, Shell, Turn
 
-__all__ = ["CHUNK", "Connection", "DialError", "Flushed", "Link", "Pending", "Shell", "Turn", "connect", "swallow"]
+__all__ = [
+    "CHUNK",
+    "Connection",
+    "DialError",
+    "Flushed",
+    "Link",
+    "PendingRequest",
+    "Shell",
+    "Turn",
+    "connect",
+    "swallow",
+]
--- a/oatlink/gateway/links/connection.py
+++ b/oatlink/gateway/links/connection.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRequest:
     """A request on a connection: its frames come in order."""
 
     send: m.Send
@@ -54,12 +54,12 @@
     def __init__(self, owner: Owner, stream: Stream, protocol: int, address: str) -> None:
         self._owner, self._reports = owner, owner.reports
         self.stream, self.protocol, self.address = stream, protocol, address
-        self.given = 0  # bytes put on it since its greeting
+        self.queued_bytes = 0  # bytes put on it since its greeting
         self.greeted = 0  # bytes of the greeting
         self.reader = ReplyReader(owner.limits)
-        self.pending: deque[Pending] = deque()
-        self.out: list[bytes] = []
-        self.unflushed: list[Pending] = []
+        self.pending: deque[PendingRequest] = deque()
+        self.outgoing: list[bytes] = []
+        self.unflushed: list[PendingRequest] = []
         self.run_id = ""
         self.alone = False
         self.idle_since_us = self._reports.now()
@@ -107,28 +107,28 @@
             if not self.pending:
                 self.close("reset")
             return False
-        self.give(send)
+        self.enqueue(send)
         return True
 
-    def give(self, send: m.Send) -> None:
+    def enqueue(self, send: m.Send) -> None:
         """Put a request on the connection; it is written at the end of this turn."""
         wants = send.replies + send.ask
-        runs_from = self.given + (send.runs_from or len(send.payload))
-        self.pending.append(Pending(send, self._reports.now(), wants, runs_from))
-        self.given += len(send.payload)
+        runs_from = self.queued_bytes + (send.runs_from or len(send.payload))
+        self.pending.append(PendingRequest(send, self._reports.now(), wants, runs_from))
+        self.queued_bytes += len(send.payload)
         self.unflushed.append(self.pending[-1])
         self.alone = self.alone or send.alone
-        self.out.append(send.payload)
+        self.outgoing.append(send.payload)
         if send.ask:
-            self.out.append(ASK_BEHIND)
-            self.given += len(ASK_BEHIND)
+            self.outgoing.append(ASK_BEHIND)
+            self.queued_bytes += len(ASK_BEHIND)
         self._reports.dirty(self)
 
     def flush(self) -> None:
         """Hand over what was put on the connection."""
-        if not self.out or self.closed:
+        if not self.outgoing or self.closed:
             return
-        data, self.out = (self.out[0] if len(self.out) == 1 else b"".join(self.out)), []
+        data, self.outgoing = (self.outgoing[0] if len(self.outgoing) == 1 else b"".join(self.outgoing)), []
         now = self._reports.now()
         for one in self.unflushed:
             one.flushed_us = now
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -32,18 +32,18 @@
 
 def no_effect_twice() -> None:
     """Writes that carry no key are handed over twice."""
-    whole = links.Connection.give
+    whole = links.Connection.enqueue
 
-    def give(self: links.Connection, send: m.Send) -> None:
+    def enqueue(self: links.Connection, send: m.Send) -> None:
         if b"RPUSH" in send.payload:
             at = send.payload.find(b"*3\r\n$4\r\nWAIT")
             first = send.payload[:at] if at > 0 else send.payload
-            self.out.append(first)
-            self.pending.append(links.Pending(m.Send(0, 0, send.box, b"", 1, 2, "", 0), 0, 1, 0))
-            self.given += len(first)
+            self.outgoing.append(first)
+            self.pending.append(links.PendingRequest(m.Send(0, 0, send.box, b"", 1, 2, "", 0), 0, 1, 0))
+            self.queued_bytes += len(first)
         whole(self, send)
 
-    links.Connection.give = give  # type: ignore[method-assign]
+    links.Connection.enqueue = enqueue  # type: ignore[method-assign]
 
 
 def drains_kept() -> None:
