--- a/benchmarks/scale/slopes/resp.py
+++ b/benchmarks/scale/slopes/resp.py
@@ -43,12 +43,12 @@
     tracemalloc.start()
     gateway = Gateway(settings)
     boxes = boxes_of(settings)
-    gateway.list(boxes)
+    gateway.apply_roster(boxes)
     kept, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     fresh = Gateway(settings)
     began = time.process_time()
-    fresh.list(boxes)
+    fresh.apply_roster(boxes)
     first = time.process_time() - began
     sweeps = []
     for _ in range(TURNS):
--- a/oatlink/cli/main.py
+++ b/oatlink/cli/main.py
@@ -12,7 +12,7 @@
 from oatlink.cli.operators import check, explain_command, fail, read_recording, record, status
 from oatlink.core.recording import Recording, RecordingError, replay
 from oatlink.gateway.links import DialError
-from oatlink.gateway.run import bind, on_signals, run, spoken
+from oatlink.gateway.run import bind, format_socket_address, run, set_on_stop_signals
 from oatlink.lab.against import clients_of, drive
 from oatlink.lab.day import SCENARIOS, Report, load_scenario, play
 from oatlink.lab.embedded import Embedded
@@ -88,7 +88,7 @@
     except OSError as error:
         fail(f"{file}: listen: {error.strerror or error}")
         return
-    shown = spoken(sockets[0].getsockname())
+    shown = format_socket_address(sockets[0].getsockname())
     sys.exit(run(settings, sockets, None, lambda: click.echo(f"ready {shown}"), file))
 
 
@@ -106,7 +106,7 @@
 
     async def serve() -> None:
         stop = asyncio.Event()
-        on_signals(stop)
+        set_on_stop_signals(stop)
         embedded = Embedded(banks, members, seed)
         end = await embedded.start()
         port = embedded.control(control_port)
--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -183,7 +183,7 @@
     for _ in range(2):
         gateway.feed(m.Inspected())
         end = time.monotonic() + wait_s
-        while gateway.probing and time.monotonic() < end:
+        while gateway.is_probing and time.monotonic() < end:
             await asyncio.sleep(0.005)
     rows = {}
     for one in gateway.engine.verdicts():
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -121,12 +121,12 @@
     def shun(self, address: str) -> None:
         """Carry out `Shun`."""
         with self.reports.turn():
-            for one in self._all():
+            for one in self._connections():
                 if one.address == address:
                     one.close("reset")
             self._probes.shun(address)
 
-    def _all(self) -> list[Connection]:
+    def _connections(self) -> list[Connection]:
         return [one for pool in self._pools.values() for one in pool.open] + self._leases.open
 
     # ---- Upkeep ----
@@ -140,7 +140,7 @@
     def sweep(self) -> None:
         """Close what has been idle for long and what has not answered for too long."""
         now, settings = self.reports.now(), self._facts.settings
-        for one in self._all():
+        for one in self._connections():
             if (
                 one.pending
                 and now - one.pending[0].sent_us > settings.reply_timeout_ms * 1000
@@ -153,7 +153,7 @@
                 one.close("reset")
 
     @property
-    def probing(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether the answer to a probe is awaited."""
         return self._probes.awaited
 
@@ -172,7 +172,7 @@
         """End all connections, and all that waits for one."""
         self.leave()
         with self.reports.turn():
-            for one in [*self._all(), *self._leases.released, *self._probes.open]:
+            for one in [*self._connections(), *self._leases.released, *self._probes.open]:
                 one.close("reset")
             waiting = [send for pool in self._pools.values() for send in pool.take_waiting()]
             for send in [*waiting, *self._leases.take_waiting()]:
--- a/oatlink/gateway/run.py
+++ b/oatlink/gateway/run.py
@@ -88,7 +88,7 @@
     if settings.roster_file:
 
         def told(roster: RosterFile) -> None:
-            gateway.list(boxes_from(settings, roster))
+            gateway.apply_roster(boxes_from(settings, roster))
 
         follower = asyncio.ensure_future(follow(settings.roster_file, told, lambda text: notes.note("roster", text)))
     shown = None
@@ -113,7 +113,7 @@
     notes.note("stopped")
 
 
-def on_signals(stop: asyncio.Event) -> None:
+def set_on_stop_signals(stop: asyncio.Event) -> None:
     """SIGINT and SIGTERM ask for an orderly end."""
     loop = asyncio.get_running_loop()
     for one in (signal.SIGINT, signal.SIGTERM):
@@ -125,7 +125,7 @@
     return [one for address in settings.listen for one in listen(address)]
 
 
-def spoken(name: object) -> str:
+def format_socket_address(name: object) -> str:
     """A socket's own address as settings write it; port 0 has become a real one."""
     if isinstance(name, tuple):
         return f"[{name[0]}]:{name[1]}" if ":" in name[0] else f"{name[0]}:{name[1]}"
@@ -169,7 +169,7 @@
     source: str,
 ) -> int:
     stop = asyncio.Event()
-    on_signals(stop)
+    set_on_stop_signals(stop)
     end = await prepare() if prepare is not None else None
     try:
         await serve_until(settings, sockets, stop, announce, source=source)
@@ -181,7 +181,7 @@
 
 async def _worker(settings: Settings, sockets: list[socket.socket], number: int, writer: int, source: str) -> int:
     stop = asyncio.Event()
-    on_signals(stop)
+    set_on_stop_signals(stop)
 
     def tell() -> None:
         os.write(writer, b"r")
@@ -198,7 +198,7 @@
 async def _keeper(children: list[int], reader: int, prepare: Prepare | None, announce: Callable[[], None]) -> int:
     """Wait for the workers; one that dies unasked ends the others, and the exit code says so."""
     stop = asyncio.Event()
-    on_signals(stop)
+    set_on_stop_signals(stop)
     loop = asyncio.get_running_loop()
     end = await prepare() if prepare is not None else None
     got = 0
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -71,7 +71,7 @@
         self._listeners: list[tuple[socket.socket, Callable[[socket.socket, object], None]]] = []
         self._sweeper = PeriodicCallback(self._sweep, 1000)
         self._tasks: set[asyncio.Task[None]] = set()
-        self.stopping = False
+        self.is_stopping = False
         self.fleet: FleetSeat | None = None
 
     # ---- Life ----
@@ -81,12 +81,12 @@
         self._listeners = [(one, self._accept) for one in sockets]
         self._listeners += [(one, partial(self._accept, admin=True)) for one in admin or ()]
         self.feed(m.Started(code()))
-        self.list(boxes_of(self.settings))
+        self.apply_roster(boxes_of(self.settings))
         for sock, accept in self._listeners:
             self._removers.append(add_accept_handler(sock, accept))
         self._sweeper.start()
 
-    def list(self, boxes: tuple[m.Box, ...]) -> None:
+    def apply_roster(self, boxes: tuple[m.Box, ...]) -> None:
         """Discovery has spoken."""
         left = []
         for box in boxes:
@@ -120,13 +120,13 @@
             link.reload(settings.links)
         self.feed(m.Reloaded(settings))
         if not settings.roster_file:
-            self.list(boxes_of(settings))
+            self.apply_roster(boxes_of(settings))
 
     async def stop(self) -> None:
         """Take nothing new, let what is held end within `drain_ms`, close everything."""
-        if self.stopping:
+        if self.is_stopping:
             return
-        self.stopping = True
+        self.is_stopping = True
         for remove in self._removers:
             remove()  # type: ignore[operator]
         for sock, accept in self._listeners:
@@ -165,9 +165,9 @@
             one.close()
 
     @property
-    def probing(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether the answer to a probe is awaited."""
-        return any(link.probing for link in self._links.values())
+        return any(link.is_probing for link in self._links.values())
 
     def _sweep(self) -> None:
         slept = slept_us()
@@ -324,7 +324,7 @@
     def _begin_to_end(self, ending: Ending) -> None:
         """Threat: peers that never end their side hold all descriptors."""
         self._ending[ending] = None
-        if len(self._ending) > MOST_ENDING and not self.stopping:
+        if len(self._ending) > MOST_ENDING and not self.is_stopping:
             next(iter(self._ending)).close()
 
     async def _serve(self, client: Client) -> None:
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -90,8 +90,10 @@
     def link(self) -> Link:
         return self.gateway._links["p"]
 
-    def list(self, **changes: object) -> None:
-        self.gateway.list(tuple(msgspec.structs.replace(one, **changes) for one in boxes_of(self.gateway.settings)))
+    def apply_roster(self, **changes: object) -> None:
+        self.gateway.apply_roster(
+            tuple(msgspec.structs.replace(one, **changes) for one in boxes_of(self.gateway.settings))
+        )
 
     def connect(self, *commands: bytes) -> socket.socket:
         """A connection that has sent something already, in the kernel's queue: no turn of the loop in between."""
@@ -213,7 +215,7 @@
     await asyncio.get_running_loop().sock_sendall(client, resp.command("ECHO", text) * 60)
     await until(lambda: one.gateway._clients and next(iter(one.gateway._clients.values())).unsent > 1_000_000)
     ending = asyncio.ensure_future(one.gateway.stop())
-    await until(lambda: one.gateway.stopping)
+    await until(lambda: one.gateway.is_stopping)
     assert (await read(client)).count(resp.bulk(text.encode())) == 60
     client.close()
     await ending
@@ -287,11 +289,11 @@
 @scene(world)
 async def test_a_command_that_waits_as_its_box_begins_to_drain_is_not_written_there(one: World) -> None:
     client = await waits(one, "SET", "k", 1)
-    one.list(state="terminating")
+    one.apply_roster(state="terminating")
     one.box.greets.set()
     await until(lambda: one.link._pools[2].open)
     await one.sees_leave(client)
-    one.list()
+    one.apply_roster()
     await one.serves("GET")
 
 
@@ -299,7 +301,7 @@
 async def test_a_command_that_waits_as_its_box_leaves_the_list_is_told_at_once(one: World) -> None:
     await waits(one, "SET", "k", 1)
     link = one.link
-    one.gateway.list(())
+    one.gateway.apply_roster(())
     assert not link._pools[2].waiting and not one.gateway._links
     one.box.greets.set()
     assert not one.box.commands
@@ -310,7 +312,7 @@
 async def test_a_command_that_waits_as_its_box_moves_is_done_at_the_new_address(one: World, words: Words) -> None:
     async with Box("two") as moved:
         client = await waits(one, *words)
-        one.list(address=moved.address)
+        one.apply_roster(address=moved.address)
         assert await read(client, 1) == b"+OK\r\n"
         one.box.greets.set()
         assert not one.box.commands and moved.commands in (["SET"], [])
@@ -323,7 +325,7 @@
         first = await one.wire()
         asked = asyncio.ensure_future(first.ask("GET", "k"))
         await until(lambda: one.box.commands == ["GET"])
-        one.list(address=moved.address)
+        one.apply_roster(address=moved.address)
         assert await asked == OK and moved.commands == ["GET"]
 
 
@@ -368,7 +370,7 @@
 async def test_exec_is_not_sent_to_another_box_of_the_same_name(one: World) -> None:
     async with Box("two") as moved:
         wire = await one.wire("WATCH", "k")
-        one.list(address=moved.address)
+        one.apply_roster(address=moved.address)
         await one.wire("GET", "k")
         assert isinstance(await transaction(wire), resp.Null)
         assert one.box.commands == ["WATCH"] and moved.commands == ["GET"]
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -34,7 +34,7 @@
 
     def over(self) -> set[str]:
         """The addresses with open connections for requests."""
-        return {one.address.partition(":")[0] for one in self.gateway._links["box-0-0"]._all()}
+        return {one.address.partition(":")[0] for one in self.gateway._links["box-0-0"]._connections()}
 
     async def timed(self, *words: str | int) -> tuple[resp.Value, float]:
         began = time.monotonic()
