--- a/oatlink/gateway/links/__init__.py
+++ b/oatlink/gateway/links/__init__.py
@@ -7,8 +7,8 @@
 
 from oatlink.gateway.links.connection import CHUNK, Connection, PendingRequest, swallow
 from oatlink.gateway.links.dialling import DialError, connect
+from oatlink.gateway.links.gateway_interface import Flushed, Shell, Turn
 from oatlink.gateway.links.link import Link
-from oatlink.gateway.links.turn import Flushed, Shell, Turn
 
 __all__ = [
     "CHUNK",
--- a/oatlink/gateway/links/wants.py
+++ b/oatlink/gateway/links/dial_requests.py
@@ -9,7 +9,7 @@
 from oatlink.gateway.clock import patience
 from oatlink.gateway.links.connection import Connection, Owner
 from oatlink.gateway.links.dialling import DialError, connect
-from oatlink.gateway.links.facts import Facts
+from oatlink.gateway.links.link_config import Facts
 from oatlink.gateway.links.tasks import Tasks
 
 
--- a/oatlink/gateway/links/leases.py
+++ b/oatlink/gateway/links/leases.py
@@ -9,9 +9,9 @@
 
 from oatlink.core import messages as m
 from oatlink.gateway.links.connection import Connection
-from oatlink.gateway.links.facts import Facts
+from oatlink.gateway.links.dial_requests import Want, Wants
+from oatlink.gateway.links.link_config import Facts
 from oatlink.gateway.links.reports import Reports
-from oatlink.gateway.links.wants import Want, Wants
 
 
 class Leases:
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -5,14 +5,14 @@
 
 from oatlink.core import messages as m
 from oatlink.gateway.links.connection import Connection
-from oatlink.gateway.links.facts import Facts
+from oatlink.gateway.links.dial_requests import Wants
+from oatlink.gateway.links.gateway_interface import Shell
 from oatlink.gateway.links.leases import Leases
+from oatlink.gateway.links.link_config import Facts
 from oatlink.gateway.links.pool import Pool
 from oatlink.gateway.links.probes import Probes
 from oatlink.gateway.links.reports import Reports
 from oatlink.gateway.links.tasks import Tasks
-from oatlink.gateway.links.turn import Shell
-from oatlink.gateway.links.wants import Wants
 from oatlink.protocols.resp import Limits
 from oatlink.settings.model import Links
 
--- a/oatlink/gateway/links/probes.py
+++ b/oatlink/gateway/links/probes.py
@@ -8,7 +8,7 @@
 from oatlink.gateway.clock import patience
 from oatlink.gateway.links.connection import ASK, Connection, Owner
 from oatlink.gateway.links.dialling import DialError, connect
-from oatlink.gateway.links.facts import Facts
+from oatlink.gateway.links.link_config import Facts
 from oatlink.gateway.links.tasks import Tasks
 from oatlink.protocols.resp import ProtocolError
 
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -4,7 +4,7 @@
 """
 
 from oatlink.core import messages as m
-from oatlink.gateway.links.turn import Shell
+from oatlink.gateway.links.gateway_interface import Shell
 
 
 class Reports:
