--- a/oatlink/gateway/links/dialling.py
+++ b/oatlink/gateway/links/dialling.py
@@ -1,6 +1,7 @@
-"""A stream to an address, within its time.
+"""Opens a stream to an address within a time limit.
 
-What may live here: what the kernel is asked for a connection, and the words for not getting one. No state, no protocol.
+The module sets the socket options of a connection and names the reasons for which there is none. It has no state and
+knows no protocol.
 """
 
 import socket
@@ -11,15 +12,18 @@
 from oatlink.gateway.clock import Marks, Stream, patience
 from oatlink.settings.parts import address_fits
 
+UNANSWERED_KEEPALIVES = 3  # after which the kernel ends a connection
+
 
 class DialError(Exception):
-    """No connection; the text is a word of `outcomes.ENDINGS`."""
+    """No connection could be opened; the text is one of `outcomes.ENDINGS`."""
 
 
 async def connect(address: str, timeout_s: float, marks: Marks | None = None, keepalive_s: int = 0) -> Stream:
-    """A stream to host:port or unix:PATH. Raises `DialError`.
+    """Open a stream to host:port or unix:PATH. Raises `DialError`.
 
-    `keepalive_s` above 0: the kernel asks an idle peer so often, and ends the connection after three silences.
+    With `keepalive_s` above 0, the kernel probes an idle peer at that interval and ends the connection after three
+    probes without an answer.
     """
     assert address_fits(address)
     stream: Stream | None = None
@@ -31,17 +35,17 @@
                 await stream.connect(address[5:])
                 return stream
             host, _, port = address.rpartition(":")
-            found = await Resolver().resolve(host.strip("[]"), int(port))
-            family, where = found[0]
+            resolved = await Resolver().resolve(host.strip("[]"), int(port))
+            family, socket_address = resolved[0]
             stream = Stream(socket.socket(family, socket.SOCK_STREAM), marks, max_buffer_size=1 << 30)
             stream.set_nodelay(True)
             if keepalive_s:
                 stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
                 for option in ("TCP_KEEPIDLE", "TCP_KEEPINTVL", "TCP_KEEPCNT"):
                     if hasattr(socket, option):
-                        value = 3 if option == "TCP_KEEPCNT" else keepalive_s
+                        value = UNANSWERED_KEEPALIVES if option == "TCP_KEEPCNT" else keepalive_s
                         stream.socket.setsockopt(socket.IPPROTO_TCP, getattr(socket, option), value)
-            await stream.connect(where)
+            await stream.connect(socket_address)
             return stream
     except TimeoutError:
         if stream is not None:
--- a/oatlink/gateway/notes.py
+++ b/oatlink/gateway/notes.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line on stderr, bounded in lines a second; what was left out is counted."""
+"""Structured logs on stderr, one event a line. Lines a second are limited; lines over the limit are counted."""
 
 import logging
 import sys
@@ -12,7 +12,8 @@
 class Notes:
     """The gateway's log."""
 
-    def __init__(self, settings: Logs, **always: object) -> None:
+    def __init__(self, settings: Logs, **fields: object) -> None:
+        """`fields` are added to each line."""
         renderer = structlog.processors.JSONRenderer() if settings.form == "json" else structlog.dev.ConsoleRenderer()
         level = getattr(logging, settings.level.upper())
         self._log = structlog.wrap_logger(
@@ -23,23 +24,23 @@
                 renderer,
             ],
             wrapper_class=structlog.make_filtering_bound_logger(level),
-        ).bind(**always)
-        self._most = settings.lines_per_s
-        self._second = 0
-        self._written = 0
-        self._left_out = 0
+        ).bind(**fields)
+        self._max_lines_per_s = settings.lines_per_s
+        self._current_second = 0
+        self._lines_this_second = 0
+        self._omitted_count = 0
 
-    def note(self, event: str, text: str = "", **more: object) -> None:
-        """Write a line, unless this second has had its share."""
+    def note(self, event: str, text: str = "", **fields: object) -> None:
+        """Write a line, unless the limit of this second is reached."""
         second = int(time.monotonic())
-        if second != self._second:
-            left, self._left_out = self._left_out, 0
-            self._second, self._written = second, 0
-            if left:
-                self._log.warning("lines left out", count=left)
-        if self._written >= self._most:
-            self._left_out += 1
+        if second != self._current_second:
+            omitted_count, self._omitted_count = self._omitted_count, 0
+            self._current_second, self._lines_this_second = second, 0
+            if omitted_count:
+                self._log.warning("lines left out", count=omitted_count)
+        if self._lines_this_second >= self._max_lines_per_s:
+            self._omitted_count += 1
             return
-        self._written += 1
+        self._lines_this_second += 1
         level = "error" if event == "fault" else "info"
-        getattr(self._log, level)(event, **({"text": text} if text else {}), **more)
+        getattr(self._log, level)(event, **({"text": text} if text else {}), **fields)
