--- a/oatlink/gateway/clients.py
+++ b/oatlink/gateway/clients.py
@@ -1,6 +1,6 @@
-"""One client connection as the gateway holds it: what is owed to it, what waits on it, how it ends.
+"""One client connection as the gateway sees it: pending answers, waiting, and its end.
 
-A shell: which answers there are is the engine's word, how a connection ends that of `transport.closing`.
+The engine decides which answers there are; `transport.closing` decides how a connection ends.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
 from oatlink.gateway.clock import Stream
-from oatlink.gateway.links import CHUNK, swallow
+from oatlink.gateway.links import READ_CHUNK_BYTES, consume_write_error
 from oatlink.transport.closing import State
 from oatlink.transport.ending import Ending
 
@@ -19,89 +19,92 @@
 class Client:
     """One client connection."""
 
-    def __init__(self, number: int, stream: Stream, closed: Callable[["Client"], None]) -> None:
+    def __init__(self, number: int, stream: Stream, on_ended: Callable[["Client"], None]) -> None:
         self.number, self.stream = number, stream
-        self.ending = Ending(stream, self._is_owed, self._ended)
-        self._told = closed
-        self.unanswered = 0
-        self.out: list[bytes] = []
-        self.hung_us = 0  # since when nothing follows what is to be written
-        self.given_up = False  # nothing is owed to it any more
+        self.ending = Ending(stream, self._has_pending_output, self._ended)
+        self._on_ended = on_ended
+        self.unanswered = 0  # commands without an answer
+        self.outgoing: list[bytes] = []
+        self.hangup_us = 0  # when the engine asked to close the connection after what is still to be written; 0 if not
+        self.is_given_up = False  # no pending answer is waited for any more
         self.paused_until_us = 0
-        self.refused_us = 0
-        self.unsent = 0  # bytes written that the client has not taken
-        self.written: asyncio.Future[None] | None = None
-        self.lacks_room = False  # it waits for its earlier commands, as many as may be open
-        self._waits: asyncio.Future[None] | None = None
+        self.pause_began_us = 0
+        self.unsent_bytes = 0  # written, but not yet taken by the client
+        self.last_write: asyncio.Future[None] | None = None
+        self.is_pipeline_full = False  # it waits until fewer of its commands are unanswered
+        self._wakeup: asyncio.Future[None] | None = None
 
     @property
     def is_over(self) -> bool:
-        """Whether a command that it has sent is no longer to be done."""
-        return bool(self.hung_us) or self.ending.discards or self.stream.closed()
+        """Whether commands that it has sent are not to be carried out any more."""
+        return bool(self.hangup_us) or self.ending.discards or self.stream.closed()
 
     @property
-    def is_deaf(self) -> bool:
-        """Whether what it sends is thrown away."""
-        return bool(self.hung_us) or self.ending.discards
+    def discards_input(self) -> bool:
+        """Whether what it sends is discarded."""
+        return bool(self.hangup_us) or self.ending.discards
 
-    def _is_owed(self) -> bool:
-        """Whether it is still to have something: bytes not handed over, an answer, or one to what it just sends."""
-        if self.given_up:
+    def _has_pending_output(self) -> bool:
+        """Whether it is still to get bytes that are not handed over, an answer, or one to what it is just sending."""
+        if self.is_given_up:
             return False
-        if self.unsent or self.out:
-            return True  # within `client_write_timeout_ms`, which is longer than an ending's own patience
-        return not self.hung_us and (self.unanswered > 0 or not self.stream.at_rest())
+        if self.unsent_bytes or self.outgoing:
+            return True  # for at most `client_write_timeout_ms`, which is longer than the time limits of an ending
+        return not self.hangup_us and (self.unanswered > 0 or not self.stream.at_rest())
 
     def _ended(self) -> None:
         self.wake()
-        self._told(self)
+        self._on_ended(self)
 
     async def wait(self) -> None:
-        """Wait until `wake`: for room, for the end of a pause, or for the connection's end."""
-        self._waits = asyncio.get_running_loop().create_future()
+        """Wait until `wake`: for a free place in the pipeline, the end of a pause, or the connection's end."""
+        self._wakeup = asyncio.get_running_loop().create_future()
         if self.ending.state is State.CLOSED:
             return
-        await self._waits
+        await self._wakeup
 
     def wake(self) -> None:
-        """See `wait`."""
-        if self._waits is not None and not self._waits.done():
-            self._waits.set_result(None)
+        """End `wait`."""
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
     def write(self) -> bool:
-        """Hand over the answers that are here. Whether the client could be held to take them."""
-        if not self.out or self.stream.closed():
+        """Write the answers that are queued. Returns False if the client was cut off for not taking its answers."""
+        if not self.outgoing or self.stream.closed():
             return True
-        data, self.out = (self.out[0] if len(self.out) == 1 else b"".join(self.out)), []
+        data, self.outgoing = (self.outgoing[0] if len(self.outgoing) == 1 else b"".join(self.outgoing)), []
         try:
             written = self.stream.write(data)
         except (StreamBufferFullError, StreamClosedError):
             self.ending.close()
             return False
-        self.unsent += len(data)
+        self.unsent_bytes += len(data)
 
-        def taken(future: "asyncio.Future[None]", size: int = len(data)) -> None:
-            self.unsent -= size
-            swallow(future)
+        def on_written(future: "asyncio.Future[None]", size: int = len(data)) -> None:
+            self.unsent_bytes -= size
+            consume_write_error(future)
             if not self.ending.may_take:
                 self.ending.settle()
 
-        written.add_done_callback(taken)
-        self.written = written
+        written.add_done_callback(on_written)
+        self.last_write = written
         return True
 
 
-async def discard(stream: Stream, ending: Ending) -> None:
-    """Read and throw away until the connection has ended. What comes before its last answer is not counted."""
+async def discard_input(stream: Stream, ending: Ending) -> None:
+    """Read and discard until the connection has ended; bytes that come before its last answer are not counted."""
     with contextlib.suppress(StreamClosedError):
         while True:
-            data = await stream.read_bytes(CHUNK, partial=True)
+            data = await stream.read_bytes(READ_CHUNK_BYTES, partial=True)
             if ending.discards:
                 ending.discard(len(data))
 
 
-def accept_rest(sock: socket.socket, accept: Callable[[socket.socket, object], None]) -> None:
-    """Take what waits in the kernel. Threat: it is reset when the listener closes, with what it has asked."""
+def accept_queued(sock: socket.socket, accept: Callable[[socket.socket, object], None]) -> None:
+    """Accept the connections in the kernel's queue.
+
+    Prevents them from being reset, with the commands that they have sent, when the listener closes.
+    """
     with contextlib.suppress(OSError):
         while True:
             accept(*sock.accept())
--- a/oatlink/gateway/fleet.py
+++ b/oatlink/gateway/fleet.py
@@ -1,6 +1,7 @@
-"""The gateway's side of its fleet: made only where the settings have a `fleet` part, with all that it imports.
+"""Connects a gateway to its fleet. The module, with all that it imports, is loaded only if the settings have a `fleet`.
 
-It carries: what the node asks of the gateway, what the gateway has seen, operators' words. It decides nothing.
+It passes on the requests of the fleet node, the observations of the gateway and the commands of operators. It decides
+nothing.
 """
 
 import asyncio
@@ -20,19 +21,19 @@
 
 
 def members_of(boxes: tuple[m.Box, ...], settings: Settings) -> Mapping[str, str]:
-    """The members of a roster with their banks."""
-    return {one.name: settings.banks[one.bank].name for one in boxes}
+    """The members of a roster with the names of their banks."""
+    return {box.name: settings.banks[box.bank].name for box in boxes}
 
 
-class Seat:
-    """A gateway's seat in its fleet."""
+class FleetConnector:
+    """The connection between a gateway and its fleet node."""
 
     def __init__(self, gateway: Gateway, settings: Settings) -> None:
         """Raises `FleetError`."""
         assert settings.fleet is not None
         self._gateway, self._settings = gateway, settings
         self.node = self._control_node() if settings.fleet.control is not None else self._fleet_node()
-        self._words = asyncio.Lock()  # one at a time: their answers are told apart by their order
+        self._operator_lock = asyncio.Lock()  # one command at a time: answers are matched to commands by their order
         self._tasks: set[asyncio.Task[None]] = set()
 
     def _control_node(self) -> FleetNode | ControlNode:
@@ -42,27 +43,28 @@
     def _fleet_node(self) -> FleetNode | ControlNode:
         settings, gateway = self._settings, self._gateway
         assert settings.fleet is not None
-        longest_us = 1_000 * max(one.deadline_ms for one in (*settings.classes, DEFAULT_READ, DEFAULT_WRITE))
+        classes = (*settings.classes, DEFAULT_READ, DEFAULT_WRITE)
+        max_deadline_us = 1_000 * max(request_class.deadline_ms for request_class in classes)
         return FleetNode(
             settings.fleet,
-            {one.name: bank.name for bank in settings.banks for one in bank.members},
-            longest_us,
+            {member.name: bank.name for bank in settings.banks for member in bank.members},
+            max_deadline_us,
             settings.seed,
             demands=gateway.engine.gate.demands,
             busy=gateway.engine.busy,
-            tell=self._tell,
+            tell=self._notify,
             primary=self._primary,
             note=gateway.notes.note,
         )
 
     def _in_force(self, news: InForce) -> None:
-        """Nothing of a gateway is set by the stream yet: that it came is a line."""
+        """Log a change that has come into force; the change stream does not configure the gateway yet."""
         head = news.head
-        if not is_names(head.scope):  # those are a source's own
+        if not is_names(head.scope):  # scopes of names belong to a source itself
             self._gateway.notes.note("control", f"{head.scope} is at version {head.epoch}.{head.version}")
 
-    def carry(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
-        """Do what the engine asks of the fleet."""
+    def execute(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+        """Carry out an effect of the engine that is for the fleet."""
         if isinstance(effect, m.Seek):
             self.node.seek()
         elif isinstance(effect, m.Observed):
@@ -73,30 +75,30 @@
         elif isinstance(effect, m.Listing):
             self.node.listed(members_of(effect.boxes, self._settings))
         else:
-            task = asyncio.get_running_loop().create_task(self._word(effect))
+            task = asyncio.get_running_loop().create_task(self._run_operator_command(effect))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _tell(self, news: AnyNews) -> None:
+    def _notify(self, news: AnyNews) -> None:
         self._gateway.feed(m.Told(news))
 
     def _primary(self, bank: str) -> Primary | None:
         address, links = self._gateway.engine.primary_of(bank), self._gateway.settings.links
         return Primary(address, links.user, links.password) if address else None
 
-    async def _word(self, errand: m.Errand) -> None:
-        async with self._words:
-            if errand.word == "rows":
-                text = "\n".join(f"{name}: {one}" for name, one in self.node.rows())
-            elif errand.word == "propose":
+    async def _run_operator_command(self, command: m.Errand) -> None:
+        async with self._operator_lock:
+            if command.word == "rows":
+                text = "\n".join(f"{name}: {value}" for name, value in self.node.rows())
+            elif command.word == "propose":
                 try:
-                    plan = evaluate(errand.text.decode("utf-8", "replace"), "plan")
+                    plan = evaluate(command.text.decode("utf-8", "replace"), "plan")
                     text = await self.node.word("propose", plan.encode())
                 except SettingsError as error:
                     text = str(error)
             else:
-                text = await self.node.word(errand.word, errand.text)
-            self._gateway.feed(m.Replied(errand.client, text))
+                text = await self.node.word(command.word, command.text)
+            self._gateway.feed(m.Replied(command.client, text))
 
     async def stop(self) -> None:
         """Leave the fleet."""
--- a/oatlink/gateway/links/__init__.py
+++ b/oatlink/gateway/links/__init__.py
@@ -1,24 +1,29 @@
-"""Connections to one box: pooled and pipelined, bounded, each broken one failing only what was on it.
+"""Connections to one box: pooled, pipelined and bounded; a broken connection fails only the requests that were on it.
 
-A shell: it carries out the engine's effects for a box and reports how each ended. What may live here is plumbing within
-the bounds of the settings; which box gets a request is never chosen here. `Link` is what a gateway uses; each other
-module owns one kind of its state.
+The package carries out the engine's effects for a box and reports how each of them ended. It handles connections within
+the limits of the settings and never chooses which box gets a request. `Link` is the interface that the gateway uses;
+each of the other modules owns one kind of state.
 """
 
-from oatlink.gateway.links.connection import CHUNK, Connection, PendingRequest, swallow
+from oatlink.gateway.links.connection import (
+    READ_CHUNK_BYTES,
+    Connection,
+    PendingRequest,
+    consume_write_error,
+)
 from oatlink.gateway.links.dialling import DialError, connect
-from oatlink.gateway.links.gateway_interface import Flushed, Shell, Turn
+from oatlink.gateway.links.gateway_interface import Flushable, FlushBatch, GatewayInterface
 from oatlink.gateway.links.link import Link
 
 __all__ = [
-    "CHUNK",
+    "READ_CHUNK_BYTES",
     "Connection",
     "DialError",
-    "Flushed",
+    "FlushBatch",
+    "Flushable",
+    "GatewayInterface",
     "Link",
     "PendingRequest",
-    "Shell",
-    "Turn",
     "connect",
-    "swallow",
+    "consume_write_error",
 ]
--- a/oatlink/gateway/links/dial_requests.py
+++ b/oatlink/gateway/links/dial_requests.py
@@ -1,116 +1,119 @@
-"""Connections that have been asked for: the engine says over which addresses, and which one is used.
+"""Requests for new connections: the engine decides which addresses are dialled and which connection is used.
 
-What may live here: attempts until one is used or given up. What the connection was for is its asker's.
+The module owns the attempts for each request until the engine has chosen one or given up. What the connection is used
+for is known to the part of the link that requested it.
 """
 
 from dataclasses import dataclass, field
 
 from oatlink.core import messages as m
 from oatlink.gateway.clock import patience
-from oatlink.gateway.links.connection import Connection, Owner
+from oatlink.gateway.links.connection import Connection, ConnectionOwner
 from oatlink.gateway.links.dialling import DialError, connect
-from oatlink.gateway.links.link_config import Facts
+from oatlink.gateway.links.link_config import LinkConfig
 from oatlink.gateway.links.tasks import Tasks
 
 
 @dataclass(slots=True)
-class Want:
-    """A connection that has been asked for: for a pool, or (`lease`) for one client."""
+class DialRequest:
+    """A request for a connection: for a pool, or for one client where `lease` is set."""
 
     protocol: int
     lease: int = 0
-    made: dict[str, Connection] = field(default_factory=dict)  # by address, until the engine has chosen
-    out: set[str] = field(default_factory=set)
+    connections: dict[str, Connection] = field(default_factory=dict)  # by address, until the engine has chosen
+    dialled_addresses: set[str] = field(default_factory=set)  # attempts that have not ended
 
     def close(self) -> None:
-        """End what has been made and not used."""
-        for one in list(self.made.values()):
-            one.close("reset")
+        """Close the connections that were opened for it and not used."""
+        for connection in list(self.connections.values()):
+            connection.close("reset")
 
 
-class Wants:
-    """All wants of a link."""
+class DialRequests:
+    """All requests of a link for new connections."""
 
-    def __init__(self, facts: Facts, owner: Owner, tasks: Tasks) -> None:
-        self._facts, self._owner, self._tasks = facts, owner, tasks
+    def __init__(self, config: LinkConfig, owner: ConnectionOwner, tasks: Tasks) -> None:
+        self._config, self._owner, self._tasks = config, owner, tasks
         self._reports = owner.reports
-        self._open: dict[int, Want] = {}
-        self._last = 0
+        self._open: dict[int, DialRequest] = {}
+        self._last_number = 0
 
-    def add(self, want: Want, address: str) -> None:
+    def add(self, request: DialRequest, address: str) -> None:
         """Ask the engine for a connection."""
-        self._last += 1
-        self._open[self._last] = want
-        self._reports.wanted(self._last, address)
+        self._last_number += 1
+        self._open[self._last_number] = request
+        self._reports.wanted(self._last_number, address)
 
-    def take(self, dial: int) -> Want | None:
-        """A want that the engine has decided on."""
+    def take(self, dial: int) -> DialRequest | None:
+        """Remove and return a request that the engine has decided on."""
         return self._open.pop(dial, None)
 
     def dial(self, effect: m.Dial) -> None:
         """Carry out `Dial`."""
-        want = self._open.get(effect.dial)
-        if want is None or self._facts.closed:
-            self._dialled(effect, "refused", self._reports.now(), b"")
+        request = self._open.get(effect.dial)
+        if request is None or self._config.is_closed:
+            self._report(effect, "refused", self._reports.now(), b"")
             return
-        want.out.add(effect.address)
-        self._tasks.spawn(self._attempt(effect, want))
+        request.dialled_addresses.add(effect.address)
+        self._tasks.spawn(self._attempt(effect, request))
 
-    async def _attempt(self, effect: m.Dial, want: Want) -> None:
-        """Dial and greet within the time allowed, and tell."""
+    async def _attempt(self, effect: m.Dial, request: DialRequest) -> None:
+        """Dial, do the handshake within the time allowed, and report the outcome."""
         asked_us = self._reports.now()
         info, how = b"", "reply"
         try:
-            connection = await self._connect(effect, want.protocol)
-            info = await self._greet(connection, effect.timeout_us / 1e6)
-            want.made[effect.address] = connection
+            connection = await self._connect(effect, request.protocol)
+            info = await self._handshake(connection, effect.timeout_us / 1e6)
+            request.connections[effect.address] = connection
         except DialError as error:
             how = str(error)
-        except Exception as error:  # an attempt that never ends would be counted as out for ever
+        except Exception as error:  # if an attempt never ended, the engine would count it as under way for ever
             how = "refused"
-            self._reports.wrong(f"dial of {self._facts.name} at {effect.address}: {type(error).__name__}: {error}")
-        want.out.discard(effect.address)
-        with self._reports.turn():
-            self._dialled(effect, how, asked_us, info)
-
-    def _dialled(self, effect: m.Dial, how: str, asked_us: int, info: bytes) -> None:
+            self._reports.report_fault(
+                f"dial of {self._config.name} at {effect.address}: {type(error).__name__}: {error}"
+            )
+        request.dialled_addresses.discard(effect.address)
+        with self._reports.batch():
+            self._report(effect, how, asked_us, info)
+
+    def _report(self, effect: m.Dial, how: str, asked_us: int, info: bytes) -> None:
         took_us = self._reports.now() - asked_us
         self._reports.dialled(effect.dial, effect.address, how, asked_us, took_us, info)
 
     async def _connect(self, effect: m.Dial, protocol: int) -> Connection:
-        """A connection that has said nothing yet. Raises `DialError`."""
-        way = self._facts.ways.get(effect.address)
-        keepalive_s = (way.keepalive_s if way is not None else 0) or self._facts.settings.keepalive_s
+        """Open a connection, before its handshake. Raises `DialError`."""
+        path = self._config.paths.get(effect.address)
+        keepalive_s = (path.keepalive_s if path is not None else 0) or self._config.settings.keepalive_s
         stream = await connect(effect.address, effect.timeout_us / 1e6, self._reports.marks, keepalive_s)
         return Connection(self._owner, stream, protocol, effect.address)
 
-    async def _greet(self, connection: Connection, timeout_s: float) -> bytes:
-        """What the box says of itself on a new connection. Raises `DialError`."""
+    async def _handshake(self, connection: Connection, timeout_s: float) -> bytes:
+        """Do the handshake; returns what the box reports about itself. Raises `DialError`."""
         try:
             async with patience(timeout_s):
-                info = await connection.greet(self._facts.settings.user, self._facts.settings.password)
+                info = await connection.handshake(self._config.settings.user, self._config.settings.password)
         except TimeoutError:
             connection.close("reset")
             raise DialError("no connection in time") from None
         except DialError:
             connection.close("reset")
             raise
-        if self._facts.closed:
+        if self._config.is_closed:
             connection.close("reset")
             raise DialError("refused")
         return info
 
     def discard(self, effect: m.Discard) -> None:
         """Carry out `Discard`."""
-        want = self._open.get(effect.dial)
-        connection = want.made.pop(effect.address, None) if want is not None else None
+        request = self._open.get(effect.dial)
+        connection = request.connections.pop(effect.address, None) if request is not None else None
         if connection is not None:
             connection.close("reset")
 
-    def leave(self) -> None:
-        """End all; none begins any more."""
-        for dial, want in list(self._open.items()):
-            for address in sorted(want.out):  # the engine counts what is out
+    def end_all(self) -> None:
+        """End all requests."""
+        for dial, request in list(self._open.items()):
+            for address in sorted(request.dialled_addresses):  # the engine counts the attempts that are under way
                 self._reports.dialled(dial, address, "refused", self._reports.now(), 0)
-            want.close()
+            request.close()
         self._open.clear()
--- a/oatlink/gateway/links/gateway_interface.py
+++ b/oatlink/gateway/links/gateway_interface.py
@@ -1,6 +1,6 @@
-"""What a gateway is to its links and its clients' readers, and its turns.
+"""The interface of the gateway to its links and to the readers of client connections, and batches of writes.
 
-What may live here: what links and readers ask of whoever has them. Nothing here knows of links, connections or boxes.
+This module contains only what links and readers need of the gateway. It knows nothing of links, connections or boxes.
 """
 
 from collections.abc import Callable
@@ -10,42 +10,42 @@
 from oatlink.gateway.clock import Marks
 
 
-class Flushed(Protocol):
-    """Something that is written at the end of a turn."""
+class Flushable(Protocol):
+    """Something that is written at the end of a batch."""
 
     def flush(self) -> None:
-        """Hand over what was put on it."""
+        """Write what was queued on it."""
 
 
-class Shell:
-    """What a link, or who reads a client, needs of the gateway."""
+class GatewayInterface:
+    """What a link, or the reader of a client connection, needs of the gateway."""
 
     now: Callable[[], int]
     marks: Marks
 
-    def feed(self, given: m.AnyInput) -> None:
-        """Hand the engine an input."""
+    def feed(self, event: m.AnyInput, /) -> None:
+        """Hand an input to the engine."""
         raise NotImplementedError
 
-    def wrong(self, text: str) -> None:
-        """A defect of ours that must not stop the gateway: told to the people on call."""
+    def report_fault(self, text: str) -> None:
+        """Log a defect of the program that must not stop the gateway, for the people on call."""
         raise NotImplementedError
 
     def may_write(self, send: m.Send) -> bool:
-        """Whether a request that waited may still be written; nothing changes."""
+        """Whether a request that waited may still be written. This changes no state."""
         raise NotImplementedError
 
-    def turn(self) -> "Turn":
-        """A stretch of work at whose end everything written is flushed."""
+    def batch(self) -> "FlushBatch":
+        """A context at whose end everything that was queued is flushed."""
         raise NotImplementedError
 
-    def dirty(self, connection: Flushed) -> None:
-        """A connection has something to flush."""
+    def schedule_flush(self, connection: Flushable) -> None:
+        """Flush a connection at the end of the present batch."""
         raise NotImplementedError
 
 
-class Turn:
-    """Counts nested stretches of work; the outermost flushes."""
+class FlushBatch:
+    """A context that may be nested; the end of the outermost one flushes."""
 
     def __init__(self, flush: Callable[[], None]) -> None:
         self._flush = flush
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -1,14 +1,15 @@
-"""All connections of a gateway to one box: what the gateway sees of them.
+"""All connections of a gateway to one box.
 
-What may live here: which part an effect or an event is for, and what concerns all parts at once. State is the parts'.
+`Link` passes each effect and event to the part of the link that it is for, and does what concerns all parts at once.
+The parts own the state.
 """
 
 from oatlink.core import messages as m
 from oatlink.gateway.links.connection import Connection
-from oatlink.gateway.links.dial_requests import Wants
-from oatlink.gateway.links.gateway_interface import Shell
+from oatlink.gateway.links.dial_requests import DialRequests
+from oatlink.gateway.links.gateway_interface import GatewayInterface
 from oatlink.gateway.links.leases import Leases
-from oatlink.gateway.links.link_config import Facts
+from oatlink.gateway.links.link_config import LinkConfig
 from oatlink.gateway.links.pool import Pool
 from oatlink.gateway.links.probes import Probes
 from oatlink.gateway.links.reports import Reports
@@ -16,69 +17,76 @@
 from oatlink.protocols.resp import Limits
 from oatlink.settings.model import Links
 
+RESP_VERSIONS = (2, 3)
+
 
 class Link:
     """The connections to one box."""
 
-    def __init__(self, name: str, ways: tuple[m.Way, ...], settings: Links, limits: Limits, shell: Shell) -> None:
+    def __init__(
+        self, name: str, paths: tuple[m.Way, ...], settings: Links, limits: Limits, gateway: GatewayInterface
+    ) -> None:
         self.limits = limits
-        self.reports = Reports(name, shell)
-        self._facts = Facts(name, {one.address: one for one in ways}, settings)
+        self.reports = Reports(name, gateway)
+        self._config = LinkConfig(name, {path.address: path for path in paths}, settings)
         self._tasks = Tasks()
-        self._wants = Wants(self._facts, self, self._tasks)
-        self._pools = {one: Pool(one, self._facts, self.reports, self._wants) for one in (2, 3)}
-        self._leases = Leases(self._facts, self.reports, self._wants)
-        self._probes = Probes(self._facts, self, self._tasks)
+        self._dial_requests = DialRequests(self._config, self, self._tasks)
+        self._pools = {
+            version: Pool(version, self._config, self.reports, self._dial_requests) for version in RESP_VERSIONS
+        }
+        self._leases = Leases(self._config, self.reports, self._dial_requests)
+        self._probes = Probes(self._config, self, self._tasks)
 
     @property
-    def ways(self) -> dict[str, m.Way]:
-        """Its addresses."""
-        return self._facts.ways
-
-    def relist(self, ways: tuple[m.Way, ...]) -> None:
-        """Use other addresses; what runs over one that has gone ends there."""
-        gone = [one for one in self.ways if one not in {way.address for way in ways}]
-        self._facts.ways = {one.address: one for one in ways}
-        for address in gone:
-            self.shun(address)
+    def paths(self) -> dict[str, m.Way]:
+        """The box's addresses with their settings."""
+        return self._config.paths
+
+    def set_paths(self, paths: tuple[m.Way, ...]) -> None:
+        """Use other addresses; connections over an address that was removed are closed."""
+        addresses = {path.address for path in paths}
+        removed = [address for address in self.paths if address not in addresses]
+        self._config.paths = {path.address: path for path in paths}
+        for address in removed:
+            self.close_address(address)
 
     def reload(self, settings: Links) -> None:
         """Use other settings."""
-        self._facts.settings = settings
+        self._config.settings = settings
 
-    # ---- What connections report ----
+    # ---- Events of connections ----
 
-    def lost(self, connection: Connection) -> None:
-        """A connection has closed."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Tell all parts that a connection has closed."""
         for pool in self._pools.values():
-            pool.lost(connection)
-        self._leases.lost(connection)
-        self._probes.lost(connection)
+            pool.connection_closed(connection)
+        self._leases.connection_closed(connection)
+        self._probes.connection_closed(connection)
 
-    def freed(self, connection: Connection) -> None:
-        """A connection has room: what waits goes on it."""
-        if not self._leases.freed(connection):
-            self._pools[connection.protocol].freed(connection)
+    def reply_completed(self, connection: Connection) -> None:
+        """Queue waiting requests on a connection on which a request has ended, or close it if it was released."""
+        if not self._leases.close_if_released(connection):
+            self._pools[connection.protocol].reply_completed(connection)
 
     # ---- Effects ----
 
-    def carry_out(self, effect: m.AnyEffect) -> None:
-        """Any effect for this box but `Send`."""
+    def execute(self, effect: m.AnyEffect) -> None:
+        """Carry out any effect for this box except `Send`."""
         if isinstance(effect, m.Probe):
             self._probes.probe(effect.address)
         elif isinstance(effect, m.Dial):
-            self._wants.dial(effect)
+            self._dial_requests.dial(effect)
         elif isinstance(effect, m.Use):
             self.use(effect)
         elif isinstance(effect, m.Discard):
-            self._wants.discard(effect)
+            self._dial_requests.discard(effect)
         elif isinstance(effect, m.NoPath):
             self.no_path(effect)
         elif isinstance(effect, m.Shun):
-            self.shun(effect.address)
+            self.close_address(effect.address)
         elif isinstance(effect, m.DropIdle):
             for pool in self._pools.values():
-                pool.drop_idle()
+                pool.close_idle()
         elif isinstance(effect, m.Release):
             self._leases.release(effect.lease)
 
@@ -90,90 +98,91 @@
         pool = self._pools[send.protocol]
         if pool.send(send):
             return
-        self.review()  # Threat: what is left of clients that have gone fills the queue
+        self.review()  # prevents a queue that is full of requests whose clients have left from refusing others
         if not pool.wait(send):
             self.reports.ended(send, "no room", self.reports.now(), [], b"")
 
     def use(self, effect: m.Use) -> None:
-        """Carry out `Use`: what waited goes on this connection."""
-        want = self._wants.take(effect.dial)
-        connection = want.made.pop(effect.address, None) if want is not None else None
-        if want is None or connection is None:
+        """Carry out `Use`: the waiting requests go on this connection."""
+        request = self._dial_requests.take(effect.dial)
+        connection = request.connections.pop(effect.address, None) if request is not None else None
+        if request is None or connection is None:
             return
-        want.close()
-        if want.lease:
-            if not self._leases.use(want.lease, connection):
+        request.close()
+        if request.lease:
+            if not self._leases.use(request.lease, connection):
                 return
         else:
-            self._pools[want.protocol].use(connection)
+            self._pools[request.protocol].use(connection)
         self._tasks.spawn(connection.run())
 
     def no_path(self, effect: m.NoPath) -> None:
-        """Carry out `NoPath`: what has no other connection to wait for ends."""
-        want = self._wants.take(effect.dial)
-        if want is None:
+        """Carry out `NoPath`: the waiting requests that have no other connection end."""
+        request = self._dial_requests.take(effect.dial)
+        if request is None:
             return
-        want.close()
-        waiting = self._leases.no_path(want.lease) if want.lease else self._pools[want.protocol].no_path()
+        request.close()
+        waiting = self._leases.no_path(request.lease) if request.lease else self._pools[request.protocol].no_path()
         for send in waiting:
             self.reports.ended(send, effect.how, self.reports.now(), [], b"")
 
-    def shun(self, address: str) -> None:
-        """Carry out `Shun`."""
-        with self.reports.turn():
-            for one in self._connections():
-                if one.address == address:
-                    one.close("reset")
-            self._probes.shun(address)
+    def close_address(self, address: str) -> None:
+        """Close all connections over an address, as `Shun` asks."""
+        with self.reports.batch():
+            for connection in self._connections():
+                if connection.address == address:
+                    connection.close("reset")
+            self._probes.close_address(address)
 
     def _connections(self) -> list[Connection]:
-        return [one for pool in self._pools.values() for one in pool.open] + self._leases.open
+        """All connections except those of probes and released ones."""
+        return [connection for pool in self._pools.values() for connection in pool.open] + self._leases.open
 
     # ---- Upkeep ----
 
     def review(self) -> None:
-        """What waits and may not be written any more ends, and makes room for what may."""
+        """Withdraw the waiting requests that may not be written any more."""
         for pool in self._pools.values():
             pool.review()
         self._leases.review()
 
     def sweep(self) -> None:
-        """Close what has been idle for long and what has not answered for too long."""
-        now, settings = self.reports.now(), self._facts.settings
-        for one in self._connections():
+        """Close connections that have been idle, or without a due answer, for longer than the settings allow."""
+        now, settings = self.reports.now(), self._config.settings
+        for connection in self._connections():
             if (
-                one.pending
-                and now - one.pending[0].sent_us > settings.reply_timeout_ms * 1000
+                connection.pending
+                and now - connection.pending[0].sent_us > settings.reply_timeout_ms * 1000
                 or (
-                    not one.pending
-                    and now - one.idle_since_us > settings.idle_close_ms * 1000
-                    and not self._leases.has(one)
+                    not connection.pending
+                    and now - connection.idle_since_us > settings.idle_close_ms * 1000
+                    and not self._leases.has(connection)
                 )
             ):
-                one.close("reset")
+                connection.close("reset")
 
     @property
     def is_probing(self) -> bool:
         """Whether the answer to a probe is awaited."""
-        return self._probes.awaited
+        return self._probes.is_awaited
 
     @property
     def size(self) -> int:
-        """Open connections."""
+        """The number of open connections."""
         return sum(len(pool.open) for pool in self._pools.values()) + len(self._leases)
 
-    def leave(self) -> None:
-        """Make no connection any more. What is on one, or waits, ends at `close`."""
-        self._facts.closed = True
-        with self.reports.turn():
-            self._wants.leave()
+    def stop_dialling(self) -> None:
+        """Open no connection any more. Requests on open connections, and waiting ones, end at `close`."""
+        self._config.is_closed = True
+        with self.reports.batch():
+            self._dial_requests.end_all()
 
     def close(self) -> None:
-        """End all connections, and all that waits for one."""
-        self.leave()
-        with self.reports.turn():
-            for one in [*self._connections(), *self._leases.released, *self._probes.open]:
-                one.close("reset")
+        """Close all connections and withdraw all waiting requests."""
+        self.stop_dialling()
+        with self.reports.batch():
+            for connection in [*self._connections(), *self._leases.released, *self._probes.open]:
+                connection.close("reset")
             waiting = [send for pool in self._pools.values() for send in pool.take_waiting()]
             for send in [*waiting, *self._leases.take_waiting()]:
                 self.reports.withdraw(send)
--- a/oatlink/gateway/links/link_config.py
+++ b/oatlink/gateway/links/link_config.py
@@ -1,6 +1,6 @@
-"""What is so of a link now: its box's name and addresses, the settings, whether it has been left.
+"""The present configuration of a link: its box's name and addresses, the settings, and whether it is closed.
 
-What may live here: what all parts of a link read and `Link` alone writes.
+All parts of a link read it; only `Link` writes it.
 """
 
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 
 @dataclass(slots=True)
-class Facts:
-    """One link, as its gateway wants it."""
+class LinkConfig:
+    """The configuration of one link, as its gateway has set it."""
 
     name: str
-    ways: dict[str, m.Way]  # by address
+    paths: dict[str, m.Way]  # by address
     settings: Links
-    closed: bool = False  # makes no connection any more
+    is_closed: bool = False  # no new connection is made any more
--- a/oatlink/gateway/links/probes.py
+++ b/oatlink/gateway/links/probes.py
@@ -1,62 +1,64 @@
-"""Asking a box what it is, over a connection of its own for each address.
+"""Asks a box for a report about itself, over a separate connection for each address.
 
-What may live here: the connections of probes, and which answers are awaited. What an answer means is the engine's.
+The module owns the connections of probes and knows which answers are awaited. The engine interprets the answers.
 """
 
 from tornado.iostream import StreamBufferFullError, StreamClosedError
 
 from oatlink.gateway.clock import patience
-from oatlink.gateway.links.connection import ASK, Connection, Owner
+from oatlink.gateway.links.connection import INFO_COMMAND_COUNT, INFO_COMMANDS, Connection, ConnectionOwner
 from oatlink.gateway.links.dialling import DialError, connect
-from oatlink.gateway.links.link_config import Facts
+from oatlink.gateway.links.link_config import LinkConfig
 from oatlink.gateway.links.tasks import Tasks
 from oatlink.protocols.resp import ProtocolError
 
+PROBE_PROTOCOL = 2
+
 
 class Probes:
     """All probes of a link."""
 
-    def __init__(self, facts: Facts, owner: Owner, tasks: Tasks) -> None:
-        self._facts, self._owner, self._tasks = facts, owner, tasks
+    def __init__(self, config: LinkConfig, owner: ConnectionOwner, tasks: Tasks) -> None:
+        self._config, self._owner, self._tasks = config, owner, tasks
         self._reports = owner.reports
         self._open: dict[str, Connection] = {}
-        self._asking: set[str] = set()  # addresses over which a probe is awaited
+        self._awaited_addresses: set[str] = set()
 
     @property
     def open(self) -> list[Connection]:
-        """Connections over which probes go."""
+        """The open connections of probes."""
         return list(self._open.values())
 
     @property
-    def awaited(self) -> bool:
+    def is_awaited(self) -> bool:
         """Whether the answer to a probe is awaited."""
-        return bool(self._asking)
+        return bool(self._awaited_addresses)
 
     def probe(self, address: str) -> None:
-        """Carry out `Probe`; one that is under way over the same address serves for both."""
-        address = address or next(iter(self._facts.ways))
-        if address not in self._asking:
-            self._asking.add(address)
-            self._tasks.spawn(self._ask(address))
+        """Carry out `Probe`; a probe that is under way over the same address serves both."""
+        address = address or next(iter(self._config.paths))
+        if address not in self._awaited_addresses:
+            self._awaited_addresses.add(address)
+            self._tasks.spawn(self._run_probe(address))
 
-    async def _ask(self, address: str) -> None:
+    async def _run_probe(self, address: str) -> None:
         asked_us = self._reports.now()
         info, how = b"", "reply"
         connection = None
-        way, settings = self._facts.ways.get(address), self._facts.settings
-        dial_s = ((way.connect_timeout_ms if way is not None else 0) or settings.connect_timeout_ms) / 1000
+        path, settings = self._config.paths.get(address), self._config.settings
+        dial_s = ((path.connect_timeout_ms if path is not None else 0) or settings.connect_timeout_ms) / 1000
         try:
             async with patience(settings.probe_timeout_ms / 1000):
                 connection = self._open.get(address)
                 if connection is None:
                     stream = await connect(address, dial_s, self._reports.marks)
-                    connection = Connection(self._owner, stream, 2, address)
+                    connection = Connection(self._owner, stream, PROBE_PROTOCOL, address)
                     self._open[address] = connection
                     asked_us = self._reports.now()
-                    info = await connection.greet(self._facts.settings.user, self._facts.settings.password)
+                    info = await connection.handshake(self._config.settings.user, self._config.settings.password)
                 else:
-                    await connection.stream.write(ASK)
-                    info = await connection.info(2)
+                    await connection.stream.write(INFO_COMMANDS)
+                    info = await connection.read_info(INFO_COMMAND_COUNT)
         except TimeoutError:
             how = "late"
         except DialError as error:
@@ -65,27 +67,27 @@
             how = "reset"
         except ProtocolError:
             how = "bad reply"
-        except Exception as error:  # a probe that never ends would leave its box unasked for ever
+        except Exception as error:  # if a probe never ended, its box would never be probed again
             how = "reset"
-            self._reports.wrong(f"probe of {self._facts.name}: {type(error).__name__}: {error}")
+            self._reports.report_fault(f"probe of {self._config.name}: {type(error).__name__}: {error}")
         if how != "reply":
             info = b""
             if connection is not None:
                 connection.close("reset")
-        self._asking.discard(address)
+        self._awaited_addresses.discard(address)
         took_us = self._reports.now() - asked_us
         if how == "reply" and connection is not None and connection.stream.ready_us > asked_us:
             took_us = connection.stream.ready_us - asked_us
-        with self._reports.turn():
+        with self._reports.batch():
             self._reports.probed(how, asked_us, took_us, info, address)
 
-    def lost(self, connection: Connection) -> None:
-        """A connection has closed."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Forget a connection that has closed."""
         if self._open.get(connection.address) is connection:
             del self._open[connection.address]
 
-    def shun(self, address: str) -> None:
-        """End the connection over an address."""
+    def close_address(self, address: str) -> None:
+        """Close the connection over an address."""
         connection = self._open.get(address)
         if connection is not None:
             connection.close("reset")
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -1,7 +1,7 @@
-"""Taking a client's commands: how many at once, and since when each has been this process's to do.
+"""Reads a client's commands: how many at once, and since when each has been waiting for this process.
 
-What may live here: the pace at which one client is read, and the times of its commands. What is done with a command is
-the engine's, how the connection ends `clients`'. No state.
+The module sets the pace at which one client is read and measures the delays of its commands. The engine carries out
+the commands, and `clients` ends the connection. It has no state.
 """
 
 import asyncio
@@ -9,73 +9,82 @@
 from oatlink.core import messages as m
 from oatlink.gateway.clients import Client
 from oatlink.gateway.clock import now_us
-from oatlink.gateway.links import CHUNK, Shell
+from oatlink.gateway.links import READ_CHUNK_BYTES, GatewayInterface
 from oatlink.protocols.resp import CommandReader, Limits
 from oatlink.settings import model as settings
 
-COMMANDS_A_TURN = 64  # of one client
+MAX_COMMANDS_PER_TURN = 64  # of one client in one turn of the event loop
+RESUME_WINDOW_US = 1_000  # bytes that come within it after a pause are taken to have waited during the pause
 
 
-async def read(client: Client, resp: Limits, limits: settings.Limits, shell: Shell) -> None:
-    """Take commands until the last answer is there. Raises `ProtocolError`, `StreamClosedError`, `TimeoutError`."""
-    reader, stream = CommandReader(resp), client.stream
-    most = limits.client_pipeline
-    most_unsent = limits.client_output_bytes // 2
-    patience_s = limits.client_write_timeout_ms / 1000
-    while not client.is_deaf:
-        resumed_us = await _pause(client) if client.paused_until_us else 0
+async def read_commands(
+    client: Client, resp_limits: Limits, limits: settings.Limits, gateway: GatewayInterface
+) -> None:
+    """Read commands until the last answer is queued.
+
+    Raises `ProtocolError`, `StreamClosedError` or `TimeoutError`.
+    """
+    reader, stream = CommandReader(resp_limits), client.stream
+    max_unanswered = limits.client_pipeline
+    max_unsent_bytes = limits.client_output_bytes // 2
+    write_timeout_s = limits.client_write_timeout_ms / 1000
+    while not client.discards_input:
+        resumed_us = await _wait_for_pause(client) if client.paused_until_us else 0
         ready_us = now_us()
-        data = await stream.read_bytes(CHUNK, partial=True)
-        if client.is_deaf:
+        data = await stream.read_bytes(READ_CHUNK_BYTES, partial=True)
+        if client.discards_input:
             client.ending.discard(len(data))
             return
-        came_us = turn_us = stream.since_us
+        arrived_us = turn_us = stream.since_us
         if not resumed_us:
-            # Threat: the stream reads ahead. What came while its client's earlier commands were seen to
-            # waited for those, as the rest of a full pipeline does.
-            turn_us = max(came_us, ready_us)
-        elif resumed_us <= came_us < resumed_us + 1_000:
-            came_us = turn_us = client.refused_us  # it lay unread; since when is not known
-        await shell.marks.let_in()
+            # The stream reads ahead. What arrived while the client's earlier commands were handled waited for those,
+            # as the rest of a full pipeline does, and is not counted as delay of this process.
+            turn_us = max(arrived_us, ready_us)
+        elif resumed_us <= arrived_us < resumed_us + RESUME_WINDOW_US:
+            arrived_us = turn_us = client.pause_began_us  # it was not read during the pause; when it came is not known
+        await gateway.marks.let_in()
         reader.feed(data)
         while True:
-            # Threat: a pipeline that is refused for its own length. A command waits for its client's earlier
-            # ones by its client's wish; this process is late only with the first of them. Its client's time
-            # runs all the same: what is behind hung ones would else have it anew after each of their ends.
+            # Prevents a pipeline from being refused for its own length. A command waits for its client's earlier ones
+            # because the client chose so; only the delay of the first of them is this process's. The time of the
+            # client's commands runs all the same: otherwise commands behind hung ones would get their whole time anew
+            # each time one of those ends.
             now = now_us()
             late_us, waited_us = max(0, now - max(turn_us, resumed_us)), max(0, now - turn_us)
-            taken, full = 0, True
-            with shell.turn():
-                # Threat: what lies here behind a last answer, or of a client that has gone, is done for nobody.
-                while client.unanswered < most and taken < COMMANDS_A_TURN and not client.is_over:
+            taken_count, may_have_more = 0, True
+            with gateway.batch():
+                # Commands behind a last answer, or of a client that has left, are not carried out: nobody waits for
+                # their answers.
+                while client.unanswered < max_unanswered and taken_count < MAX_COMMANDS_PER_TURN and not client.is_over:
                     args = reader.take()
                     if args is None:
-                        full = False
+                        may_have_more = False
                         break
                     client.unanswered += 1
-                    taken += 1
-                    waiting = shell.marks.waiting
-                    shell.feed(m.Asked(client.number, args, late_us, waiting, waited_us, turn_us - came_us))
+                    taken_count += 1
+                    waiting = gateway.marks.waiting
+                    gateway.feed(m.Asked(client.number, args, late_us, waiting, waited_us, turn_us - arrived_us))
             if client.is_over:
                 break
-            if client.unsent > most_unsent and client.written is not None:
-                # It does not take its answers: nothing more is read from it until it does. Below the
-                # mark reading goes on, for a client may send a long pipeline before it reads at all.
-                async with asyncio.timeout(patience_s):
-                    await asyncio.shield(client.written)
-            if not full:
+            if client.unsent_bytes > max_unsent_bytes and client.last_write is not None:
+                # The client does not take its answers: nothing more is read from it until it does. Below the limit
+                # reading goes on, because a client may send a long pipeline before it reads at all.
+                async with asyncio.timeout(write_timeout_s):
+                    await asyncio.shield(client.last_write)
+            if not may_have_more:
                 break
-            if client.unanswered >= most:
-                client.lacks_room = True
+            if client.unanswered >= max_unanswered:
+                client.is_pipeline_full = True
                 await client.wait()
-                client.lacks_room = False
-            turn_us = now_us()  # the rest waited for its own earlier commands, not for this process
-            if taken == COMMANDS_A_TURN:
-                await shell.marks.let_in(again=True)  # what is answered here at once never fills the pipeline
+                client.is_pipeline_full = False
+            turn_us = now_us()  # the rest waited for the client's own earlier commands, not for this process
+            if taken_count == MAX_COMMANDS_PER_TURN:
+                # Commands that are answered at once never fill the pipeline, so other clients get their turn here.
+                await gateway.marks.let_in(again=True)
 
 
-async def _pause(client: Client) -> int:
-    """Read nothing until the engine allows it again, or the client has left; when that was."""
+async def _wait_for_pause(client: Client) -> int:
+    """Read nothing until the engine allows it again or the client has left. Returns when that was."""
     handle = asyncio.get_running_loop().call_later(max(0, client.paused_until_us - now_us()) / 1e6, client.wake)
     client.stream.set_close_callback(client.wake)
     try:
--- a/oatlink/gateway/run.py
+++ b/oatlink/gateway/run.py
@@ -1,4 +1,4 @@
-"""Runs gateways until a signal: one in this process, or workers that share the port and nothing else."""
+"""Runs gateways until a signal: one in this process, or several workers that share only the port."""
 
 import asyncio
 import contextlib
@@ -22,12 +22,14 @@
 from oatlink.native import code
 from oatlink.settings import Settings, SettingsError, load
 
+READY_BYTE = b"r"  # a worker writes it to its parent's pipe once it serves
+
 Prepare = Callable[[], Awaitable[Callable[[], None]]]
-"""Starts what a gateway needs beside it; what it returns ends that."""
+"""Starts what a gateway needs beside it, and returns the function that ends it."""
 
 
-def as_worker(settings: Settings, number: int) -> Settings:
-    """The settings of one worker: a gateway of its own, with a seed of its own, among more of them."""
+def worker_settings(settings: Settings, number: int) -> Settings:
+    """The settings of one worker, which is a separate gateway with its own seed and its own files."""
     record = f"{settings.record_file}.{number}" if settings.record_file else ""
     return msgspec.structs.replace(
         settings,
@@ -39,18 +41,18 @@
     )
 
 
-def boxes_from(settings: Settings, roster: RosterFile) -> tuple[m.Box, ...]:
-    """The boxes of a roster file; banks that the settings do not know are passed over."""
-    numbers = {bank.name: at for at, bank in enumerate(settings.banks)}
-    known = [bank for bank in roster.banks if bank.name in numbers]
-    boxes = boxes_of(msgspec.structs.replace(settings, banks=tuple(known)))
-    return tuple(msgspec.structs.replace(box, bank=numbers[known[box.bank].name]) for box in boxes)
+def boxes_from_roster(settings: Settings, roster: RosterFile) -> tuple[m.Box, ...]:
+    """The boxes of a roster file; banks that are not in the settings are skipped."""
+    bank_numbers = {bank.name: number for number, bank in enumerate(settings.banks)}
+    known_banks = [bank for bank in roster.banks if bank.name in bank_numbers]
+    boxes = boxes_of(msgspec.structs.replace(settings, banks=tuple(known_banks)))
+    return tuple(msgspec.structs.replace(box, bank=bank_numbers[known_banks[box.bank].name]) for box in boxes)
 
 
-def reload(gateway: Gateway, path: str, as_read: Callable[[Settings], Settings]) -> None:
-    """Read the settings file again: all of it holds from now on, or nothing does and the log says why."""
+def reload(gateway: Gateway, path: str, adapt: Callable[[Settings], Settings]) -> None:
+    """Read the settings file again. Either all of it takes effect, or none of it and the log says why."""
     try:
-        new = as_read(load(path))
+        new = adapt(load(path))
     except SettingsError as error:
         gateway.notes.note("reload refused", str(error))
         return
@@ -66,67 +68,73 @@
     settings: Settings,
     sockets: list[socket.socket],
     stop: asyncio.Event,
-    ready: Callable[[], None],
-    number: int = 0,
-    source: str = "",
-    as_read: Callable[[Settings], Settings] = lambda one: one,
+    on_ready: Callable[[], None],
+    worker_number: int = 0,
+    settings_path: str = "",
+    adapt: Callable[[Settings], Settings] = lambda settings: settings,
 ) -> None:
-    """One gateway on bound sockets, until `stop`; SIGHUP has it read its settings file, `source`, again."""
-    notes = Notes(settings.logs, worker=number)
+    """Run one gateway on bound sockets until `stop`. On SIGHUP it reads the file at `settings_path` again.
+
+    `adapt` is applied to the settings that are read then.
+    """
+    notes = Notes(settings.logs, worker=worker_number)
     gateway = Gateway(settings, notes)
-    if source:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload, gateway, source, as_read)
-    seat = None
+    if settings_path:
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload, gateway, settings_path, adapt)
+    fleet_connector = None
     if settings.fleet is not None:
-        from oatlink.gateway.fleet import Seat  # nothing of a fleet is imported without one
+        from oatlink.gateway.fleet import FleetConnector  # without a fleet, none of its modules is imported
 
-        gateway.fleet = seat = Seat(gateway, settings)
-        await seat.node.start()
-    # With several workers the first one serves operators: the others share only the clients' port.
-    gateway.start(sockets, listen(settings.admin_listen) if settings.admin_listen and number == 0 else None)
+        gateway.fleet = fleet_connector = FleetConnector(gateway, settings)
+        await fleet_connector.node.start()
+    # With several workers, the first one serves operators; the others share only the clients' port.
+    is_first = worker_number == 0
+    gateway.start(sockets, listen(settings.admin_listen) if settings.admin_listen and is_first else None)
     follower = None
     if settings.roster_file:
 
-        def told(roster: RosterFile) -> None:
-            gateway.apply_roster(boxes_from(settings, roster))
-
-        follower = asyncio.ensure_future(follow(settings.roster_file, told, lambda text: notes.note("roster", text)))
-    shown = None
-    if settings.metrics_listen and number == 0:
-        shown = serve(gateway.metrics, settings.metrics_listen, lambda: gateway.engine.without_primary)
-    end = time.monotonic() + settings.ready_wait_ms / 1000
-    while gateway.engine.without_primary and time.monotonic() < end and not stop.is_set():
+        def on_roster(roster: RosterFile) -> None:
+            gateway.apply_roster(boxes_from_roster(settings, roster))
+
+        follower = asyncio.ensure_future(
+            follow(settings.roster_file, on_roster, lambda text: notes.note("roster", text))
+        )
+    metrics_server = None
+    if settings.metrics_listen and is_first:
+        metrics_server = serve(gateway.metrics, settings.metrics_listen, lambda: gateway.engine.without_primary)
+    ready_deadline_s = time.monotonic() + settings.ready_wait_ms / 1000
+    while gateway.engine.without_primary and time.monotonic() < ready_deadline_s and not stop.is_set():
         await asyncio.sleep(0.005)
     if gateway.engine.without_primary:
         notes.note("ready without a primary", ", ".join(gateway.engine.without_primary))
     notes.note("serving", f"{', '.join(settings.listen)}; {code()}")
-    ready()
+    on_ready()
     await stop.wait()
     if follower is not None:
         follower.cancel()
-    if shown is not None:
-        shown.stop()
-    leaving = asyncio.ensure_future(seat.stop()) if seat is not None else None
+    if metrics_server is not None:
+        metrics_server.stop()
+    leaving_fleet = asyncio.ensure_future(fleet_connector.stop()) if fleet_connector is not None else None
     await gateway.stop()
-    if leaving is not None:
-        await leaving
+    if leaving_fleet is not None:
+        await leaving_fleet
     notes.note("stopped")
 
 
 def set_on_stop_signals(stop: asyncio.Event) -> None:
-    """SIGINT and SIGTERM ask for an orderly end."""
+    """Set an event on SIGINT and SIGTERM, for an orderly end."""
     loop = asyncio.get_running_loop()
-    for one in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(one, stop.set)
+    for stop_signal in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(stop_signal, stop.set)
 
 
 def bind(settings: Settings) -> list[socket.socket]:
-    """All listeners of the settings. Raises `OSError`."""
-    return [one for address in settings.listen for one in listen(address)]
+    """Bind all listeners of the settings. Raises `OSError`."""
+    return [sock for address in settings.listen for sock in listen(address)]
 
 
 def format_socket_address(name: object) -> str:
-    """A socket's own address as settings write it; port 0 has become a real one."""
+    """A socket's own address as settings write it; port 0 has been replaced by the real port."""
     if isinstance(name, tuple):
         return f"[{name[0]}]:{name[1]}" if ":" in name[0] else f"{name[0]}:{name[1]}"
     return f"unix:{name}"
@@ -136,95 +144,99 @@
     settings: Settings,
     sockets: list[socket.socket],
     prepare: Prepare | None = None,
-    announce: Callable[[], None] = lambda: None,
-    source: str = "",
+    on_ready: Callable[[], None] = lambda: None,
+    settings_path: str = "",
 ) -> int:
-    """Serve until a signal; returns the exit code. With several workers this process only keeps them."""
+    """Serve until a signal; returns the exit code. With several workers, this process only supervises them."""
     if settings.workers == 1:
-        return uvloop.run(_alone(settings, sockets, prepare, announce, source))
-    reader, writer = os.pipe()
+        return uvloop.run(_run_single(settings, sockets, prepare, on_ready, settings_path))
+    ready_reader, ready_writer = os.pipe()
     children = []
     for number in range(settings.workers):
         child = os.fork()
         if child == 0:
-            os.close(reader)
-            code = 1
+            os.close(ready_reader)
+            exit_code = 1
             try:
-                code = uvloop.run(_worker(settings, sockets, number, writer, source))
+                exit_code = uvloop.run(_run_worker(settings, sockets, number, ready_writer, settings_path))
             finally:
                 sys.stderr.flush()
-                os._exit(code)
+                os._exit(exit_code)
         children.append(child)
-    os.close(writer)
-    for one in sockets:
-        one.close()
-    return uvloop.run(_keeper(children, reader, prepare, announce))
+    os.close(ready_writer)
+    for sock in sockets:
+        sock.close()
+    return uvloop.run(_supervise_workers(children, ready_reader, prepare, on_ready))
 
 
-async def _alone(
+async def _run_single(
     settings: Settings,
     sockets: list[socket.socket],
     prepare: Prepare | None,
-    announce: Callable[[], None],
-    source: str,
+    on_ready: Callable[[], None],
+    settings_path: str,
 ) -> int:
     stop = asyncio.Event()
     set_on_stop_signals(stop)
-    end = await prepare() if prepare is not None else None
+    end_prepared = await prepare() if prepare is not None else None
     try:
-        await serve_until(settings, sockets, stop, announce, source=source)
+        await serve_until(settings, sockets, stop, on_ready, settings_path=settings_path)
     finally:
-        if end is not None:
-            end()
+        if end_prepared is not None:
+            end_prepared()
     return 0
 
 
-async def _worker(settings: Settings, sockets: list[socket.socket], number: int, writer: int, source: str) -> int:
+async def _run_worker(
+    settings: Settings, sockets: list[socket.socket], number: int, ready_writer: int, settings_path: str
+) -> int:
     stop = asyncio.Event()
     set_on_stop_signals(stop)
 
-    def tell() -> None:
-        os.write(writer, b"r")
+    def on_ready() -> None:
+        os.write(ready_writer, READY_BYTE)
 
-    def mine(one: Settings) -> Settings:
-        if one.workers != settings.workers:
-            raise SettingsError(f"{source}: workers: expected {settings.workers} as at the start")
-        return as_worker(one, number)
+    def adapt(new: Settings) -> Settings:
+        if new.workers != settings.workers:
+            raise SettingsError(f"{settings_path}: workers: expected {settings.workers} as at the start")
+        return worker_settings(new, number)
 
-    await serve_until(mine(settings), sockets, stop, tell, number, source, mine)
+    await serve_until(adapt(settings), sockets, stop, on_ready, number, settings_path, adapt)
     return 0
 
 
-async def _keeper(children: list[int], reader: int, prepare: Prepare | None, announce: Callable[[], None]) -> int:
-    """Wait for the workers; one that dies unasked ends the others, and the exit code says so."""
+async def _supervise_workers(
+    children: list[int], ready_reader: int, prepare: Prepare | None, on_ready: Callable[[], None]
+) -> int:
+    """Wait for the workers. If one ends without a stop signal, the others are ended and the exit code is 1."""
     stop = asyncio.Event()
     set_on_stop_signals(stop)
     loop = asyncio.get_running_loop()
-    end = await prepare() if prepare is not None else None
-    got = 0
-    while got < len(children):
-        data = await loop.run_in_executor(None, os.read, reader, len(children))
+    end_prepared = await prepare() if prepare is not None else None
+    ready_count = 0
+    while ready_count < len(children):
+        data = await loop.run_in_executor(None, os.read, ready_reader, len(children))
         if not data:
             break
-        got += len(data)
-    if got == len(children):
-        announce()
-    waiting: set[asyncio.Future[object]] = {loop.run_in_executor(None, os.waitpid, child, 0) for child in children}
-    asked: asyncio.Future[object] = asyncio.ensure_future(stop.wait())
+        ready_count += len(data)
+    if ready_count == len(children):
+        on_ready()
+    exits: set[asyncio.Future[object]] = {loop.run_in_executor(None, os.waitpid, child, 0) for child in children}
+    stop_requested: asyncio.Future[object] = asyncio.ensure_future(stop.wait())
 
-    def pass_on() -> None:
+    def forward_reload() -> None:
         for child in children:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(child, signal.SIGHUP)
 
-    loop.add_signal_handler(signal.SIGHUP, pass_on)
-    done, _ = await asyncio.wait({*waiting, asked}, return_when=asyncio.FIRST_COMPLETED)
-    code = 0 if asked in done else 1
+    loop.add_signal_handler(signal.SIGHUP, forward_reload)
+    done, _ = await asyncio.wait({*exits, stop_requested}, return_when=asyncio.FIRST_COMPLETED)
+    exit_code = 0 if stop_requested in done else 1
     for child in children:
         with contextlib.suppress(ProcessLookupError):
             os.kill(child, signal.SIGTERM)
-    await asyncio.wait(waiting, timeout=5)
-    asked.cancel()
-    if end is not None:
-        end()
-    return code
+    await asyncio.wait(exits, timeout=5)
+    stop_requested.cancel()
+    if end_prepared is not None:
+        end_prepared()
+    return exit_code
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -1,4 +1,7 @@
-"""The gateway: client listeners, the engine, the links to boxes, and the clock. It carries out and decides nothing."""
+"""The gateway: client listeners, the engine, the links to boxes, and the clock.
+
+It carries out the decisions of the engine and makes none.
+"""
 
 import asyncio
 import socket
@@ -15,31 +18,32 @@
 from oatlink.core import messages as m
 from oatlink.core.snapshot import take
 from oatlink.core.ways import ways_of
-from oatlink.gateway.clients import Client, accept_rest, discard
+from oatlink.gateway.clients import Client, accept_queued, discard_input
 from oatlink.gateway.clock import Marks, Stream, now_us, slept_us
-from oatlink.gateway.links import Flushed, Link, Shell, Turn, swallow
+from oatlink.gateway.links import Flushable, FlushBatch, GatewayInterface, Link, consume_write_error
 from oatlink.gateway.listeners import boxes_of
 from oatlink.gateway.metrics import Metrics
 from oatlink.gateway.notes import Notes
-from oatlink.gateway.reading import read
-from oatlink.gateway.recorder import Tape, start_engine, write_snapshot
+from oatlink.gateway.reading import read_commands
+from oatlink.gateway.recorder import RecordingManager, start_engine, write_snapshot
 from oatlink.native import code
 from oatlink.protocols.resp import Limits, ProtocolError, error
 from oatlink.settings.model import Settings
 from oatlink.transport.ending import LINGER_S, Ending
 
-SLEPT_US = 10_000  # less than that is how exactly two clocks are read
-MOST_ENDING = 256  # connections that have had their last answer; past that the oldest are closed at once
+MIN_SLEPT_US = 10_000  # smaller differences are the inaccuracy of reading two clocks
+MAX_ENDING_CONNECTIONS = 256  # that have had their last answer; above it, the oldest are closed at once
+SWEEP_INTERVAL_MS = 1_000
 
 
-class FleetSeat(Protocol):
-    """What a gateway needs of its seat in a fleet (`gateway.fleet`)."""
+class FleetEffects(Protocol):
+    """What a gateway needs of its connection to the fleet (`oatlink.gateway.fleet`)."""
 
-    def carry(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
-        """Do what the engine asks of the fleet."""
+    def execute(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+        """Carry out an effect of the engine that is for the fleet."""
 
 
-class Gateway(Shell):
+class Gateway(GatewayInterface):
     """One gateway in one process."""
 
     def __init__(self, settings: Settings, notes: Notes | None = None) -> None:
@@ -51,65 +55,68 @@
         self.engine = start_engine(settings, began_us, lambda text: self.notes.note("snapshot", text))
         self.metrics = Metrics(self.engine.path_rows)
         self._snapshot_us = began_us
-        self._tape = Tape(settings, self.engine, began_us, lambda text: self.notes.note("recording", text))
+        self._recording = RecordingManager(
+            settings, self.engine, began_us, lambda text: self.notes.note("recording", text)
+        )
         limits = settings.limits
         self._limits = Limits(limits.bulk_bytes, limits.message_bytes, limits.items)
         self._clients: dict[int, Client] = {}
-        self._hung: dict[Client, None] = {}  # are written their last answer, or take it
-        self._ending: dict[Ending, None] = {}  # have had their last answer: they take no client's place
+        self._hanging_up: dict[Client, None] = {}  # connections that the engine closes, until they have ended
+        self._ending: dict[Ending, None] = {}  # have had their last answer; not counted in the limit of clients
         self._last_client = 0
         self._links: dict[str, Link] = {}
         self._inputs: deque[m.AnyInput] = deque()
-        self._running = False
+        self._is_handling_inputs = False
         self._now_us = began_us  # of the newest input
         self._slept_us = slept_us()
-        self._turn = Turn(self._flush)
-        self._dirty_links: list[Flushed] = []
-        self._dirty_clients: list[Client] = []
-        self._wake: object | None = None
-        self._removers: list[object] = []
+        self._batch = FlushBatch(self._flush)
+        self._connections_to_flush: list[Flushable] = []
+        self._clients_to_flush: list[Client] = []
+        self._wake_timer: object | None = None
+        self._remove_accept_handlers: list[object] = []
         self._listeners: list[tuple[socket.socket, Callable[[socket.socket, object], None]]] = []
-        self._sweeper = PeriodicCallback(self._sweep, 1000)
+        self._sweeper = PeriodicCallback(self._sweep, SWEEP_INTERVAL_MS)
         self._tasks: set[asyncio.Task[None]] = set()
         self.is_stopping = False
-        self.fleet: FleetSeat | None = None
+        self.fleet: FleetEffects | None = None
 
-    # ---- Life ----
+    # ---- Start, roster, settings and stop ----
 
     def start(self, sockets: list[socket.socket], admin: list[socket.socket] | None = None) -> None:
-        """Serve on bound sockets, with the roster of the settings; `admin` ones are for operators."""
-        self._listeners = [(one, self._accept) for one in sockets]
-        self._listeners += [(one, partial(self._accept, admin=True)) for one in admin or ()]
+        """Serve on bound sockets, with the roster of the settings; `admin` sockets are for operators."""
+        self._listeners = [(sock, self._accept) for sock in sockets]
+        self._listeners += [(sock, partial(self._accept, admin=True)) for sock in admin or ()]
         self.feed(m.Started(code()))
         self.apply_roster(boxes_of(self.settings))
         for sock, accept in self._listeners:
-            self._removers.append(add_accept_handler(sock, accept))
+            self._remove_accept_handlers.append(add_accept_handler(sock, accept))
         self._sweeper.start()
 
     def apply_roster(self, boxes: tuple[m.Box, ...]) -> None:
-        """Discovery has spoken."""
-        left = []
+        """Use a new roster."""
+        removed_links = []
         for box in boxes:
-            link, ways = self._links.get(box.name), tuple(ways_of(box))
-            if link is not None and not any(one.address in link.ways for one in ways):
-                link.leave()
-                left.append(link)
+            link, paths = self._links.get(box.name), tuple(ways_of(box))
+            if link is not None and not any(path.address in link.paths for path in paths):
+                link.stop_dialling()
+                removed_links.append(link)
                 link = None
             if link is None:
-                self._links[box.name] = Link(box.name, ways, self.settings.links, self._limits, self)
-            elif tuple(link.ways.values()) != ways:
-                link.relist(ways)
+                self._links[box.name] = Link(box.name, paths, self.settings.links, self._limits, self)
+            elif tuple(link.paths.values()) != paths:
+                link.set_paths(paths)
         self.feed(m.Listed(boxes))
-        named = {box.name for box in boxes}
-        left += [self._links.pop(name) for name in [one for one in self._links if one not in named]]
-        # Threat: what ends with an old link is sent again at once, to the same link while the list is not known.
-        for link in left:
+        names = {box.name for box in boxes}
+        removed_links += [self._links.pop(name) for name in [name for name in self._links if name not in names]]
+        # Removed links are closed only after the engine has the new roster: requests that end with a link are sent
+        # again at once, and before that they would go to the same link.
+        for link in removed_links:
             link.close()
         self._review()
 
     def _review(self) -> None:
-        """Something has changed that waiting requests were sent by: what may be written no more is told."""
-        with self._turn:
+        """Withdraw waiting requests that may not be written any more, after a change that they depend on."""
+        with self._batch:
             for link in list(self._links.values()):
                 link.review()
 
@@ -123,46 +130,47 @@
             self.apply_roster(boxes_of(settings))
 
     async def stop(self) -> None:
-        """Take nothing new, let what is held end within `drain_ms`, close everything."""
+        """Accept nothing new, let pending requests end within `drain_ms`, then close everything."""
         if self.is_stopping:
             return
         self.is_stopping = True
-        for remove in self._removers:
+        for remove in self._remove_accept_handlers:
             remove()  # type: ignore[operator]
         for sock, accept in self._listeners:
-            accept_rest(sock, accept)
+            accept_queued(sock, accept)
             sock.close()
         self.feed(m.Draining())
-        end = time.monotonic() + self.settings.drain_ms / 1000
-        while not self.engine.idle and time.monotonic() < end:
+        drain_deadline_s = time.monotonic() + self.settings.drain_ms / 1000
+        while not self.engine.idle and time.monotonic() < drain_deadline_s:
             await asyncio.sleep(0.01)
         self._sweeper.stop()
-        self._snapshot(0)
-        await self._end_clients(end)
+        self._write_snapshot_if_older(0)
+        await self._end_clients(drain_deadline_s)
         for link in self._links.values():
             link.close()
-        if self._wake is not None:
-            IOLoop.current().remove_timeout(self._wake)
+        if self._wake_timer is not None:
+            IOLoop.current().remove_timeout(self._wake_timer)
         for task in list(self._tasks):
             task.cancel()
         await asyncio.sleep(0)
-        self._tape.close()
+        self._recording.close()
 
-    async def _end_clients(self, end: float) -> None:
-        """End each client's connection once it owes nothing; what is still owed at `end` is given up."""
+    async def _end_clients(self, drain_deadline_s: float) -> None:
+        """End each client's connection once it has its answers; after the deadline, answers are not waited for."""
         for client in self._clients.values():
             client.ending.drain()
             client.wake()
-        last = end + 2 * LINGER_S + 0.5  # an `Ending` takes no longer; this loop must not depend on it
-        while (self._clients or self._ending) and time.monotonic() < last:
-            for client in [*self._clients.values(), *self._hung]:
-                client.given_up = client.given_up or time.monotonic() >= end
+        # An `Ending` takes no longer than this; the limit here keeps this loop from depending on it.
+        last_s = drain_deadline_s + 2 * LINGER_S + 0.5
+        while (self._clients or self._ending) and time.monotonic() < last_s:
+            for client in [*self._clients.values(), *self._hanging_up]:
+                client.is_given_up = client.is_given_up or time.monotonic() >= drain_deadline_s
                 client.ending.settle()
-            for one in list(self._ending):
-                one.settle()
+            for ending in list(self._ending):
+                ending.settle()
             await asyncio.sleep(0.01)
-        for one in [*(client.ending for client in self._clients.values()), *self._ending]:
-            one.close()
+        for ending in [*(client.ending for client in self._clients.values()), *self._ending]:
+            ending.close()
 
     @property
     def is_probing(self) -> bool:
@@ -171,65 +179,65 @@
 
     def _sweep(self) -> None:
         slept = slept_us()
-        if slept - self._slept_us > SLEPT_US:
+        if slept - self._slept_us > MIN_SLEPT_US:
             self.feed(m.Gapped())
         self._slept_us = slept
-        with self.turn():
+        with self.batch():
             for link in self._links.values():
                 link.sweep()
-        patience_us = self.settings.limits.client_write_timeout_ms * 1_000
-        for client in [one for one in self._hung if now_us() - one.hung_us > patience_us]:
-            client.given_up = True
+        write_timeout_us = self.settings.limits.client_write_timeout_ms * 1_000
+        for client in [client for client in self._hanging_up if now_us() - client.hangup_us > write_timeout_us]:
+            client.is_given_up = True
             client.ending.settle()
-        self._tape.flush()
-        self.metrics.fold()
-        self._snapshot(self.settings.snapshot_every_ms * 1000)
+        self._recording.flush()
+        self.metrics.merge()
+        self._write_snapshot_if_older(self.settings.snapshot_every_ms * 1000)
 
-    def _snapshot(self, after_us: int) -> None:
-        """Write the engine's state, unless the last one is younger."""
-        if self.settings.snapshot_file and now_us() - self._snapshot_us >= after_us:
+    def _write_snapshot_if_older(self, age_us: int) -> None:
+        """Write the engine's state, unless the last snapshot is younger than this."""
+        if self.settings.snapshot_file and now_us() - self._snapshot_us >= age_us:
             self._snapshot_us = now_us()
             data = take(self.engine, self._snapshot_us)
             write_snapshot(self.settings.snapshot_file, data, lambda text: self.notes.note("snapshot", text))
 
     # ---- The engine ----
 
-    def turn(self) -> Turn:
-        """See `Shell.turn`."""
-        return self._turn
+    def batch(self) -> FlushBatch:
+        """See `GatewayInterface.batch`."""
+        return self._batch
 
-    def wrong(self, text: str) -> None:
-        """See `Shell.wrong`."""
+    def report_fault(self, text: str) -> None:
+        """See `GatewayInterface.report_fault`."""
         self.notes.note("fault", text)
 
     def may_write(self, send: m.Send) -> bool:
-        """See `Shell.may_write`."""
+        """See `GatewayInterface.may_write`."""
         return self.engine.may_write(send.request, send.attempt, now_us())
 
-    def dirty(self, connection: Flushed) -> None:
-        """See `Shell.dirty`."""
-        self._dirty_links.append(connection)
+    def schedule_flush(self, connection: Flushable) -> None:
+        """See `GatewayInterface.schedule_flush`."""
+        self._connections_to_flush.append(connection)
 
-    def feed(self, given: m.AnyInput) -> None:
-        """Hand the engine an input and carry out what it answers; inputs that arise meanwhile follow in order."""
-        self._inputs.append(given)
-        if self._running:
+    def feed(self, event: m.AnyInput, /) -> None:
+        """Hand the engine an input and carry out its effects; inputs that arise meanwhile follow in order."""
+        self._inputs.append(event)
+        if self._is_handling_inputs:
             return
-        self._running = True
-        with self._turn:
+        self._is_handling_inputs = True
+        with self._batch:
             try:
                 while self._inputs:
-                    one, at_us = self._inputs.popleft(), now_us()
+                    next_event, at_us = self._inputs.popleft(), now_us()
                     self._now_us = at_us
-                    effects = self.engine.handle(one, at_us)
-                    if self._tape.on:
-                        self._tape.add(at_us, one, effects)
+                    effects = self.engine.handle(next_event, at_us)
+                    if self._recording.is_on:
+                        self._recording.add(at_us, next_event, effects)
                     for effect in effects:
-                        self._do(effect)
+                        self._execute(effect)
             finally:
-                self._running = False
+                self._is_handling_inputs = False
 
-    def _do(self, effect: m.AnyEffect) -> None:
+    def _execute(self, effect: m.AnyEffect) -> None:
         if isinstance(effect, m.Send):
             link = self._links.get(effect.box)
             if link is None:
@@ -242,99 +250,102 @@
             self.metrics.count(effect)
         elif isinstance(effect, m.Wake):
             loop = IOLoop.current()
-            if self._wake is not None:
-                loop.remove_timeout(self._wake)
-            self._wake = loop.call_later(max(0.0, (effect.at_us - now_us()) / 1e6), self._woken)
+            if self._wake_timer is not None:
+                loop.remove_timeout(self._wake_timer)
+            self._wake_timer = loop.call_later(max(0.0, (effect.at_us - now_us()) / 1e6), self._wake_timer_fired)
         elif isinstance(effect, m.Probe | m.Dial | m.Use | m.Discard | m.NoPath | m.Shun | m.DropIdle | m.Release):
             link = self._links.get(effect.box)
             if link is not None:
-                link.carry_out(effect)
+                link.execute(effect)
             elif isinstance(effect, m.Dial):
                 self.feed(m.Dialled(effect.box, effect.dial, effect.address, "refused", now_us(), 0))
         elif isinstance(effect, m.Pause):
             client = self._clients.get(effect.client)
             if client is not None:
-                client.refused_us = now_us()
+                client.pause_began_us = now_us()
                 client.paused_until_us = max(client.paused_until_us, effect.until_us)
         elif isinstance(effect, m.Record):
-            done, text = self._tape.do(effect.word, self._now_us)
-            self.feed(m.Recorded(effect.client, text, done))
+            is_done, text = self._recording.execute(effect.word, self._now_us)
+            self.feed(m.Recorded(effect.client, text, is_done))
         elif isinstance(effect, m.Seek | m.Errand | m.Observed | m.Listing):
             if self.fleet is not None:
-                self.fleet.carry(effect)
+                self.fleet.execute(effect)
             elif isinstance(effect, m.Errand):
                 self.feed(m.Replied(effect.client, "the fleet has not begun"))
         elif isinstance(effect, m.Hangup):
             client = self._clients.get(effect.client)
             if client is not None:
-                client.hung_us = now_us()
-                self._dirty_clients.append(client)
+                client.hangup_us = now_us()
+                self._clients_to_flush.append(client)
         else:
             self.notes.note(effect.event, effect.text)
 
-    def _woken(self) -> None:
-        self._wake = None
+    def _wake_timer_fired(self) -> None:
+        self._wake_timer = None
         self.feed(m.Ticked())
 
     def _flush(self) -> None:
-        while self._dirty_links or self._dirty_clients:
-            links, self._dirty_links = self._dirty_links, []
-            for connection in links:
+        while self._connections_to_flush or self._clients_to_flush:
+            connections, self._connections_to_flush = self._connections_to_flush, []
+            for connection in connections:
                 connection.flush()
-            clients, self._dirty_clients = self._dirty_clients, []
+            clients, self._clients_to_flush = self._clients_to_flush, []
             for client in clients:
                 self._write(client)
 
     # ---- Clients ----
 
     def _accept(self, sock: socket.socket, address: object, admin: bool = False) -> None:
-        most_unsent = self.settings.limits.client_output_bytes
-        stream = Stream(sock, self.marks, max_buffer_size=1 << 30, max_write_buffer_size=most_unsent)
+        max_unsent_bytes = self.settings.limits.client_output_bytes
+        stream = Stream(sock, self.marks, max_buffer_size=1 << 30, max_write_buffer_size=max_unsent_bytes)
         if len(self._clients) >= self.settings.limits.clients:
-            self._turn_away(stream)
+            self._refuse(stream)
             return
         if sock.family != socket.AF_UNIX:
             stream.set_nodelay(True)
         self._last_client += 1
-        client = Client(self._last_client, stream, self._ended)
+        client = Client(self._last_client, stream, self._on_client_ended)
         self._clients[client.number] = client
         peer = f"{address[0]}:{address[1]}" if isinstance(address, tuple) else "unix"
         self.feed(m.Opened(client.number, peer, admin))
-        self._keep(self._serve(client))
+        self._spawn(self._serve(client))
 
-    def _keep(self, work: Coroutine[None, None, None]) -> None:
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _turn_away(self, stream: Stream) -> None:
-        """One connection too many. Threat: a close over what it has sent already takes the refusal with it."""
+    def _refuse(self, stream: Stream) -> None:
+        """Refuse a connection above the limit of clients.
+
+        Prevents the refusal from being lost when the connection is closed over bytes that it has sent already.
+        """
         ending = Ending(stream, lambda: False, lambda: self._ending.pop(ending, None))
         written = stream.write(error("ERR max number of clients reached"))
-        written.add_done_callback(swallow)
+        written.add_done_callback(consume_write_error)
         written.add_done_callback(lambda _: ending.settle())
-        self._begin_to_end(ending)
+        self._add_ending(ending)
         ending.drain(is_deaf=True)
-        self._keep(discard(stream, ending))
+        self._spawn(discard_input(stream, ending))
 
-    def _ended(self, client: Client) -> None:
-        self._hung.pop(client, None)
+    def _on_client_ended(self, client: Client) -> None:
+        self._hanging_up.pop(client, None)
         self._ending.pop(client.ending, None)
 
-    def _begin_to_end(self, ending: Ending) -> None:
-        """Threat: peers that never end their side hold all descriptors."""
+    def _add_ending(self, ending: Ending) -> None:
+        """Track an ending connection. Prevents peers that never close their side from using up all descriptors."""
         self._ending[ending] = None
-        if len(self._ending) > MOST_ENDING and not self.is_stopping:
+        if len(self._ending) > MAX_ENDING_CONNECTIONS and not self.is_stopping:
             next(iter(self._ending)).close()
 
     async def _serve(self, client: Client) -> None:
         """Read a client's commands until it leaves, breaks the protocol or does not take its answers."""
         try:
-            await read(client, self._limits, self.settings.limits, self)
-            await discard(client.stream, client.ending)  # behind its last answer
+            await read_commands(client, self._limits, self.settings.limits, self)
+            await discard_input(client.stream, client.ending)  # what comes behind its last answer
         except ProtocolError as problem:
             self.feed(m.Broken(client.number, str(problem)))
-            await discard(client.stream, client.ending)  # the answers before the error are still owed
+            await discard_input(client.stream, client.ending)  # the answers before the error are still to be written
         except (StreamClosedError, TimeoutError):
             pass
         finally:
@@ -349,18 +360,18 @@
         if client is None:
             return
         client.unanswered -= effect.done
-        if not client.out:
-            self._dirty_clients.append(client)
-        client.out.append(effect.data)
-        if client.lacks_room and client.unanswered < self.settings.limits.client_pipeline:
+        if not client.outgoing:
+            self._clients_to_flush.append(client)
+        client.outgoing.append(effect.data)
+        if client.is_pipeline_full and client.unanswered < self.settings.limits.client_pipeline:
             client.wake()
 
     def _write(self, client: Client) -> None:
         if not client.write():
-            self.notes.note("client", f"{client.number} cut off: it does not take its answers")
-        if client.hung_us and client.ending.may_take:
+            self.notes.note("client", f"{client.number} disconnected: it does not read its answers")
+        if client.hangup_us and client.ending.may_take:
             self._clients.pop(client.number, None)
-            self._hung[client] = None
-            self._begin_to_end(client.ending)
+            self._hanging_up[client] = None
+            self._add_ending(client.ending)
             client.ending.drain(is_deaf=True)
             client.wake()
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -213,7 +213,7 @@
     client = one.connect()
     text = "x" * 100_000
     await asyncio.get_running_loop().sock_sendall(client, resp.command("ECHO", text) * 60)
-    await until(lambda: one.gateway._clients and next(iter(one.gateway._clients.values())).unsent > 1_000_000)
+    await until(lambda: one.gateway._clients and next(iter(one.gateway._clients.values())).unsent_bytes > 1_000_000)
     ending = asyncio.ensure_future(one.gateway.stop())
     await until(lambda: one.gateway.is_stopping)
     assert (await read(client)).count(resp.bulk(text.encode())) == 60
