--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -7,7 +7,7 @@
 from tests.gateways import given_to
 from tests.scenes import scene
 from tests.test_engine import KEY, Rig, sent
-from tests.test_gateway_crossings import PONG, World, until, world
+from tests.test_gateway_crossings import PONG, World, open_world, until
 
 VIEW_US = 2_000_000  # the deadline of a read of KEY
 SHORT = "{ classes: [{ name: 'r', freshness: 'latest', effect: 'idempotent', aim_ms: 300, deadline_ms: 300 }] }"
@@ -44,10 +44,10 @@
 # ---- On sockets ----
 
 
-@scene(world, NARROW)
+@scene(open_world, NARROW)
 async def test_what_waits_behind_a_full_pipeline_is_given_up_in_its_own_time(one: World) -> None:
     """The fault: two of a client may be open; each further two had their time counted from the answer before them."""
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     client = await one.wire()
     client.writer.write(b"".join(resp.command("GET", f"k{number}") for number in range(16)))
     other = await one.wire()
@@ -56,10 +56,10 @@
     assert [str(one).count("nothing was run") for one in got] == [0, 0] + [1] * 14, got
 
 
-@scene(world, NARROW)
+@scene(open_world, NARROW)
 async def test_what_was_read_ahead_of_a_full_pipeline_has_its_time_since_it_came(one: World) -> None:
     asked = given_to(one.gateway, m.Asked)
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     client = await one.wire()
     client.writer.write(resp.command("GET", "a") + resp.command("GET", "b"))
     await until(lambda: len(asked) == 2)
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -29,9 +29,9 @@
 
     def __init__(self, run: str) -> None:
         self.run = run
-        self.greets, self.answers = asyncio.Event(), asyncio.Event()
-        self.greets.set()
-        self.answers.set()
+        self.may_greet, self.may_answer = asyncio.Event(), asyncio.Event()
+        self.may_greet.set()
+        self.may_answer.set()
         self.commands: list[str] = []
         self.held = 0  # connections that wait for their greeting
         self.open: list[asyncio.StreamWriter] = []
@@ -43,8 +43,8 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.greets.set()
-        self.answers.set()
+        self.may_greet.set()
+        self.may_answer.set()
         self._server.close()
         for one in self.open:
             one.close()
@@ -52,9 +52,9 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.append(writer)
         with contextlib.suppress(ConnectionError, resp.ProtocolError):
-            if not self.greets.is_set():
+            if not self.may_greet.is_set():
                 self.held += 1
-                await self.greets.wait()
+                await self.may_greet.wait()
                 self.held -= 1
             await self._talk(reader, writer)
         self.open.remove(writer)
@@ -72,7 +72,7 @@
                     continue
                 self.commands.append(name)
                 self.last = writer
-                await self.answers.wait()
+                await self.may_answer.wait()
                 queued = name != "EXEC" and (queued or name == "MULTI")
                 said = b"+QUEUED" if queued and name != "MULTI" else b"*1\r\n+OK" if name == "EXEC" else b"+OK"
                 writer.write(said + b"\r\n")
@@ -140,7 +140,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(more: str = "{}", **links: int) -> AsyncIterator[World]:
+async def open_world(more: str = "{}", **links: int) -> AsyncIterator[World]:
     async with Box("one") as box:
         settings = load_text(
             f"{{ listen: ['127.0.0.1:0'], logs: {{ level: 'error' }}, classes: [],"
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("last", [resp.command("QUIT"), b"*1\r\n:5\r\n"], ids=["quit", "protocol error"])
-@scene(world)
+@scene(open_world)
 async def test_a_last_answer_is_not_reset_by_what_its_client_sends_meanwhile(one: World, last: bytes) -> None:
     client = one.connect(resp.command("PING") + last + JUNK)
     got = await read(client)
@@ -172,7 +172,7 @@
     await one.has_gone()
 
 
-@scene(world)
+@scene(open_world)
 async def test_a_client_that_leaves_before_its_last_answer_leaves_nothing_behind(one: World) -> None:
     for _ in range(20):
         one.connect(resp.command("QUIT") + JUNK).close()
@@ -180,7 +180,7 @@
     await one.has_gone()
 
 
-@scene(world, "{ limits+: { clients: 1 } }")
+@scene(open_world, "{ limits+: { clients: 1 } }")
 async def test_one_client_too_many_reads_its_refusal_over_what_it_has_sent(one: World) -> None:
     wire = await one.wire()
     assert await wire.ask("PING") == PONG
@@ -195,7 +195,7 @@
     assert await (await one.wire()).ask("PING") == PONG
 
 
-@scene(world)
+@scene(open_world)
 async def test_what_waits_in_the_listen_queue_at_an_orderly_end_is_answered(one: World) -> None:
     clients = [one.connect(resp.command("PING") + resp.command("GET", "k")) for _ in range(3)]
     ending = asyncio.ensure_future(one.gateway.stop())
@@ -208,7 +208,7 @@
         one.connect()
 
 
-@scene(world)
+@scene(open_world)
 async def test_an_orderly_end_takes_no_answer_that_is_not_handed_over_yet(one: World) -> None:
     client = one.connect()
     text = "x" * 100_000
@@ -221,9 +221,9 @@
     await ending
 
 
-@scene(world, "{ drain_ms: 100 }")
+@scene(open_world, "{ drain_ms: 100 }")
 async def test_an_orderly_end_waits_for_no_client_longer_than_its_time(one: World) -> None:
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     owed, idle = one.connect(resp.command("SET", "k", 1)), one.connect()
     await until(lambda: one.box.commands == ["SET"])
     began = asyncio.get_running_loop().time()
@@ -234,15 +234,15 @@
         client.close()
 
 
-@scene(world)
+@scene(open_world)
 async def test_of_a_client_that_has_gone_only_what_was_taken_is_done(one: World) -> None:
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     client = one.connect(b"".join(resp.command("SET", f"k{number}", 1) for number in range(500)))
     await until(lambda: one.gateway._clients and next(iter(one.gateway._clients.values())).unanswered == 64)
     await until(lambda: one.box.commands)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()  # a reset
-    one.box.answers.set()
+    one.box.may_answer.set()
     await until(lambda: not one.gateway._clients)
     await one.wire("GET", "k")
     assert len(one.box.commands) <= 64 + 1  # what was held is not even begun
@@ -257,71 +257,71 @@
 
 async def waits(one: World, *words: str | int) -> socket.socket:
     """A client whose command waits for a connection, the box not greeting yet."""
-    one.box.greets.clear()
+    one.box.may_greet.clear()
     client = one.connect(resp.command(*words))
     await until(lambda: one.box.held == 1)
     return client
 
 
 @SHARED_AND_LEASED
-@scene(world)
+@scene(open_world)
 async def test_a_command_whose_client_left_before_its_connection_came_up_is_not_written(
     one: World, words: Words
 ) -> None:
     ends = given_to(one.gateway, m.Ended)
     await one.sees_leave(await waits(one, *words))
     assert [each.how for each in ends] == ["withdrawn"]  # at once, and the box is not blamed for it
-    one.box.greets.set()
+    one.box.may_greet.set()
     await one.serves("GET")
 
 
-@scene(world)
+@scene(open_world)
 async def test_a_command_that_was_written_before_its_client_left_is_done_once(one: World) -> None:
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     client = await waits(one, "SET", "k", 1)
-    one.box.greets.set()
+    one.box.may_greet.set()
     await until(lambda: one.box.commands)
     await one.sees_leave(client)
-    one.box.answers.set()
+    one.box.may_answer.set()
     await one.serves("SET", "GET")
 
 
-@scene(world)
+@scene(open_world)
 async def test_a_command_that_waits_as_its_box_begins_to_drain_is_not_written_there(one: World) -> None:
     client = await waits(one, "SET", "k", 1)
     one.apply_roster(state="terminating")
-    one.box.greets.set()
+    one.box.may_greet.set()
     await until(lambda: one.link._pools[2].open)
     await one.sees_leave(client)
     one.apply_roster()
     await one.serves("GET")
 
 
-@scene(world)
+@scene(open_world)
 async def test_a_command_that_waits_as_its_box_leaves_the_list_is_told_at_once(one: World) -> None:
     await waits(one, "SET", "k", 1)
     link = one.link
     one.gateway.apply_roster(())
     assert not link._pools[2].waiting and not one.gateway._links
-    one.box.greets.set()
+    one.box.may_greet.set()
     assert not one.box.commands
 
 
 @SHARED_AND_LEASED
-@scene(world)
+@scene(open_world)
 async def test_a_command_that_waits_as_its_box_moves_is_done_at_the_new_address(one: World, words: Words) -> None:
     async with Box("two") as moved:
         client = await waits(one, *words)
         one.apply_roster(address=moved.address)
         assert await read(client, 1) == b"+OK\r\n"
-        one.box.greets.set()
+        one.box.may_greet.set()
         assert not one.box.commands and moved.commands in (["SET"], [])
 
 
-@scene(world)
+@scene(open_world)
 async def test_a_command_on_its_way_as_its_box_moves_is_told_and_the_next_goes_to_the_new_address(one: World) -> None:
     async with Box("two") as moved:
-        one.box.answers.clear()
+        one.box.may_answer.clear()
         first = await one.wire()
         asked = asyncio.ensure_future(first.ask("GET", "k"))
         await until(lambda: one.box.commands == ["GET"])
@@ -329,16 +329,16 @@
         assert await asked == OK and moved.commands == ["GET"]
 
 
-@scene(world, connections=1, pipeline=1)
+@scene(open_world, connections=1, pipeline=1)
 async def test_what_waits_behind_the_last_connection_is_done_once_that_has_gone(one: World) -> None:
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     _, second = one.connect(resp.command("SET", "a", 1)), await one.wire()
     await until(lambda: one.box.commands == ["SET"])
     asked = asyncio.ensure_future(second.ask("GET", "b"))
     await until(lambda: one.link._pools[2].waiting)
     assert one.box.last is not None
     one.box.last.transport.abort()
-    one.box.answers.set()
+    one.box.may_answer.set()
     assert await asked == OK
 
 
@@ -352,7 +352,7 @@
     return await wire.ask("EXEC")
 
 
-@scene(world)
+@scene(open_world)
 async def test_exec_is_not_sent_where_nothing_is_watched_any_more(one: World) -> None:
     """The client's own connection ends while nothing is on it: nobody is told by an answer."""
     wire = await one.wire("WATCH", "k")
@@ -366,7 +366,7 @@
     assert isinstance(await transaction(wire), resp.Array | list)
 
 
-@scene(world)
+@scene(open_world)
 async def test_exec_is_not_sent_to_another_box_of_the_same_name(one: World) -> None:
     async with Box("two") as moved:
         wire = await one.wire("WATCH", "k")
@@ -376,7 +376,7 @@
         assert one.box.commands == ["WATCH"] and moved.commands == ["GET"]
 
 
-@scene(world)
+@scene(open_world)
 async def test_of_a_lease_nothing_is_written_behind_what_may_not_be(one: World) -> None:
     client = await waits(one, "WATCH", "a")
     wait = one.link._leases.waiting
@@ -386,17 +386,17 @@
     watch = next(iter(wait.values()))[0].request
     may_write = one.gateway.may_write
     one.gateway.may_write = lambda send: send.request != watch and may_write(send)  # type: ignore[method-assign]
-    one.box.greets.set()
+    one.box.may_greet.set()
     assert await read(client, 4) == b"+OK\r\n+OK\r\n+QUEUED\r\n*-1\r\n" and not one.box.commands
 
 
-@scene(world, reply_timeout_ms=60_000)
+@scene(open_world, reply_timeout_ms=60_000)
 async def test_a_clients_own_connection_ends_once_what_is_on_it_has_ended(one: World) -> None:
-    one.box.answers.clear()
+    one.box.may_answer.clear()
     client = one.connect(resp.command("WATCH", "k"))
     await until(lambda: one.box.commands == ["WATCH"])
     own = one.box.last
     await one.sees_leave(client)
     assert own in one.box.open
-    one.box.answers.set()
+    one.box.may_answer.set()
     await until(lambda: own not in one.box.open)
