--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""The gateway's own lateness is not its boxes': measured at the streams; a process that stood still blames nobody."""
+"""The gateway's own delays are not counted as its boxes' time, also after the process was stopped for a while."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 from tests.test_recording import traced
 
 
-def test_a_gateway_stopped_for_a_second_cuts_no_room_loses_no_primary_and_refuses_nothing(tmp_path: Path) -> None:
+def test_a_gateway_stopped_for_a_second_keeps_its_limits_and_primary_and_refuses_nothing(tmp_path: Path) -> None:
     more = (
         "{ name: 'w', freshness: 'write', effect: 'unsafe', aim_ms: 1700, deadline_ms: 5000 },"
         "{ name: 'l', freshness: 'latest', effect: 'idempotent', aim_ms: 1700, deadline_ms: 5000 }],\n  banks:"
@@ -76,22 +76,22 @@
 
 
 @scene(served, 1)
-async def test_an_answer_that_lay_in_the_process_does_not_count_as_the_boxs_time(one: Served) -> None:
-    """The loop is kept busy after each answer has come; what boxes took must not grow by that."""
-    ended = given_to(one.gateway, m.Ended)
-    wire = await one.wire()
+async def test_an_answer_that_waited_in_the_process_does_not_count_as_the_boxs_time(harness: Served) -> None:
+    """The event loop is kept busy after each answer has arrived; the measured time of the box must not grow by that."""
+    ended = given_to(harness.gateway, m.Ended)
+    wire = await harness.wire()
     loop = asyncio.get_running_loop()
-    link = one.gateway._links["box-0-0"]
+    link = harness.gateway._links["box-0-0"]
     for _ in range(5):
         assert await wire.ask("SET", "a", 1) == resp.Simple(b"OK")
     connection = link._pools[2].open[0]
     handle = connection.stream._handle_events
 
     def busy(fd: object, events: int) -> None:
-        loop.call_soon(time.sleep, 0.05)  # what else this turn has to do, before the answer is looked at
+        loop.call_soon(time.sleep, 0.05)  # other work of this turn, before the answer is read
         handle(fd, events)
 
-    quick = max(each.took_us for each in ended[1:])
+    max_idle_took_us = max(event.took_us for event in ended[1:])
     connection.stream._handle_events = busy  # type: ignore[method-assign]
     connection.stream.io_loop.remove_handler(connection.stream.fileno())
     connection.stream._state = None
@@ -101,10 +101,12 @@
     for _ in range(5):
         assert await wire.ask("SET", "a", 1) == resp.Simple(b"OK")
     assert time.perf_counter() - began > 0.2
-    assert max(each.took_us for each in ended) < quick + 30_000, (ended, quick)
+    assert max(event.took_us for event in ended) < max_idle_took_us + 30_000, (ended, max_idle_took_us)
 
 
-def test_replies_of_one_read_are_told_before_what_is_held_is_placed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_replies_of_one_read_are_reported_before_pending_requests_are_dispatched(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     member = rig.engine._boxes["p"].member
@@ -113,23 +115,23 @@
         rig.give(m.Opened(number))
     for number in range(3, 9):
         rig.ask("SET", f"{{{PLAIN}}}{number}", 1, client=number)
-    assert len(rig.sent) == 3  # two out, the rest held
+    assert len(rig.sent) == 3  # two in flight, the rest pending
     first, second = rig.sent[1:]
-    pumped = []
-    pump = placing.pump
+    dispatched_with_more = []
+    original_pump = placing.pump
 
-    def noted(book: Book, group: Group) -> None:
-        pumped.append(book.more)
-        pump(book, group)
+    def recorded_pump(book: Book, group: Group) -> None:
+        dispatched_with_more.append(book.more)
+        original_pump(book, group)
 
-    monkeypatch.setattr(placing, "pump", noted)
+    monkeypatch.setattr(placing, "pump", recorded_pump)
     for send, more in ((first, True), (second, False)):
         rig.give(m.Ended(send.request, send.attempt, send.box, "reply", 500, rig.now, [b"+OK\r\n"], b"", more))
         assert len(rig.sent) == (3 if more else 5)
-    assert pumped.count(False) <= 2
+    assert dispatched_with_more.count(False) <= 2
 
 
-def test_announced_replies_that_do_not_come_are_settled_by_a_tick() -> None:
+def test_a_tick_replaces_announced_replies_that_do_not_come() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("GET", KEY)))
     rig.engine.router.book.members[rig.engine._boxes["p"].member].room = 1.0
@@ -141,7 +143,7 @@
     assert len(rig.sent) == before + 1
 
 
-def test_after_a_gap_in_the_clock_no_read_goes_by_what_was_shown_before_it() -> None:
+def test_after_a_gap_in_the_clock_no_read_relies_on_reports_from_before_it() -> None:
     recorder = Recorder("test", SETTINGS, 1_000_000_000)
     with traced(recorder) as parts:
         rig = Rig()
@@ -149,19 +151,19 @@
             rig.end(sent(rig.ask("GET", KEY)), [b"$-1\r\n"])
             rig.pass_us(1_000)
         assert rig.sent[-1].box in ("r", "s")
-        # The replicas still say what they said before; the primary has written since, which nobody here saw.
+        # The replicas report the same as before; the primary has written since, which this gateway has not seen.
         rig.says["p"] = info("primary", 300, run="p")
         rig.give(m.Gapped())
         before = len(rig.sent)
         rig.ask("GET", KEY)
         rig.pass_us(100_000)
-        assert {one.box for one in rig.sent[before:]} == {"p"}
-        assert {one.age_ms for one in rig.engine.verdicts() if one.name in ("r", "s")} == {-1}
+        assert {send.box for send in rig.sent[before:]} == {"p"}
+        assert {member.age_ms for member in rig.engine.verdicts() if member.name in ("r", "s")} == {-1}
     recording = Recording(b"".join(parts))
     assert replay(recording.header, recording.entries()).differences == 0
 
 
-def test_a_turn_lets_in_so_many_clients_in_order() -> None:
+def test_a_turn_admits_a_limited_number_of_clients_in_order() -> None:
     async def test() -> None:
         marks, order, turns = Marks(), list[int](), list[int]()
 
@@ -172,16 +174,16 @@
 
         await asyncio.gather(*[client(number) for number in range(3 * CLIENTS_A_TURN + 5)])
         assert order == list(range(3 * CLIENTS_A_TURN + 5)) and max(turns) == CLIENTS_A_TURN
-        gone = asyncio.ensure_future(asyncio.gather(*[client(number) for number in range(2 * CLIENTS_A_TURN)]))
+        leaving = asyncio.ensure_future(asyncio.gather(*[client(number) for number in range(2 * CLIENTS_A_TURN)]))
         await asyncio.sleep(0)
-        gone.cancel()  # clients that leave while they wait hold nobody up
+        leaving.cancel()  # clients that leave while they wait delay no other
         await asyncio.sleep(0.01)
         assert marks.waiting == 0
 
     asyncio.run(test())
 
 
-def test_time_for_which_the_process_stood_still_is_given_back_once() -> None:
+def test_a_time_limit_is_extended_once_by_the_time_for_which_the_process_stood_still() -> None:
     async def test() -> None:
         async with patience(0.05):
             time.sleep(0.2)  # noqa: ASYNC251 - the process stands still
@@ -197,41 +199,41 @@
     asyncio.run(test())
 
 
-def at_each_command(gateway: Gateway, do: Callable[[m.Asked], None]) -> None:
-    """Something to do in a gateway's process before the engine handles each command."""
+def before_each_command(gateway: Gateway, callback: Callable[[m.Asked], None]) -> None:
+    """Call a function in the gateway's process before the engine handles each command."""
     handle = gateway.engine.handle
 
-    def handled(given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
+    def handle_after_callback(given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
         if isinstance(given, m.Asked):
-            do(given)
+            callback(given)
         return handle(given, now_us)
 
-    gateway.engine.handle = handled  # type: ignore[method-assign]
+    gateway.engine.handle = handle_after_callback  # type: ignore[method-assign]
 
 
 @scene(served, 3)
-async def test_a_pipeline_is_not_late_by_its_own_length(one: Served) -> None:
-    late: list[int] = []
+async def test_a_pipeline_is_not_late_by_its_own_length(harness: Served) -> None:
+    late_us: list[int] = []
 
-    def slowly(given: m.Asked) -> None:
-        late.append(max(given.late_us, given.waited_us))
+    def handle_slowly(command: m.Asked) -> None:
+        late_us.append(max(command.late_us, command.waited_us))
         time.sleep(0.004)
 
-    at_each_command(one.gateway, slowly)
-    wire = await one.wire()
+    before_each_command(harness.gateway, handle_slowly)
+    wire = await harness.wire()
     wire.writer.write(resp.command("GET", "k") * 64)
     for _ in range(64):
         await wire.reply()
-    # Each command costs 4 ms: the last of them would be 250 ms late, were its client's own ones counted.
-    assert len(late) == 64 and max(late) < 100_000
+    # Each command takes 4 ms: the last one would be 250 ms late if the client's own earlier ones were counted.
+    assert len(late_us) == 64 and max(late_us) < 100_000
 
 
 @scene(served, 3)
-async def test_what_is_answered_at_once_takes_turns_with_other_clients(one: Served) -> None:
-    asked: list[int] = []
-    at_each_command(one.gateway, lambda given: asked.append(given.client))
-    first, second = await one.wire(), await one.wire()
-    # Threat: thousands of PINGs in one read never fill the pipeline, so one client had the loop for all of them.
+async def test_a_client_whose_commands_are_answered_at_once_takes_turns_with_others(harness: Served) -> None:
+    client_numbers: list[int] = []
+    before_each_command(harness.gateway, lambda command: client_numbers.append(command.client))
+    first, second = await harness.wire(), await harness.wire()
+    # Thousands of PINGs in one read never fill the pipeline; one client once occupied the event loop for all of them.
     first.writer.write(resp.command("PING") * 4_000)
     await asyncio.sleep(0)
     second.writer.write(resp.command("PING") * 640)
@@ -239,19 +241,19 @@
         await second.reply()
     for _ in range(4_000):
         await first.reply()
-    changes = sum(before != after for before, after in zip(asked, asked[1:], strict=False))
-    assert len(asked) == 4_640 and changes >= 10
+    changes = sum(before != after for before, after in zip(client_numbers, client_numbers[1:], strict=False))
+    assert len(client_numbers) == 4_640 and changes >= 10
 
 
 @scene(served, 1, work=Work(read_us=150_000, cores=256))
-async def test_what_the_stream_read_ahead_is_not_late(one: Served) -> None:
-    late: list[int] = []
-    at_each_command(one.gateway, lambda given: late.append(max(given.late_us, given.waited_us)))
-    wire = await one.wire()
+async def test_commands_that_the_stream_read_ahead_are_not_late(harness: Served) -> None:
+    late_us: list[int] = []
+    before_each_command(harness.gateway, lambda command: late_us.append(max(command.late_us, command.waited_us)))
+    wire = await harness.wire()
     wire.writer.write(resp.command("GET", "k") * 64)
     await asyncio.sleep(0.03)
-    # The pipeline is full and nothing is read for the client, but the stream takes in what comes.
+    # The pipeline is full and no command of the client is read, but the stream buffers what arrives.
     wire.writer.write(resp.command("GET", "k") * 64)
     for _ in range(128):
         await wire.reply()
-    assert len(late) == 128 and max(late) < 70_000, max(late)
+    assert len(late_us) == 128 and max(late_us) < 70_000, max(late_us)
