--- a/oatlink/gateway/__init__.py
+++ b/oatlink/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The shell around the engine: sockets and the clock."""
+"""Runs the engine: client connections, connections to boxes, the clock, logs, metrics and files."""
