--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -184,7 +184,7 @@
     for _ in range(2):
         gateway.feed(m.Inspected())
         deadline_s = time.monotonic() + wait_s
-        while gateway.probing and time.monotonic() < deadline_s:
+        while gateway.is_probing and time.monotonic() < deadline_s:
             await asyncio.sleep(0.005)
     rows = {}
     for one in gateway.engine.box_statuses():
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -245,4 +245,6 @@
     for session, position_us in old.session_positions.items():
         book.record_session_write(session, max(position_us, now_us))
     for session in old.open_session_writes.by_session:
-        book.record_session_write(session, max(write.settled_by_us for write in old.open_session_writes.of(session)))
+        book.record_session_write(
+            session, max(write.settled_by_us for write in old.open_session_writes.of_session(session))
+        )
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -34,7 +34,7 @@
 
     def connection_kinds(self) -> set[str]:
         """The first parts (`unix`, a host) of the addresses that connections for requests use."""
-        return {connection.address.partition(":")[0] for connection in self.gateway._links["box-0-0"]._all()}
+        return {connection.address.partition(":")[0] for connection in self.gateway._links["box-0-0"]._connections()}
 
     async def ask_timed(self, *words: str | int) -> tuple[resp.Value, float]:
         started_s = time.monotonic()
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -16,7 +16,7 @@
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder, Recording, RecordingError, replay
 from oatlink.lab.day import Report
-from oatlink.rules import checks
+from oatlink.rules import checks, concurrency
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig
 
 
