--- a/benchmarks/fleet/gate.py
+++ b/benchmarks/fleet/gate.py
@@ -53,13 +53,13 @@
         self._fresh = fresh
         self.answered = 0
         self._give(m.Started())
-        self._give(m.Listed(tuple(m.Box(name, 0, "x") for name in "prs")))
+        self._give(m.RosterListed(tuple(m.Box(name, 0, "x") for name in "prs")))
         self._give(m.Opened(1))
         if client:
-            self._give(m.Asked(1, [b"CLIENT", b"SETNAME", client.encode()]))
+            self._give(m.CommandReceived(1, [b"CLIENT", b"SETNAME", client.encode()]))
         for _ in range(2):  # a grant is taken only for an allowance that a request has opened
             for one in told:
-                self._give(m.Told(one))
+                self._give(m.FleetNews(one))
             self._ask()
         for _ in range(20):
             self._now += 20_000
@@ -84,7 +84,7 @@
 
     def _ask(self) -> None:
         self._now += STEP_US
-        self._give(m.Asked(1, [b"GET", b"view:%d" % (next(self._keys) if self._fresh else 1)]))
+        self._give(m.CommandReceived(1, [b"GET", b"view:%d" % (next(self._keys) if self._fresh else 1)]))
 
     def block(self, requests: int) -> float:
         """Microseconds of CPU a request. Raises `RuntimeError` where one was not served."""
--- a/benchmarks/stages.py
+++ b/benchmarks/stages.py
@@ -69,7 +69,7 @@
         return sends
 
     feed(m.Started())
-    feed(m.Listed(tuple(m.Box(name, 0, "x") for name in "prs")))
+    feed(m.RosterListed(tuple(m.Box(name, 0, "x") for name in "prs")))
     feed(m.Opened(1))
     args = [b"GET", b"view:1"]
     took = 0.0
@@ -79,7 +79,7 @@
         began = time.process_time()
         for _ in range(count):
             now += 250
-            for send in feed(m.Asked(1, args)):
+            for send in feed(m.CommandReceived(1, args)):
                 now += 250
                 feed(m.Ended(send.request, send.attempt, send.box, "reply", 250, now - 250, [b"$5\r\nhello\r\n"]))
         if not turn:
--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -181,7 +181,7 @@
     wait_s = (settings.links.connect_timeout_ms + settings.links.probe_timeout_ms) / 1000 + 0.1
     # Twice: a replica's offset says how old it is only beside a primary's that was asked before it.
     for _ in range(2):
-        gateway.feed(m.Inspected())
+        gateway.feed(m.RefreshRequested())
         end = time.monotonic() + wait_s
         while gateway.probing and time.monotonic() < end:
             await asyncio.sleep(0.005)
--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -42,7 +42,7 @@
         """Tell the fleet, where there is one."""
         if self._gate.on:
             bank = self.settings.banks[state.box.bank].name
-            self._out.append(m.Observed(state.box.name, bank, kind, history, offset))
+            self._out.append(m.ReportEvidence(state.box.name, bank, kind, history, offset))
 
     def _take_verdict(self, seen: Seen) -> None:
         """What others saw of a box, weighed already. It is asked, or comes later in the turn; no more than that.
@@ -71,16 +71,16 @@
         belief = belief_of(self.router, state.member)
         return belief is not None and belief.primary
 
-    def _on_inspected(self, given: m.AnyInput) -> None:
+    def _on_refresh_requested(self, given: m.AnyInput) -> None:
         """An operator wants to know: every box is asked, the primaries' offsets first."""
         ordered = sorted(self._boxes.values(), key=lambda one: one.box.name != self._groups[one.box.bank].primary)
         for state in ordered:
             state.refreshing = True
             self._probe(state)
 
-    def _on_listed(self, given: m.AnyInput) -> None:
+    def _on_roster_listed(self, given: m.AnyInput) -> None:
         """Discovery's whole list. A box of another address or bank under an old name is another box."""
-        assert isinstance(given, m.Listed)
+        assert isinstance(given, m.RosterListed)
         entries = []
         named = {one.name for one in given.boxes}
         for name in [one for one in self._boxes if one not in named]:
@@ -101,10 +101,10 @@
             entries.append(self._entry(state))
         self._route(api.Roster(api.RosterKind.WHOLE, tuple(entries)))
         if self._gate.on:
-            self._out.append(m.Listing(given.boxes))
+            self._out.append(m.PublishRoster(given.boxes))
         if not self._listed:
             self._listed = True
-            self._on_inspected(given)  # a gateway that starts asks every box once, before anyone waits for it
+            self._on_refresh_requested(given)  # a gateway that starts asks every box once, before anyone waits for it
 
     def _part(self, state: BoxState) -> None:
         """A box has left, or another has its name now: nothing of it is awaited."""
@@ -134,7 +134,7 @@
             state.member, box.bank, box.hall, box.kind, listing, box.primary, state.started_us, state.doubt
         )
 
-    def _on_gapped(self, given: m.AnyInput) -> None:
+    def _on_clock_stalled(self, given: m.AnyInput) -> None:
         """Nothing shown before the gap proves anything after it: every box is a new member, and is asked.
 
         Threat: data as old as the machine's sleep looks as young as before it, and a stale read is served.
@@ -144,7 +144,7 @@
         for state in list(self._boxes.values()):
             state.report, state.asked_us = None, 0
             self._renew(state, "is asked anew after a gap in the clock")
-        self._on_inspected(given)
+        self._on_refresh_requested(given)
 
     def _on_probed(self, given: m.AnyInput) -> None:
         """A probe has ended: the Router's check with it, and the checks that waited for this primary."""
--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -37,9 +37,9 @@
                 self._forget(ask.id)
                 self._at_gate.pop(ask.id, None)
 
-    def _on_broken(self, given: m.AnyInput) -> None:
+    def _on_protocol_violated(self, given: m.AnyInput) -> None:
         """Outside the protocol: the error in its turn, then the end of the connection."""
-        assert isinstance(given, m.Broken)
+        assert isinstance(given, m.ProtocolViolated)
         session = self._sessions.get(given.client)
         if session is not None and not session.closing:
             session.closing = True
@@ -63,9 +63,9 @@
         session.places.append(Place(data, hangup))
         self._flush(session)
 
-    def _on_asked(self, given: m.AnyInput) -> None:
+    def _on_command_received(self, given: m.AnyInput) -> None:
         """A command has come in."""
-        assert isinstance(given, m.Asked)
+        assert isinstance(given, m.CommandReceived)
         session = self._sessions.get(given.client)
         if session is None or session.closing:
             return
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -25,23 +25,23 @@
         super().__init__(settings, now_us)
         self._handlers: dict[type, Callable[[m.AnyInput], None]] = {
             m.Started: self._on_started,
-            m.Listed: self._on_listed,
+            m.RosterListed: self._on_roster_listed,
             m.Opened: self._on_opened,
             m.Closed: self._on_closed,
-            m.Asked: self._on_asked,
-            m.Broken: self._on_broken,
+            m.CommandReceived: self._on_command_received,
+            m.ProtocolViolated: self._on_protocol_violated,
             m.Ended: self._on_ended,
-            m.Wanted: self._on_wanted,
+            m.ConnectionWanted: self._on_connection_wanted,
             m.Dialled: self._on_dialled,
             m.Probed: self._on_probed,
             m.Ticked: self._on_ticked,
             m.Draining: self._on_draining,
-            m.Inspected: self._on_inspected,
-            m.Gapped: self._on_gapped,
+            m.RefreshRequested: self._on_refresh_requested,
+            m.ClockStalled: self._on_clock_stalled,
             m.Reloaded: self._on_reloaded,
             m.Recorded: self._on_recorded,
-            m.Told: self._on_told,
-            m.Replied: self._on_replied,
+            m.FleetNews: self._on_fleet_news,
+            m.FleetReplied: self._on_fleet_replied,
         }
 
     def handle(self, given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -114,7 +114,7 @@
     for entry in entries:
         before = engine.last_request
         effects = engine.handle(entry.given, entry.now_us)
-        if before < request <= engine.last_request and isinstance(entry.given, m.Asked):
+        if before < request <= engine.last_request and isinstance(entry.given, m.CommandReceived):
             words = b" ".join(entry.given.args)[:80].decode("utf-8", "replace")
             account.asked = f"client {entry.given.client}: {words}"
             account.events.append(f"{entry.now_us} asked")
@@ -131,7 +131,7 @@
         ask = engine.request(request)
         at = {box for _, box, _, _ in ask.open.values()} if ask is not None else set()
         for effect in effects:
-            if isinstance(effect, m.Shun) and effect.box in at:
+            if isinstance(effect, m.ClosePath) and effect.box in at:
                 account.events.append(f"{entry.now_us} {effect.box}: {effect.address} is silent, left")
         for effect in effects:
             if isinstance(effect, m.Send) and effect.request == request:
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -113,11 +113,11 @@
         if not self._at_gate:
             self._gate_due = self._now + HELD_LOOK_US
         self._at_gate[ask.id] = ask
-        self._out.append(m.Seek())
+        self._out.append(m.QueryFleet())
 
-    def _on_told(self, given: m.AnyInput) -> None:
+    def _on_fleet_news(self, given: m.AnyInput) -> None:
         """News from the fleet."""
-        assert isinstance(given, m.Told)
+        assert isinstance(given, m.FleetNews)
         if isinstance(given.news, Seen):
             self._take_verdict(given.news)
             return
--- a/oatlink/core/messages.py
+++ b/oatlink/core/messages.py
@@ -45,7 +45,7 @@
     code: str = ""
 
 
-class Listed(Input, frozen=True, tag="Listed"):
+class RosterListed(Input, frozen=True, tag="Listed"):
     """The whole roster, as discovery has it now."""
 
     boxes: tuple[Box, ...]
@@ -65,7 +65,7 @@
     client: int
 
 
-class Asked(Input, frozen=True, tag="Asked"):
+class CommandReceived(Input, frozen=True, tag="Asked"):
     """A client has sent a command, which then waited for this process for `late_us`, at most.
 
     `behind`: how many other clients whose commands have come still wait for it. `waited_us`: how long ago it came, at
@@ -81,7 +81,7 @@
     own_us: int = 0
 
 
-class Broken(Input, frozen=True, tag="Broken", gc=False):
+class ProtocolViolated(Input, frozen=True, tag="Broken", gc=False):
     """A client has sent what the protocol does not allow; `text` is the error due to it."""
 
     client: int
@@ -109,7 +109,7 @@
     address: str = ""
 
 
-class Wanted(Input, frozen=True, tag="Wanted", gc=False):
+class ConnectionWanted(Input, frozen=True, tag="Wanted", gc=False):
     """A link wants one more connection, rather over `address`; `dial` is its number at that link, from 1.
 
     A `Use` or a `NoPath` follows.
@@ -151,11 +151,11 @@
     """The gateway is about to stop: nothing new is taken, what is held ends."""
 
 
-class Inspected(Input, frozen=True, tag="Inspected", gc=False):
+class RefreshRequested(Input, frozen=True, tag="Inspected", gc=False):
     """An operator wants fresh news of every box."""
 
 
-class Gapped(Input, frozen=True, tag="Gapped", gc=False):
+class ClockStalled(Input, frozen=True, tag="Gapped", gc=False):
     """The clock stood still while time went on (the machine slept): ages counted over it are too small."""
 
 
@@ -165,14 +165,14 @@
     settings: Settings
 
 
-class Told(Input, frozen=True, tag="Told"):
+class FleetNews(Input, frozen=True, tag="Told"):
     """News from the fleet, for the gate."""
 
     news: AnyNews
 
 
-class Replied(Input, frozen=True, tag="Replied", gc=False):
-    """What came of an `Errand`: a text for the operator who asked."""
+class FleetReplied(Input, frozen=True, tag="Replied", gc=False):
+    """What came of a `FleetCommand`: a text for the operator who asked."""
 
     client: int
     text: str
@@ -252,8 +252,8 @@
     word: str
 
 
-class Errand(Effect, frozen=True, tag="Errand", gc=False):
-    """An operator's word to the fleet; a `Replied` must follow."""
+class FleetCommand(Effect, frozen=True, tag="Errand", gc=False):
+    """An operator's word to the fleet; a `FleetReplied` must follow."""
 
     client: int
     word: str
@@ -300,7 +300,7 @@
     how: str
 
 
-class Shun(Effect, frozen=True, tag="Shun", gc=False):
+class ClosePath(Effect, frozen=True, tag="Shun", gc=False):
     """End all connections over an address of a box: what is on them is lost there."""
 
     box: str
@@ -326,11 +326,11 @@
     text: str = ""
 
 
-class Seek(Effect, frozen=True, tag="Seek", gc=False):
+class QueryFleet(Effect, frozen=True, tag="Seek", gc=False):
     """A request waits for the fleet's word: its node should ask now."""
 
 
-class Observed(Effect, frozen=True, tag="Observed", gc=False):
+class ReportEvidence(Effect, frozen=True, tag="Observed", gc=False):
     """Something was seen of a box that the fleet may be told: a kind of `fleet.messages.Evidence`, or `elected`."""
 
     box: str
@@ -340,7 +340,7 @@
     offset: int = -1
 
 
-class Listing(Effect, frozen=True, tag="Listing", gc=False):
+class PublishRoster(Effect, frozen=True, tag="Listing", gc=False):
     """Discovery's list, for the fleet's node."""
 
     boxes: tuple[Box, ...]
@@ -357,23 +357,23 @@
 
 AnyInput = (
     Started
-    | Listed
+    | RosterListed
     | Opened
     | Closed
-    | Asked
-    | Broken
+    | CommandReceived
+    | ProtocolViolated
     | Ended
-    | Wanted
+    | ConnectionWanted
     | Dialled
     | Probed
     | Ticked
     | Draining
-    | Inspected
-    | Gapped
+    | RefreshRequested
+    | ClockStalled
     | Reloaded
     | Recorded
-    | Told
-    | Replied
+    | FleetNews
+    | FleetReplied
 )
 AnyEffect = (
     Answer
@@ -382,18 +382,18 @@
     | Send
     | Release
     | Record
-    | Errand
+    | FleetCommand
     | Probe
     | Dial
     | Use
     | Discard
     | NoPath
-    | Shun
+    | ClosePath
     | DropIdle
     | Wake
     | Note
-    | Seek
-    | Observed
-    | Listing
+    | QueryFleet
+    | ReportEvidence
+    | PublishRoster
     | Counted
 )
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -135,11 +135,11 @@
             return
         session.errands.append(Place())
         session.places.append(session.errands[-1])
-        self._out.append(m.Errand(session.client, word, text))
+        self._out.append(m.FleetCommand(session.client, word, text))
 
-    def _on_replied(self, given: m.AnyInput) -> None:
+    def _on_fleet_replied(self, given: m.AnyInput) -> None:
         """The fleet's node has answered an operator; answers come in the order of the words."""
-        assert isinstance(given, m.Replied)
+        assert isinstance(given, m.FleetReplied)
         session = self._sessions.get(given.client)
         if session is not None and session.errands:
             session.errands.popleft().answer = encode(given.text.encode("utf-8", "replace"))
@@ -208,7 +208,7 @@
                     for one in list(self._sessions.values())[:MOST_SESSIONS]
                 )
             )
-        self._on_inspected(m.Inspected())
+        self._on_refresh_requested(m.RefreshRequested())
         return Simple(b"OK")
 
     def _info(self) -> dict[str, dict[str, object]]:
--- a/oatlink/core/redact.py
+++ b/oatlink/core/redact.py
@@ -73,12 +73,16 @@
         if isinstance(one, m.Reloaded):
             self._settings = one.settings
             return m.Reloaded(without_secrets(one.settings))
-        if isinstance(one, m.Asked) and one.args[0].lower() in (b"auth", b"hello"):
-            return m.Asked(one.client, self._login(one.args), one.late_us, one.behind, one.waited_us, one.own_us)
+        if isinstance(one, m.CommandReceived) and one.args[0].lower() in (b"auth", b"hello"):
+            return m.CommandReceived(
+                one.client, self._login(one.args), one.late_us, one.behind, one.waited_us, one.own_us
+            )
         if not self._values:
             return one
-        if isinstance(one, m.Asked):
-            return m.Asked(one.client, self.words(one.args), one.late_us, one.behind, one.waited_us, one.own_us)
+        if isinstance(one, m.CommandReceived):
+            return m.CommandReceived(
+                one.client, self.words(one.args), one.late_us, one.behind, one.waited_us, one.own_us
+            )
         if isinstance(one, m.Ended):
             return msgspec.structs.replace(one, frames=[_frame(frame) for frame in one.frames])
         return one
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -116,7 +116,7 @@
     def _route(self, event: api.Event) -> None:
         raise NotImplementedError
 
-    def _on_inspected(self, given: m.AnyInput) -> None:
+    def _on_refresh_requested(self, given: m.AnyInput) -> None:
         raise NotImplementedError
 
     def _hear(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
--- a/oatlink/core/ways.py
+++ b/oatlink/core/ways.py
@@ -91,7 +91,7 @@
         back_us = self._gate.dial(name, self._now) if dial else 0
         if back_us:
             self._look_at(self._now + back_us, name, dial)
-            self._out.append(m.Seek())
+            self._out.append(m.QueryFleet())
             return
         for address in state.paths.begin(race, self._now):
             if dial == REPORT:
@@ -103,9 +103,9 @@
         if race.queue:
             self._look_at(race.next_us, name, dial)
 
-    def _on_wanted(self, given: m.AnyInput) -> None:
+    def _on_connection_wanted(self, given: m.AnyInput) -> None:
         """A link wants one more connection."""
-        assert isinstance(given, m.Wanted)
+        assert isinstance(given, m.ConnectionWanted)
         state = self._boxes.get(given.box)
         if state is None:
             self._out.append(m.NoPath(given.box, given.dial, "refused"))
@@ -237,7 +237,7 @@
             paths.failed(at, "silent", self._now)
             self._upkeep_next(state)
             self._out.append(m.Note("address", f"{box}: {address} is silent, others answer: left"))
-            self._out.append(m.Shun(box, address))
+            self._out.append(m.ClosePath(box, address))
         elif again_us:
             self._look_at(again_us, box, what)
 
--- a/oatlink/gateway/fleet.py
+++ b/oatlink/gateway/fleet.py
@@ -61,16 +61,16 @@
         if not is_names(head.scope):  # those are a source's own
             self._gateway.notes.note("control", f"{head.scope} is at version {head.epoch}.{head.version}")
 
-    def carry(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+    def carry(self, effect: m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster) -> None:
         """Do what the engine asks of the fleet."""
-        if isinstance(effect, m.Seek):
+        if isinstance(effect, m.QueryFleet):
             self.node.seek()
-        elif isinstance(effect, m.Observed):
+        elif isinstance(effect, m.ReportEvidence):
             if effect.kind == "elected":
                 self.node.failed_over(effect.bank)
             else:
                 self.node.saw(effect.box, effect.kind, effect.history, effect.offset)
-        elif isinstance(effect, m.Listing):
+        elif isinstance(effect, m.PublishRoster):
             self.node.listed(members_of(effect.boxes, self._settings))
         else:
             task = asyncio.get_running_loop().create_task(self._word(effect))
@@ -78,13 +78,13 @@
             task.add_done_callback(self._tasks.discard)
 
     def _tell(self, news: AnyNews) -> None:
-        self._gateway.feed(m.Told(news))
+        self._gateway.feed(m.FleetNews(news))
 
     def _primary(self, bank: str) -> Primary | None:
         address, links = self._gateway.engine.primary_of(bank), self._gateway.settings.links
         return Primary(address, links.user, links.password) if address else None
 
-    async def _word(self, errand: m.Errand) -> None:
+    async def _word(self, errand: m.FleetCommand) -> None:
         async with self._words:
             if errand.word == "rows":
                 text = "\n".join(f"{name}: {one}" for name, one in self.node.rows())
@@ -96,7 +96,7 @@
                     text = str(error)
             else:
                 text = await self.node.word(errand.word, errand.text)
-            self._gateway.feed(m.Replied(errand.client, text))
+            self._gateway.feed(m.FleetReplied(errand.client, text))
 
     async def stop(self) -> None:
         """Leave the fleet."""
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -74,7 +74,7 @@
             self._wants.discard(effect)
         elif isinstance(effect, m.NoPath):
             self.no_path(effect)
-        elif isinstance(effect, m.Shun):
+        elif isinstance(effect, m.ClosePath):
             self.shun(effect.address)
         elif isinstance(effect, m.DropIdle):
             for pool in self._pools.values():
@@ -119,7 +119,7 @@
             self.reports.ended(send, effect.how, self.reports.now(), [], b"")
 
     def shun(self, address: str) -> None:
-        """Carry out `Shun`."""
+        """Carry out `ClosePath`."""
         with self.reports.turn():
             for one in self._all():
                 if one.address == address:
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -47,7 +47,7 @@
 
     def wanted(self, dial: int, address: str) -> None:
         """A connection is asked for."""
-        self._shell.feed(m.Wanted(self._name, dial, address))
+        self._shell.feed(m.ConnectionWanted(self._name, dial, address))
 
     def dialled(self, dial: int, address: str, how: str, asked_us: int, took_us: int, info: bytes = b"") -> None:
         """An attempt to connect has ended."""
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -55,7 +55,7 @@
                     client.unanswered += 1
                     taken += 1
                     waiting = shell.marks.waiting
-                    shell.feed(m.Asked(client.number, args, late_us, waiting, waited_us, turn_us - came_us))
+                    shell.feed(m.CommandReceived(client.number, args, late_us, waiting, waited_us, turn_us - came_us))
             if client.is_over:
                 break
             if client.unsent > most_unsent and client.written is not None:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -35,7 +35,7 @@
 class FleetSeat(Protocol):
     """What a gateway needs of its seat in a fleet (`gateway.fleet`)."""
 
-    def carry(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+    def carry(self, effect: m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster) -> None:
         """Do what the engine asks of the fleet."""
 
 
@@ -99,7 +99,7 @@
                 self._links[box.name] = Link(box.name, ways, self.settings.links, self._limits, self)
             elif tuple(link.ways.values()) != ways:
                 link.relist(ways)
-        self.feed(m.Listed(boxes))
+        self.feed(m.RosterListed(boxes))
         named = {box.name for box in boxes}
         left += [self._links.pop(name) for name in [one for one in self._links if one not in named]]
         # Threat: what ends with an old link is sent again at once, to the same link while the list is not known.
@@ -172,7 +172,7 @@
     def _sweep(self) -> None:
         slept = slept_us()
         if slept - self._slept_us > SLEPT_US:
-            self.feed(m.Gapped())
+            self.feed(m.ClockStalled())
         self._slept_us = slept
         with self.turn():
             for link in self._links.values():
@@ -245,7 +245,7 @@
             if self._wake is not None:
                 loop.remove_timeout(self._wake)
             self._wake = loop.call_later(max(0.0, (effect.at_us - now_us()) / 1e6), self._woken)
-        elif isinstance(effect, m.Probe | m.Dial | m.Use | m.Discard | m.NoPath | m.Shun | m.DropIdle | m.Release):
+        elif isinstance(effect, m.Probe | m.Dial | m.Use | m.Discard | m.NoPath | m.ClosePath | m.DropIdle | m.Release):
             link = self._links.get(effect.box)
             if link is not None:
                 link.carry_out(effect)
@@ -259,11 +259,11 @@
         elif isinstance(effect, m.Record):
             done, text = self._tape.do(effect.word, self._now_us)
             self.feed(m.Recorded(effect.client, text, done))
-        elif isinstance(effect, m.Seek | m.Errand | m.Observed | m.Listing):
+        elif isinstance(effect, m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster):
             if self.fleet is not None:
                 self.fleet.carry(effect)
-            elif isinstance(effect, m.Errand):
-                self.feed(m.Replied(effect.client, "the fleet has not begun"))
+            elif isinstance(effect, m.FleetCommand):
+                self.feed(m.FleetReplied(effect.client, "the fleet has not begun"))
         elif isinstance(effect, m.Hangup):
             client = self._clients.get(effect.client)
             if client is not None:
@@ -333,7 +333,7 @@
             await read(client, self._limits, self.settings.limits, self)
             await discard(client.stream, client.ending)  # behind its last answer
         except ProtocolError as problem:
-            self.feed(m.Broken(client.number, str(problem)))
+            self.feed(m.ProtocolViolated(client.number, str(problem)))
             await discard(client.stream, client.ending)  # the answers before the error are still owed
         except (StreamClosedError, TimeoutError):
             pass
--- a/oatlink/lab/against.py
+++ b/oatlink/lab/against.py
@@ -71,7 +71,7 @@
     for entry in recording.entries():
         if isinstance(entry.given, m.Opened) and entry.given.admin:
             operators.add(entry.given.client)
-        if isinstance(entry.given, m.Asked):
+        if isinstance(entry.given, m.CommandReceived):
             found[entry.given.client].asked.append((entry.now_us, entry.given.args))
         for effect in entry.effects:
             if isinstance(effect, m.Answer):
--- a/tests/fleet/test_gated.py
+++ b/tests/fleet/test_gated.py
@@ -28,11 +28,11 @@
 
 
 def seeks(one: Rig) -> int:
-    return sum(isinstance(effect, m.Seek) for effect in one.other)
+    return sum(isinstance(effect, m.QueryFleet) for effect in one.other)
 
 
 def granted(one: Rig, rate: float = 40, burst: float = 10, serial: int = 1, term_us: int = 1_000_000) -> None:
-    one.give(m.Told(Granted("tenant/t", serial, rate, burst, one.now + term_us)))
+    one.give(m.FleetNews(Granted("tenant/t", serial, rate, burst, one.now + term_us)))
 
 
 def test_a_tenants_first_request_waits_for_a_grant_and_goes_on_with_it() -> None:
@@ -107,7 +107,7 @@
 
 def test_a_node_that_is_alone_has_no_floor() -> None:
     one = rig()
-    one.give(m.Told(Alone()))
+    one.give(m.FleetNews(Alone()))
     one.pass_us(3_000_000)
     one.ask("GET", PLAIN)
     assert not one.sent and one.answers[1][0].startswith(b"-QUOTA")
@@ -121,7 +121,7 @@
     for send in list(one.sent):
         one.end(send, [b"$-1\r\n"])
     engine = restore(take(one.engine, one.now), LIMITED)
-    given = [m.Asked(1, [b"GET", PLAIN.encode()]) for _ in range(30)]
+    given = [m.CommandReceived(1, [b"GET", PLAIN.encode()]) for _ in range(30)]
     restored = [engine.handle(one_given, one.now) for one_given in given]
     assert restored == [one.engine.handle(one_given, one.now) for one_given in given]
     assert one.engine.counts["over_quota"] > 5
@@ -134,7 +134,7 @@
     one = rig(VERSIONED, "x")
     one.ask("GET", PLAIN)
     assert not one.sent and one.answers[1][0].startswith(b"-LAYOUT 0 is not served") and b"retry" in one.answers[1][0]
-    one.give(m.Told(SERVED))
+    one.give(m.FleetNews(SERVED))
     assert one.ask("GET", PLAIN) is not None
     assert one.engine.busy() == (1,)
     one.end(one.sent[0], [b"$-1\r\n"])
@@ -143,19 +143,19 @@
 
 def test_a_client_that_names_a_version_not_served_is_told_to_come_back() -> None:
     one = rig(VERSIONED, "x;layout=2")
-    one.give(m.Told(SERVED))
+    one.give(m.FleetNews(SERVED))
     one.ask("GET", PLAIN)
     assert not one.sent and one.answers[1][0].startswith(b"-LAYOUT 2")
 
 
 def test_a_connection_stays_with_the_version_that_it_began_with() -> None:
     one = rig(VERSIONED, "x")
-    one.give(m.Told(SERVED))
+    one.give(m.FleetNews(SERVED))
     one.end(one.ask("GET", PLAIN), [b"$-1\r\n"])  # type: ignore[arg-type]
-    one.give(m.Told(Served(8, 2**60, (1, 2), 2, (), (("one", (1, 2)), ("two", (1, 2))))))
+    one.give(m.FleetNews(Served(8, 2**60, (1, 2), 2, (), (("one", (1, 2)), ("two", (1, 2))))))
     assert one.ask("GET", PLAIN) is not None and one.engine.busy() == (1,)
     assert one.ask("GET", PLAIN, client=2) is not None and sorted(one.engine.busy()) == [1, 2]
-    one.give(m.Told(Served(9, 2**60, (2,), 2, (), (("one", (2,)), ("two", (2,))))))
+    one.give(m.FleetNews(Served(9, 2**60, (2,), 2, (), (("one", (2,)), ("two", (2,))))))
     one.answers.clear()
     for send in list(one.sent)[1:]:
         one.end(send, [b"$-1\r\n"])
@@ -169,7 +169,7 @@
     one = rig(VERSIONED, "x;layout=2")
     one.says["p"] = info("primary", 500 if has_it else 300, run="p")
     marker = ("one", Marker(2, "h1", 400))
-    one.give(m.Told(Served(8, 2**60, (1, 2), 1, (marker,), (("one", (1, 2)), ("two", (1, 2))))))
+    one.give(m.FleetNews(Served(8, 2**60, (1, 2), 1, (marker,), (("one", (1, 2)), ("two", (1, 2))))))
     one.ask("SET", PLAIN, 1)
     if has_it:
         assert len(one.sent) == 1
@@ -183,7 +183,7 @@
 def test_a_request_that_was_held_past_the_end_of_the_term_is_not_sent() -> None:
     one = rig(VERSIONED, "x")
     one.list(p="gone")  # no primary: a write is held
-    one.give(m.Told(Served(8, one.now + 100_000, (1,), 1, (), (("one", (1,)), ("two", (1,))))))
+    one.give(m.FleetNews(Served(8, one.now + 100_000, (1,), 1, (), (("one", (1,)), ("two", (1,))))))
     one.says["r"] = info("replica", 100, run="r")
     assert one.ask("SET", PLAIN, 1) is None and not one.answers
     one.pass_us(150_000)
@@ -200,7 +200,7 @@
     one = rig(load_text(f"{TEMPLATE} + {part}", "test"), "x")
     one.pass_us(1_000_000)
     for number in range(1, 9):
-        one.give(m.Wanted("p", number))
+        one.give(m.ConnectionWanted("p", number))
 
     def dialled() -> list[int]:
         return [effect.dial for effect in one.other if isinstance(effect, m.Dial)]
@@ -208,7 +208,7 @@
     assert not dialled() and seeks(one)  # nothing was asked before, so the floor's bucket was not there to fill
     one.pass_us(1_000_000)
     assert 2 <= len(dialled()) <= 5  # the node's floor: 4 a second
-    one.give(m.Told(Granted("dials/p", 1, 12.0, 6.0, one.now + 60_000_000)))
+    one.give(m.FleetNews(Granted("dials/p", 1, 12.0, 6.0, one.now + 60_000_000)))
     one.pass_us(6_000_000)
     assert sorted(dialled()) == list(range(1, 9))
 
--- a/tests/sabotage.py
+++ b/tests/sabotage.py
@@ -48,14 +48,14 @@
 
 def drains_kept() -> None:
     """Drains are not heard of."""
-    whole = core.Engine._on_listed
+    whole = core.Engine._on_roster_listed
 
     def listed(self: core.Engine, given: m.AnyInput) -> None:
-        assert isinstance(given, m.Listed)
+        assert isinstance(given, m.RosterListed)
         boxes = tuple(msgspec.structs.replace(one, state="ready") for one in given.boxes)
-        whole(self, m.Listed(boxes))
+        whole(self, m.RosterListed(boxes))
 
-    core.Engine._on_listed = listed  # type: ignore[method-assign, assignment]
+    core.Engine._on_roster_listed = listed  # type: ignore[method-assign, assignment]
 
 
 def cold_spared() -> None:
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -33,11 +33,11 @@
         rig.end(sent(rig.ask("GET", KEY, client=2)))  # its members are heard again
     rig.text()
     before, late = len(rig.sent), hung and own_us > 0
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 0, own_us))
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 0, own_us))
     assert len(rig.sent) == before + (not late)
     assert begins(rig.text()) == ([b"-TRYAGAIN"] if late else [])
     # A pipeline is no lateness of this process: past its aim it is still taken, and nobody is paused.
-    rig.give(m.Asked(2, [b"GET", KEY.encode()], 0, 0, 0, 1_000_000))
+    rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 0, 1_000_000))
     assert len(rig.engine.sessions[2].asks) == 1 and not rig.paused and not rig.engine.counts.get("shed")
 
 
@@ -58,7 +58,7 @@
 
 @scene(world, NARROW)
 async def test_what_was_read_ahead_of_a_full_pipeline_has_its_time_since_it_came(one: World) -> None:
-    asked = given_to(one.gateway, m.Asked)
+    asked = given_to(one.gateway, m.CommandReceived)
     one.box.answers.clear()
     client = await one.wire()
     client.writer.write(resp.command("GET", "a") + resp.command("GET", "b"))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -98,7 +98,7 @@
             for one in bank.members
             if states.get(one.name) != "gone"
         ]
-        self.give(m.Listed(tuple(boxes)))
+        self.give(m.RosterListed(tuple(boxes)))
 
     def give(self, one: m.AnyInput) -> None:
         todo = [one]
@@ -125,7 +125,7 @@
 
     def ask(self, *words: str | int, client: int = 1) -> m.Send | None:
         before = len(self.sent)
-        self.give(m.Asked(client, [str(one).encode() for one in words]))
+        self.give(m.CommandReceived(client, [str(one).encode() for one in words]))
         return self.sent[-1] if len(self.sent) > before else None
 
     def end(self, send: m.Send, frames: Iterable[bytes] = (b"+OK\r\n",), how: str = "reply", info: bytes = b"") -> None:
@@ -378,7 +378,7 @@
 
 def test_a_broken_protocol_ends_after_what_was_owed(rig: Rig) -> None:
     send = sent(rig.ask("GET", PLAIN))
-    rig.give(m.Broken(1, "ERR Protocol error: x"))
+    rig.give(m.ProtocolViolated(1, "ERR Protocol error: x"))
     assert rig.text() == b""
     rig.end(send, [b"$-1\r\n"])
     assert rig.text() == b"$-1\r\n-ERR Protocol error: x\r\n" and rig.hung == {1}
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -151,7 +151,7 @@
         assert rig.sent[-1].box in ("r", "s")
         # The replicas still say what they said before; the primary has written since, which nobody here saw.
         rig.says["p"] = info("primary", 300, run="p")
-        rig.give(m.Gapped())
+        rig.give(m.ClockStalled())
         before = len(rig.sent)
         rig.ask("GET", KEY)
         rig.pass_us(100_000)
@@ -197,12 +197,12 @@
     asyncio.run(test())
 
 
-def at_each_command(gateway: Gateway, do: Callable[[m.Asked], None]) -> None:
+def at_each_command(gateway: Gateway, do: Callable[[m.CommandReceived], None]) -> None:
     """Something to do in a gateway's process before the engine handles each command."""
     handle = gateway.engine.handle
 
     def handled(given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
-        if isinstance(given, m.Asked):
+        if isinstance(given, m.CommandReceived):
             do(given)
         return handle(given, now_us)
 
@@ -213,7 +213,7 @@
 async def test_a_pipeline_is_not_late_by_its_own_length(one: Served) -> None:
     late: list[int] = []
 
-    def slowly(given: m.Asked) -> None:
+    def slowly(given: m.CommandReceived) -> None:
         late.append(max(given.late_us, given.waited_us))
         time.sleep(0.004)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -303,7 +303,7 @@
         data = file.read_bytes()
         recording = Recording(data)
         verdicts += sum(
-            isinstance(one.given, m.Asked) and one.given.args[0] == b"MEMBERS" for one in recording.entries()
+            isinstance(one.given, m.CommandReceived) and one.given.args[0] == b"MEMBERS" for one in recording.entries()
         )
         recording = Recording(data)
         assert replay(recording.header, recording.entries()).differences == 0
@@ -327,8 +327,8 @@
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     rig.pass_us(1_000)
     rig.says["r"] = info("primary", 100, "h2", "r", "h1", 101)
-    rig.give(m.Inspected())
-    rig.give(m.Inspected())
+    rig.give(m.RefreshRequested())
+    rig.give(m.RefreshRequested())
     takes = {one.name: one.takes for one in rig.engine.verdicts()}
     assert takes["r"] == "writes and current reads"
     assert takes["p"] == "nothing: role unknown"  # it still says that it is primary
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -165,9 +165,9 @@
         pauses.append(rig.paused[1] - rig.now)
     assert pauses == [150_000, 300_000, 600_000, 1_000_000]
     rig.paused.clear()
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 900_000))
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 900_000))
     assert rig.engine.counts["shed"] == 5 and not rig.paused
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 100_000))  # hardly waited for the process: let in
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 100_000))  # hardly waited for the process: let in
     assert len(rig.engine._asks) == 1 and rig.engine.sessions[1].shed == 0
 
 
@@ -183,9 +183,9 @@
 def test_one_that_came_before_its_time_is_owed_an_answer_within_its_own() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 500_000))
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 500_000))
     assert next(iter(rig.engine._asks.values())).arrived_us == rig.now - 500_000
-    rig.give(m.Asked(2, [b"GET", KEY.encode()], 0, 0, 700_000))  # past its aim, and late is worth nothing
+    rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 700_000))  # past its aim, and late is worth nothing
     assert rig.text(2).startswith(b"-TRYAGAIN")
 
 
@@ -201,13 +201,13 @@
             began = time.monotonic()
             assert isinstance(await wire.ask("GET", "a"), resp.Error)
             assert time.monotonic() - began < 1.5  # price-check's deadline, the shortest
-    asked = given_to(one.gateway, m.Asked)
+    asked = given_to(one.gateway, m.CommandReceived)
     assert not isinstance(await wire.ask("SET", "a", 2), resp.Error)
     assert 400_000 < asked[0].waited_us < 900_000 and admission.limit > 0
 
 
-def _late(key: str, late_us: int) -> m.Asked:
-    return m.Asked(1, [b"GET", key.encode()], late_us)
+def _late(key: str, late_us: int) -> m.CommandReceived:
+    return m.CommandReceived(1, [b"GET", key.encode()], late_us)
 
 
 @pytest.mark.parametrize("classes", [(), SETTINGS.classes])
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -56,8 +56,8 @@
     made = Redactor(HASHED).words([b"SET", b"v:customer-17", b"balance 100"])
     assert b"customer" not in made[1] and made[1].startswith(b"v:") and made[2] == b""
     for words in ([b"AUTH", b"user", b"password"], [b"HELLO", b"3", b"AUTH", b"user", b"password"], [b"AUTH", b"x"]):
-        given = Redactor(SETTINGS).given(m.Asked(1, words))
-        assert isinstance(given, m.Asked) and not {b"user", b"password", b"x"} & set(given.args)
+        given = Redactor(SETTINGS).given(m.CommandReceived(1, words))
+        assert isinstance(given, m.CommandReceived) and not {b"user", b"password", b"x"} & set(given.args)
 
 
 def test_no_password_is_recorded_and_logins_still_replay() -> None:
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -69,7 +69,7 @@
 
 
 def test_a_dial_moves_on_when_a_path_is_refused_and_when_it_says_nothing(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     (first,) = dials(one)
     assert first.address == PU and first.timeout_us == 70_000
     dialled(one, first, "refused")
@@ -85,12 +85,12 @@
 
 
 def test_where_every_path_fails_what_waits_is_told_once(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     for _ in range(3):
         (dial,) = dials(one)
         dialled(one, dial, "refused")
     # All three have failed now; `dials` has taken the last effects with it, so ask again and see that one is tried.
-    one.give(m.Wanted("p", 2, PU))
+    one.give(m.ConnectionWanted("p", 2, PU))
     (found,) = dials(one)
     dialled(one, found, "refused")
     assert [effect.how for effect in said(one, m.NoPath)] == ["refused"]
@@ -109,7 +109,7 @@
 
     one.engine.router.handle = noted  # type: ignore[method-assign]
     one.engine._boxes["p"].check_out = True  # as the Router asks for it
-    one.give(m.Inspected())
+    one.give(m.RefreshRequested())
     assert [event.outcome for event in told] == [api.Outcome.SERVED]
     belief = belief_of(one.engine.router, before)
     assert belief is not None and belief.role is Role.PRIMARY
@@ -117,7 +117,7 @@
     assert sent(one.ask("SET", PLAIN, 1)).address == P
     one.says["p"] = b""
     one.engine._boxes["p"].check_out = True
-    one.give(m.Inspected())
+    one.give(m.RefreshRequested())
     assert [event.outcome for event in told][-1] is api.Outcome.LATE
     assert sum(event.outcome is not api.Outcome.SERVED for event in told) == 1
 
@@ -125,7 +125,7 @@
 def test_a_silent_probe_is_overtaken_by_the_next_path(one: Rig) -> None:
     one.mute.add(PU)
     one.probes.clear()
-    one.give(m.Inspected())
+    one.give(m.RefreshRequested())
     assert [probe.address for probe in one.probes if probe.box == "p"] == [PU]
     one.pass_us(12_000)  # four times what it usually takes, 10 ms at least
     assert [probe.address for probe in one.probes if probe.box == "p"] == [PU, P6]
@@ -180,7 +180,7 @@
     one.mute.add(PU)
     one.other.clear()
     one.pass_us(60_000)
-    assert [effect.address for effect in said(one, m.Shun)] == [PU] and state(one, PU) is State.FAILED
+    assert [effect.address for effect in said(one, m.ClosePath)] == [PU] and state(one, PU) is State.FAILED
     one.give(m.Ended(send.request, send.attempt, "p", "reset", 60_000, one.now - 60_000, address=PU))
     assert one.sent[-1].address == P6 and one.engine.without_primary == []
 
@@ -189,11 +189,11 @@
     sent(one.ask("XADD", KEY, "IDMP", "a", "t1", "*", "f", "v"))
     one.mute.update((P, P6, PU))
     one.pass_us(400_000)
-    assert not any(isinstance(effect, m.Shun) for effect in one.other)
+    assert not any(isinstance(effect, m.ClosePath) for effect in one.other)
 
 
 def test_an_address_that_reaches_another_listed_box_carries_nothing(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     (dial,) = dials(one)
     dialled(one, dial, says=one.says["r"])
     assert [effect.address for effect in one.other if isinstance(effect, m.Discard)] == [PU]
@@ -203,7 +203,7 @@
 
 
 def test_an_address_that_reaches_another_bank_carries_nothing(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     (dial,) = dials(one)
     dialled(one, dial, says=info("replica", 5, "h9", run="unknown"))
     assert any(isinstance(effect, m.Note) and "a box of two" in effect.text for effect in one.other)
@@ -211,7 +211,7 @@
 
 
 def test_an_unknown_run_on_one_path_is_a_stranger_while_the_others_reach_the_old_one(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     (dial,) = dials(one)
     member = one.engine._boxes["p"].member
     dialled(one, dial, says=info("primary", 100, run="new"))
@@ -232,7 +232,7 @@
         m.Box("r", 0, "127.0.0.1:1002", ways=(m.Way(PU),)),
         m.Box("q", 1, "127.0.0.1:1004"),
     ]
-    one.give(m.Listed(tuple(boxes)))
+    one.give(m.RosterListed(tuple(boxes)))
     assert [path.address for path in one.engine._boxes["r"].paths.paths] == ["127.0.0.1:1002"]
     assert [path.address for path in one.engine._boxes["p"].paths.paths] == [P, PU]
     with pytest.raises(SettingsError, match=r"paths\[0\]\.address: expected an address of its own"):
@@ -242,10 +242,10 @@
 def test_addresses_that_change_under_a_live_box_leave_it_the_same_box(one: Rig) -> None:
     member = one.engine._boxes["p"].member
     others = [m.Box("r", 0, "127.0.0.1:1002"), m.Box("s", 0, "127.0.0.1:1003"), m.Box("q", 1, "127.0.0.1:1004")]
-    one.give(m.Listed((m.Box("p", 0, P6, ways=(m.Way("[::1]:9"),)), *others)))
+    one.give(m.RosterListed((m.Box("p", 0, P6, ways=(m.Way("[::1]:9"),)), *others)))
     assert one.engine._boxes["p"].member == member
     assert [path.address for path in one.engine._boxes["p"].paths.paths] == [P6, "[::1]:9"]
-    one.give(m.Listed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # none of its addresses is left: another box
+    one.give(m.RosterListed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # none of its addresses is left: another box
     assert one.engine._boxes["p"].member != member
 
 
@@ -257,12 +257,12 @@
     )
     one.mute.update(way.address for box in boxes for way in box.ways)
     one.mute.update(box.address for box in boxes)
-    one.give(m.Listed(boxes))
+    one.give(m.RosterListed(boxes))
     out: list[m.Dial] = []
     told, most, dialled_all = 0, 0, 0
     for at in range(50):
         for number in range(4):
-            one.give(m.Wanted(f"b{at}", number + 1))
+            one.give(m.ConnectionWanted(f"b{at}", number + 1))
     for _ in range(2_000):
         fresh = [effect for effect in one.other if isinstance(effect, m.Dial)]
         told += sum(isinstance(effect, m.NoPath) for effect in one.other)
@@ -282,7 +282,7 @@
 
 
 def test_the_state_of_paths_is_in_a_snapshot(one: Rig) -> None:
-    one.give(m.Wanted("p", 1, PU))
+    one.give(m.ConnectionWanted("p", 1, PU))
     (dial,) = dials(one)
     sent(one.ask("SET", PLAIN, 1))
     one.engine = restore(take(one.engine, one.now), SEVERAL)
