--- a/oatlink/core/classify.py
+++ b/oatlink/core/classify.py
@@ -27,7 +27,7 @@
 REMEMBERED = 4_096  # decisions kept by (command, key, user, name): enough for the shapes of a site's traffic
 
 
-def to_rule(one: RequestClass) -> api.RequestClass:
+def router_class(one: RequestClass) -> api.RequestClass:
     """The Router's record of a class."""
     return api.RequestClass(
         one.name,
@@ -70,7 +70,7 @@
                 self._found.popitem(last=False)
         return found
 
-    def of_transaction(self, writes: bool, user: str, client: str) -> RequestClass:
+    def class_of_transaction(self, writes: bool, user: str, client: str) -> RequestClass:
         """The class of a whole transaction: named by `exec`; never keyed, its parts may not all carry keys."""
         return self._find("exec", writes, False, b"", user, client)
 
--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -4,9 +4,9 @@
 
 from oatlink import interface as api
 from oatlink.core import messages as m
-from oatlink.core.commands import Kind, Spec, blocks, find
+from oatlink.core.commands import Kind, Spec, blocks, find_command
 from oatlink.core.requests import Requests
-from oatlink.core.sessions import Place, Session, refusal
+from oatlink.core.sessions import PendingReply, Session, refusal
 from oatlink.protocols.resp import error
 
 
@@ -29,11 +29,11 @@
         if session is None:
             return
         self._release(session)
-        for ask in list(session.asks.values()):
-            ask.place.answer = b""
+        for ask in list(session.requests.values()):
+            ask.pending_reply.answer = b""
             if ask.started:
                 self._route(api.Departure(str(ask.id)))
-            if not ask.open:
+            if not ask.open_attempts:
                 self._forget(ask.id)
                 self._at_gate.pop(ask.id, None)
 
@@ -43,7 +43,7 @@
         session = self._sessions.get(given.client)
         if session is not None and not session.closing:
             session.closing = True
-            session.places.append(Place(error(given.text), hangup=True))
+            session.pending_replies.append(PendingReply(error(given.text), hangup=True))
             self._flush(session)
 
     def _on_draining(self, given: m.AnyInput) -> None:
@@ -58,9 +58,9 @@
         if over:
             self._out.append(m.Hangup(session.client))
 
-    def _say(self, session: Session, data: bytes, hangup: bool = False) -> None:
+    def _reply(self, session: Session, data: bytes, hangup: bool = False) -> None:
         """An answer of the gateway's own, in its turn."""
-        session.places.append(Place(data, hangup))
+        session.pending_replies.append(PendingReply(data, hangup))
         self._flush(session)
 
     def _on_command_received(self, given: m.AnyInput) -> None:
@@ -73,33 +73,33 @@
         self._waited_us = max(given.late_us, given.waited_us)
         # Threat: a long pipeline that is served as fast as it can be, refused for its own length. What lay behind its
         # client's own commands loses that time only where one of them hung meanwhile.
-        has_hung = session.hung_us >= self._now - self._waited_us - given.own_us
-        self._own_us = given.own_us if has_hung else 0
+        has_hung = session.last_unserved_us >= self._now - self._waited_us - given.own_us
+        self._pipelined_us = given.own_us if has_hung else 0
         args = given.args
         if session.admin:
             self._administer(session, args)
             return
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None:
-            session.spoilt = session.queued is not None
+            session.transaction_failed = session.queued is not None
             shown = args[0][:128].decode("utf-8", "replace")
             begin = " ".join(f"'{one[:32].decode('utf-8', 'replace')}'" for one in args[1:5])
-            self._say(session, error(f"ERR unknown command '{shown}', with args beginning with: {begin}"))
+            self._reply(session, error(f"ERR unknown command '{shown}', with args beginning with: {begin}"))
             return
         if not spec.arity_fits(len(args)):
-            session.spoilt = session.queued is not None
-            self._say(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
+            session.transaction_failed = session.queued is not None
+            self._reply(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
             return
         if not self._local.admits(session, spec):
-            self._say(session, error("NOAUTH Authentication required."))
+            self._reply(session, error("NOAUTH Authentication required."))
             return
         if spec.kind is Kind.LOCAL:
             self._answer_locally(session, spec, args)
         elif spec.kind is Kind.TRANSACTION:
             self._transaction(session, spec, args)
         elif blocks(spec, args):
-            session.spoilt = session.queued is not None
-            self._say(
+            session.transaction_failed = session.queued is not None
+            self._reply(
                 session,
                 error(
                     f"ERR {spec.name} is not served by this gateway: it would wait at the server "
@@ -107,14 +107,14 @@
                 ),
             )
         elif self._draining:
-            self._say(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
+            self._reply(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
         else:
-            self._request(session, spec, args)
+            self._submit(session, spec, args)
 
     def _answer_locally(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         if session.queued is not None and spec.name not in ("quit", "reset"):
-            session.spoilt = True
-            self._say(session, error(f"ERR {spec.name} is not served inside a transaction by this gateway"))
+            session.transaction_failed = True
+            self._reply(session, error(f"ERR {spec.name} is not served inside a transaction by this gateway"))
             return
         if spec.name == "reset":
             session.forget_transaction()
@@ -123,4 +123,4 @@
         data = self._local.answer(spec, session, args)
         quits = spec.name == "quit"
         session.closing = session.closing or quits
-        self._say(session, data, hangup=quits)
+        self._reply(session, data, hangup=quits)
--- a/oatlink/core/commands.py
+++ b/oatlink/core/commands.py
@@ -163,7 +163,7 @@
 """Every known command, by its name in lower and in upper case."""
 
 
-def find(name: bytes) -> Spec | None:
+def find_command(name: bytes) -> Spec | None:
     """The row of a command, whatever its case."""
     return COMMANDS.get(name) or COMMANDS.get(name.lower())
 
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -48,10 +48,10 @@
         """Take one input and return the effects it calls for, in order. Time must not run backwards."""
         self._now = max(self._now, now_us)
         self._out, self.fresh = [], False
-        self._late_us = self._waited_us = self._own_us = 0
+        self._late_us = self._waited_us = self._pipelined_us = 0
         self._more = False
         self._handlers[type(given)](given)
-        self._due()
+        self._run_due()
         return self._out
 
     @property
@@ -87,14 +87,14 @@
         self.router.configure(router_settings(given.settings, self._classifier))
         self._out.append(m.Note("reload", "the new settings hold from now on"))
 
-    def _due(self) -> None:
+    def _run_due(self) -> None:
         """All that has come due; then one wake-up for what comes next."""
         now = self._now
         if now >= self._router_due:
             self._router_due = 2**62
             self._route(api.TimerFired("due"))
-        while self._ends and self._ends[0][0] <= now:
-            self._expire(heapq.heappop(self._ends)[1])
+        while self._deadlines and self._deadlines[0][0] <= now:
+            self._expire(heapq.heappop(self._deadlines)[1])
         while self._looks and self._looks[0][0] <= now:
             self._looked(*heapq.heappop(self._looks))
         if now >= self._gate_due:
@@ -106,7 +106,7 @@
                     self._probe(state)
                 else:
                     waits = min(waits, state.check_waits_us)
-        next_us = min(self._router_due, self._ends[0][0] if self._ends else 2**62, waits, self._gate_due)
+        next_us = min(self._router_due, self._deadlines[0][0] if self._deadlines else 2**62, waits, self._gate_due)
         if next_us < self._wake_us:
             self._wake_us = next_us
             self._out.append(m.Wake(next_us))
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -129,7 +129,7 @@
                 f"{entry.now_us} attempt {given.attempt} at {given.box}{over} ended: {given.how} {first}".rstrip()
             )
         ask = engine.request(request)
-        at = {box for _, box, _, _ in ask.open.values()} if ask is not None else set()
+        at = {box for _, box, _, _ in ask.open_attempts.values()} if ask is not None else set()
         for effect in effects:
             if isinstance(effect, m.ClosePath) and effect.box in at:
                 account.events.append(f"{entry.now_us} {effect.box}: {effect.address} is silent, left")
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -9,7 +9,7 @@
 
 from oatlink.core import messages as m
 from oatlink.core.boxes import Boxes
-from oatlink.core.sessions import Ask, Session, failure, over_quota, unserved
+from oatlink.core.sessions import PendingRequest, Session, failure, over_quota, unserved
 from oatlink.core.shared import BoxState
 from oatlink.fleet.gate import HELD, Seen
 from oatlink.fleet.messages import Marker
@@ -29,7 +29,7 @@
 
     def _forget(self, request: int) -> None:
         """Nothing of a request is out any more, and it is owed no answer."""
-        ask = self._asks.pop(request, None)
+        ask = self._requests.pop(request, None)
         if ask is not None and ask.version:
             self._busy[ask.version] -= 1
             if not self._busy[ask.version]:
@@ -37,7 +37,7 @@
 
     def _version(self, session: Session, rule: RequestClass, slots: list[int]) -> tuple[int, int]:
         """The version that a request is made for, and, where it is not served here now, when to come back."""
-        found = self._gate.layout(session.name, session.pinned, self._now)
+        found = self._gate.layout(session.name, session.pinned_version, self._now)
         back_us = found.back_us
         if found.version and not back_us:
             bank = self._classifier.group_of(slots) if slots else 0
@@ -46,11 +46,11 @@
         if back_us:
             self.counts["unserved"] = self.counts.get("unserved", 0) + 1
             self._out.append(m.Counted(rule.name, "unserved", 0))
-        elif found.version and not session.pinned:
-            session.pinned = found.version
+        elif found.version and not session.pinned_version:
+            session.pinned_version = found.version
         return found.version, back_us
 
-    def _fits(self, state: BoxState, ask: Ask) -> bool:
+    def _fits(self, state: BoxState, ask: PendingRequest) -> bool:
         """Whether a box may take a request of that version now: the last look before it is sent.
 
         Threat: a request that was held past the end of the version's term, a primary that failed over without the
@@ -61,7 +61,7 @@
         marker = self._gate.marker(self.settings.banks[state.box.bank].name, ask.version)
         return marker is None or self._applied(state, marker)
 
-    def _step_us(self, ask: Ask) -> int | None:
+    def _step_us(self, ask: PendingRequest) -> int | None:
         """The position, as a time, from which on a replica surely has applied the step that a version needs.
 
         Where no sample shows it yet, only the primary is left: nothing is as recent as this instant.
@@ -78,7 +78,7 @@
             Place(report.replid, report.offset, report.replid2, report.second_offset), marker
         )
 
-    def _turn_back(self, ask: Ask, state: BoxState) -> None:
+    def _turn_back(self, ask: PendingRequest, state: BoxState) -> None:
         """The box that was chosen does not offer the request's version: it is asked, and the client told at once."""
         state.refreshing = True
         self._probe(state)
@@ -107,7 +107,7 @@
             self._out.append(m.Counted(rule.name, "over quota", 0))
         return back_us
 
-    def _hold_at_gate(self, ask: Ask, command: str, keys: list[bytes], cost: int) -> None:
+    def _hold_at_gate(self, ask: PendingRequest, command: str, keys: list[bytes], cost: int) -> None:
         """Let a request wait for the gate's word."""
         ask.gated = (command, keys[:1], cost)
         if not self._at_gate:
@@ -130,7 +130,7 @@
         waiting, self._at_gate, self._gate_due = self._at_gate, {}, 2**62
         for ask in waiting.values():
             session = self._sessions.get(ask.client)
-            if session is None or ask.gated is None or ask.place.answer is not None:
+            if session is None or ask.gated is None or ask.pending_reply.answer is not None:
                 continue
             command, keys, cost = ask.gated
             back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -6,10 +6,10 @@
 
 from oatlink.beliefs import belief as belief_of
 from oatlink.core import messages as m
-from oatlink.core.commands import find
+from oatlink.core.commands import find_command
 from oatlink.core.local import server_section
 from oatlink.core.reports import BoxReport
-from oatlink.core.sessions import Place, Session
+from oatlink.core.sessions import PendingReply, Session
 from oatlink.core.shared import BoxState
 from oatlink.core.transactions import Transactions
 from oatlink.interface import Role
@@ -86,8 +86,8 @@
         """A command on the operators' listener: a few of the specification's, and the words of `ADMIN`."""
         name = args[0].upper()
         if name == b"RECORD" and len(args) == 2:
-            session.recording.append(Place())
-            session.places.append(session.recording[-1])
+            session.recorder_replies.append(PendingReply())
+            session.pending_replies.append(session.recorder_replies[-1])
             self._out.append(m.Record(session.client, args[1][:16].decode("utf-8", "replace").lower()))
             return
         if name in (b"FLEET", b"LAYOUT") and len(args) <= 3:
@@ -97,17 +97,17 @@
             self._begin_errand(session, "control", msgspec.msgpack.encode(args[1:]))
             return
         if name in ADMIN and len(args) == 1:
-            self._say(session, encode(self._admin_value(name), session.protocol))
+            self._reply(session, encode(self._admin_value(name), session.protocol))
             return
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None or spec.name not in ("ping", "info", "hello", "auth", "client", "command", "quit", "echo"):
             words = " ".join(sorted(one.decode() for one in ADMIN))
             words = f"INFO, PING, RECORD WORD, FLEET, LAYOUT WORD, CONTROL WORD and {words}"
-            self._say(session, error(f"ERR not served to operators; they have {words}"))
+            self._reply(session, error(f"ERR not served to operators; they have {words}"))
         elif not spec.arity_fits(len(args)):
-            self._say(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
+            self._reply(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
         elif not self._local.admits(session, spec):
-            self._say(session, error("NOAUTH Authentication required."))
+            self._reply(session, error("NOAUTH Authentication required."))
         else:
             self._answer_locally(session, spec, args)
 
@@ -115,9 +115,11 @@
         """The recorder has done what an operator asked."""
         assert isinstance(given, m.Recorded)
         session = self._sessions.get(given.client)
-        if session is not None and session.recording:
+        if session is not None and session.recorder_replies:
             text = given.text.encode("utf-8", "replace")
-            session.recording.popleft().answer = encode(Simple(text)) if given.done else error("ERR " + given.text)
+            session.recorder_replies.popleft().answer = (
+                encode(Simple(text)) if given.done else error("ERR " + given.text)
+            )
             self._flush(session)
 
     def _send_errand(self, session: Session, name: bytes, args: list[bytes]) -> None:
@@ -125,24 +127,24 @@
         word = "rows" if name == b"FLEET" else args[1][:16].decode("utf-8", "replace").lower() if args[1:] else "status"
         texts = 3 if word == "propose" else 2 - (name == b"FLEET" or len(args) == 1)
         if word not in ("rows", "status", "propose", "back", "resume") or len(args) != texts:
-            self._say(session, error("ERR expected FLEET, or LAYOUT with STATUS, PROPOSE TEXT, BACK or RESUME"))
+            self._reply(session, error("ERR expected FLEET, or LAYOUT with STATUS, PROPOSE TEXT, BACK or RESUME"))
             return
         self._begin_errand(session, word, args[2] if word == "propose" else b"")
 
     def _begin_errand(self, session: Session, word: str, text: bytes) -> None:
         if not self._gate.on:
-            self._say(session, error("ERR no fleet in the settings"))
+            self._reply(session, error("ERR no fleet in the settings"))
             return
-        session.errands.append(Place())
-        session.places.append(session.errands[-1])
+        session.fleet_replies.append(PendingReply())
+        session.pending_replies.append(session.fleet_replies[-1])
         self._out.append(m.FleetCommand(session.client, word, text))
 
     def _on_fleet_replied(self, given: m.AnyInput) -> None:
         """The fleet's node has answered an operator; answers come in the order of the words."""
         assert isinstance(given, m.FleetReplied)
         session = self._sessions.get(given.client)
-        if session is not None and session.errands:
-            session.errands.popleft().answer = encode(given.text.encode("utf-8", "replace"))
+        if session is not None and session.fleet_replies:
+            session.fleet_replies.popleft().answer = encode(given.text.encode("utf-8", "replace"))
             self._flush(session)
 
     def _admin_value(self, name: bytes) -> Value:
@@ -155,8 +157,10 @@
         if name == b"BANKS":
             rows = []
             for number, group in enumerate(self._groups):
-                asks = [one for one in self._asks.values() if one.group == number and one.place.answer is None]
-                held = [one for one in asks if one.started and not one.open]
+                asks = [
+                    one for one in self._requests.values() if one.group == number and one.pending_reply.answer is None
+                ]
+                held = [one for one in asks if one.started and not one.open_attempts]
                 oldest = max((now - one.arrived_us for one in held), default=0)
                 newest = group.positions.newest_us()
                 rows.append(
@@ -199,7 +203,7 @@
                             "name": one.name,
                             "user": one.user,
                             "age_ms": (now - one.since_us) // 1_000,
-                            "owed": len(one.places),
+                            "owed": len(one.pending_replies),
                             "waiting": len(one.waiting),
                             "multi": -1 if one.queued is None else len(one.queued),
                             "watching": len(one.watching),
@@ -227,7 +231,7 @@
         }
         return {
             "server": {**server_section(self._started_us, self._now), "oatlink_code": self._code or "unknown"},
-            "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._asks)},
+            "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._requests)},
             "stats": {f"requests_{name}": count for name, count in self.counts.items()},
             "replication": {"role": "master", "connected_slaves": 0},
             "banks": groups,
--- a/oatlink/core/redact.py
+++ b/oatlink/core/redact.py
@@ -23,8 +23,8 @@
 
 from oatlink.core import messages as m
 from oatlink.core.classify import Classifier, slots_of
-from oatlink.core.commands import Kind, Spec, find, idempotency_key, slot_of
-from oatlink.core.sessions import Ask, Place, Session
+from oatlink.core.commands import Kind, Spec, find_command, idempotency_key, slot_of
+from oatlink.core.sessions import PendingReply, PendingRequest, Session
 from oatlink.settings.model import Settings
 
 _WORDS = frozenset(
@@ -89,7 +89,7 @@
 
     def words(self, args: list[bytes]) -> list[bytes]:
         """A command's words: the name, keys, options and numbers that count keys stay, the rest is dropped."""
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None:
             return [b"?"] + [b""] * (len(args) - 1) if len(args[0]) > 32 else [args[0]] + [b""] * (len(args) - 1)
         if spec.kind is Kind.LOCAL:
@@ -138,7 +138,9 @@
         """What a snapshot may hold of a record's field (`snapshot.Hide`); all of it where nothing is redacted."""
         if not self._values:
             return value
-        if (kind is Ask and field == "payload") or (kind is Place and field == "answer" and value is not None):
+        if (kind is PendingRequest and field == "payload") or (
+            kind is PendingReply and field == "answer" and value is not None
+        ):
             return b""
         if kind is Session and field == "queued" and value is not None:
             return [(self.words(args), writes) for args, writes in value]
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -16,12 +16,12 @@
 from oatlink.core.gated import Gated
 from oatlink.core.overload import past
 from oatlink.core.reports import parse_info
-from oatlink.core.sessions import Ask, Place, Session, failure, over_quota, refusal, unserved
+from oatlink.core.sessions import PendingReply, PendingRequest, Session, failure, over_quota, refusal, unserved
 from oatlink.interface import Outcome, Role
 from oatlink.protocols.resp import command, encode_command, error
 from oatlink.settings.model import RequestClass
 
-SLACK_US = 4_000  # the last moment for a final answer lies so long before the client's time is up
+ANSWER_MARGIN_US = 4_000  # the last moment for a final answer lies so long before the client's time is up
 
 
 class Requests(Gated):
@@ -30,24 +30,24 @@
     @property
     def idle(self) -> bool:
         """Whether no client is owed an answer."""
-        return not any(one.places for one in self._sessions.values())
+        return not any(one.pending_replies for one in self._sessions.values())
 
     @property
     def last_request(self) -> int:
         """The number of the newest request; they count from 1."""
         return self._last_request
 
-    def request(self, number: int) -> Ask | None:
+    def request(self, number: int) -> PendingRequest | None:
         """A request that still has something out or is owed an answer."""
-        return self._asks.get(number)
+        return self._requests.get(number)
 
     def may_write(self, request: int, attempt: int, now_us: int) -> bool:
         """Whether an attempt may be written now; nothing changes. The shell asks at the write, which commits it.
 
         Threat: a client that has left or has its answer, a box that drains, has moved or gone, a window that is over.
         """
-        ask = self._asks.get(request)
-        if ask is None or attempt not in ask.open or ask.place.answer is not None:
+        ask = self._requests.get(request)
+        if ask is None or attempt not in ask.open_attempts or ask.pending_reply.answer is not None:
             return False
         return self.router.may_write(str(request), attempt, now_us)
 
@@ -61,9 +61,9 @@
             elif isinstance(action, api.Check):
                 self._check(action.member)
             elif isinstance(action, api.Refuse):
-                self._refuse(self._asks[int(action.request)], action.retry_after_us)
+                self._refuse(self._requests[int(action.request)], action.retry_after_us)
             elif isinstance(action, api.Fail):
-                self._fail(self._asks[int(action.request)])
+                self._fail(self._requests[int(action.request)])
             elif isinstance(action, api.DropIdle):
                 if action.member in self._names:
                     self._out.append(m.DropIdle(self._names[action.member]))
@@ -84,20 +84,20 @@
 
     def _send(self, action: api.Send) -> None:
         """An attempt begins. The Router's count of a request's sends is the attempt's number."""
-        ask = self._asks[int(action.request)]
+        ask = self._requests[int(action.request)]
         name = self._names[action.member]
         state = self._boxes[name]
         attempt, ask.attempts = ask.attempts, ask.attempts + 1
         address = self._hand(state)
-        ask.open[attempt] = (action.member, name, self._now, address)
-        until_us = self._due_of(ask)
+        ask.open_attempts[attempt] = (action.member, name, self._now, address)
+        until_us = self._deadline_us(ask)
         if attempt == 0:
-            ask.first_us = self._now
+            ask.first_sent_us = self._now
         elif not ask.may_have_run:
-            ask.first_us = self._now  # nothing of the earlier ones can have arrived: the window has not begun
+            ask.first_sent_us = self._now  # nothing of the earlier ones can have arrived: the window has not begun
         elif ask.rule.effect == "keyed":
             # Threat: a repeat that waits for a connection until the bank has forgotten the first one.
-            until_us = min(until_us, ask.first_us + ask.rule.repeat_window_ms * 1_000 - SLACK_US)
+            until_us = min(until_us, ask.first_sent_us + ask.rule.repeat_window_ms * 1_000 - ANSWER_MARGIN_US)
         lease = ask.lease
         session = self._sessions.get(ask.client)
         if lease and session is not None:
@@ -106,20 +106,20 @@
             session.lease_box = session.lease_box or name
             if session.lease_lost or session.lease != lease:
                 lease = 0
-                if ask.executes or ask.watches:
+                if ask.is_exec or ask.is_watch:
                     # Threat: EXEC on a connection that watches nothing, WATCH on one that others share.
-                    del ask.open[attempt]
+                    del ask.open_attempts[attempt]
                     self._path_ended(state, address, "", "unsent", self._now, 0)
                     self._end_unwatched(ask)
                     self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
                     return
         if ask.version and not self._fits(state, ask):
-            del ask.open[attempt]
+            del ask.open_attempts[attempt]
             self._path_ended(state, address, "", "unsent", self._now, 0)
             self._turn_back(ask, state)
             self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
             return
-        wants = self._now - state.informed_us >= self._sample_us // 2 and not ask.transaction and not ask.alone
+        wants = self._now - state.informed_us >= self._sample_us // 2 and not ask.is_transaction and not ask.alone
         if wants:
             state.informed_us = self._now
         run_id = state.report.run_id if state.report is not None else ""
@@ -143,16 +143,16 @@
 
     def _expire(self, request: int) -> None:
         """A request's time is up: every attempt still out is late, and the Router gives its last word."""
-        ask = self._asks.get(request)
+        ask = self._requests.get(request)
         if ask is None:
             return
-        answered = ask.place.answer is not None
+        answered = ask.pending_reply.answer is not None
         if not ask.started and not answered:
             # It waited behind the same client's earlier commands; nothing was ever sent.
             self._refuse(ask, 0)
             return
-        for attempt, (member, box, sent_us, address) in list(ask.open.items()):
-            del ask.open[attempt]
+        for attempt, (member, box, sent_us, address) in list(ask.open_attempts.items()):
+            del ask.open_attempts[attempt]
             ask.may_have_run = True
             state = self._boxes.get(box)
             if state is not None:
@@ -161,7 +161,7 @@
             self._route(
                 api.AttemptEnded(str(request), attempt, member, Outcome.LATE, self._now - sent_us, over=answered)
             )
-            answered = ask.place.answer is not None
+            answered = ask.pending_reply.answer is not None
         if not answered:
             # The Router gives up held work in time by itself; this is the last guard of the first rule.
             self._route(api.Departure(str(request)))
@@ -175,8 +175,8 @@
         state = self._boxes.get(given.box)
         if given.info and state is not None:
             self._hear(state, parse_info(given.info), given.sent_us)
-        ask = self._asks.get(given.request)
-        entry = ask.open.pop(given.attempt, None) if ask is not None else None
+        ask = self._requests.get(given.request)
+        entry = ask.open_attempts.pop(given.attempt, None) if ask is not None else None
         if ask is None or entry is None:
             return  # its time was up before
         member = entry[0]
@@ -184,7 +184,7 @@
             state, entry[3], given.address, given.how, entry[2], given.took_us
         )
         if given.how == "reply":
-            outcome = outcomes.of_reply(given.frames, ask.transaction)
+            outcome = outcomes.of_reply(given.frames, ask.is_transaction)
             if (
                 outcome is Outcome.SERVED
                 and ask.wait_replicas
@@ -202,116 +202,116 @@
         if given.how == "reply" and state is not None and state.member == member:
             # An answer proves that the box lives; a write's proves that it was primary when it was sent.
             answer = api.Report()
-            if ask.writes and outcome is Outcome.SERVED and given.frames[-1][:1] != b"-":
+            if ask.is_write and outcome is Outcome.SERVED and given.frames[-1][:1] != b"-":
                 answer = api.Report(self._now)
                 report = api.Report(given.sent_us, Role.PRIMARY)
             else:
                 report = self._report(state, given.sent_us) if given.info else self._again(state)
         if ask.lease and given.how != "reply":
             self._lose_lease(ask)
-        over = ask.place.answer is not None
+        over = ask.pending_reply.answer is not None
         if outcome is Outcome.SERVED and not over:
             self._serve(ask, given, member)
             over = True
         self._route(api.AttemptEnded(str(ask.id), given.attempt, member, outcome, given.took_us, over, answer, report))
-        if ask.place.answer is not None and not ask.open:
+        if ask.pending_reply.answer is not None and not ask.open_attempts:
             self._forget(ask.id)
 
-    def _serve(self, ask: Ask, given: m.Ended, member: int) -> None:
+    def _serve(self, ask: PendingRequest, given: m.Ended, member: int) -> None:
         """The first good answer goes to the client."""
-        if ask.transaction:
+        if ask.is_transaction:
             data = given.frames[-1]
         elif ask.wait_replicas:
             data = given.frames[0]
         else:
             data = given.frames[0] if len(given.frames) == 1 else b"".join(given.frames)
         session = self._sessions.get(ask.client)
-        if session is not None and ask.executes and session.lease:
+        if session is not None and ask.is_exec and session.lease:
             self._release(session)
         self.counts["served"] += 1
         self._out.append(m.Counted(ask.rule.name, "served", self._now - ask.arrived_us, given.box))
         self._finish(ask, data)
 
-    def _note_hung(self, ask: Ask) -> None:
+    def _note_unserved(self, ask: PendingRequest) -> None:
         """An unserved end past the aim: what its client had sent behind it has waited for nothing."""
         session = self._sessions.get(ask.client)
-        if session is not None and self._now >= min(ask.arrived_us + ask.rule.aim_ms * 1_000, self._due_of(ask)):
-            session.hung_us = self._now
+        if session is not None and self._now >= min(ask.arrived_us + ask.rule.aim_ms * 1_000, self._deadline_us(ask)):
+            session.last_unserved_us = self._now
 
-    def _refuse(self, ask: Ask, retry_after_us: int) -> None:
-        self._note_hung(ask)
+    def _refuse(self, ask: PendingRequest, retry_after_us: int) -> None:
+        self._note_unserved(ask)
         self._end_lease(ask)
         self.counts["refused"] += 1
         self._out.append(m.Counted(ask.rule.name, "refused", self._now - ask.arrived_us))
         self._finish(ask, refusal(retry_after_us))
 
-    def _fail(self, ask: Ask) -> None:
-        self._note_hung(ask)
+    def _fail(self, ask: PendingRequest) -> None:
+        self._note_unserved(ask)
         self._end_lease(ask)
         self.counts["failed"] += 1
         self._out.append(m.Counted(ask.rule.name, "failed", self._now - ask.arrived_us))
         self._finish(ask, failure(ask.rule.effect != "idempotent"))
 
-    def _finish(self, ask: Ask, data: bytes) -> None:
+    def _finish(self, ask: PendingRequest, data: bytes) -> None:
         """The final answer, once; then the client's next commands."""
-        if ask.place.answer is not None:
+        if ask.pending_reply.answer is not None:
             self._out.append(m.Note("fault", f"request {ask.id} was about to be answered twice"))
             return
-        ask.place.answer = data
-        if not ask.open:
+        ask.pending_reply.answer = data
+        if not ask.open_attempts:
             self._forget(ask.id)
         session = self._sessions.get(ask.client)
         if session is None:
             return
-        session.leave(ask)
-        session.asks.pop(ask.id, None)
+        session.mark_finished(ask)
+        session.requests.pop(ask.id, None)
         if not ask.started:
             session.waiting = [one for one in session.waiting if one is not ask]
         self._flush(session)
-        for waiting in session.next_to_start():
+        for waiting in session.take_startable():
             if waiting.gated is None:
                 self._start(session, waiting)
 
-    def _request(self, session: Session, spec: Spec, args: list[bytes]) -> None:
+    def _submit(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         """A command with keys, or one without where there is one group only."""
         try:
             keys = spec.keys(args)
         except ValueError as problem:
-            session.spoilt = session.queued is not None
-            self._say(session, error(str(problem)))
+            session.transaction_failed = session.queued is not None
+            self._reply(session, error(str(problem)))
             return
         slots = slots_of(keys)
-        problem_text = self._misplaced(spec, slots)
+        problem_text = self._group_error(spec, slots)
         if problem_text:
-            session.spoilt = session.queued is not None
-            self._say(session, error(problem_text))
+            session.transaction_failed = session.queued is not None
+            self._reply(session, error(problem_text))
             return
         writes = spec.kind not in (Kind.READ, Kind.KEYLESS_READ)
         if session.queued is not None:
-            self._queue(session, args, writes, slots)
+            self._queue_command(session, args, writes, slots)
             return
         rule = self._classifier.class_of(spec, args, keys, session.user, session.name)
         if session.lease and not writes:
             rule = PINNED
         party = session.user or f"#{session.client}"
         back_us = self._admission.admit(
-            self._now, self._late_us, rule, party, len(self._asks) + self._behind, self._waited_us
+            self._now, self._late_us, rule, party, len(self._requests) + self._behind, self._waited_us
         )
         if back_us and not session.lease:
             self._shed(session, rule, back_us)
             return
-        session.shed = 0
+        session.shed_in_a_row = 0
         gated = version = 0
         if self._gate.on:
             version, away_us = self._version(session, rule, slots)
             if away_us:
-                self._say(session, unserved(version, away_us))
+                self._reply(session, unserved(version, away_us))
                 return
             gated = self._over_quota(session, rule, spec.name, keys, 1)
             if gated > 0:
-                self._say(session, over_quota(gated))
+                self._reply(session, over_quota(gated))
                 return
-        ask = self._ask(session, rule, slots, writes, encode_command(args))
+        ask = self._new_request(session, rule, slots, writes, encode_command(args))
         ask.version = version
         if gated:
             self._hold_at_gate(ask, spec.name, keys, 1)
@@ -322,22 +322,22 @@
             ask.runs_from = len(ask.payload)
             ask.payload += command("WAIT", rule.wait_replicas, rule.wait_ms)
             ask.replies, ask.alone = 2, True
-        self._enter(session, ask)
+        self._add_request(session, ask)
 
     def _shed(self, session: Session, rule: RequestClass, back_us: int) -> None:
         """Refuse a command before anything is kept of it; its connection is not read until it may come back."""
         self.counts["refused"] += 1
         self.counts["shed"] += 1
         self._out.append(m.Counted(rule.name, "shed", self._late_us))
-        self._say(session, refusal(back_us))
+        self._reply(session, refusal(back_us))
         # Threat: a command that came before its time and lies unread is still owed an answer within its own.
         # Threat: a connection shared by many, refused once: what comes in the pause is too late by it, and so on.
         if not past(self._waited_us, rule):
-            pause_us = min(back_us, self._first_pause_us << min(session.shed, 8), self._longest_pause_us)
-            session.shed += 1
+            pause_us = min(back_us, self._first_pause_us << min(session.shed_in_a_row, 8), self._longest_pause_us)
+            session.shed_in_a_row += 1
             self._out.append(m.Pause(session.client, self._now + pause_us))
 
-    def _misplaced(self, spec: Spec, slots: list[int]) -> str:
+    def _group_error(self, spec: Spec, slots: list[int]) -> str:
         """Why a command has no one group, in the words of the cluster specification."""
         if slots:
             if self._classifier.group_of(slots) is None:
@@ -346,7 +346,7 @@
             return f"ERR {spec.name} without a key is not served by a gateway of several banks"
         return ""
 
-    def _ask(
+    def _new_request(
         self,
         session: Session,
         rule: RequestClass,
@@ -354,13 +354,13 @@
         writes: bool,
         payload: bytes,
         replies: int = 1,
-    ) -> Ask:
+    ) -> PendingRequest:
         self._last_request += 1
-        place = Place()
-        session.places.append(place)
+        place = PendingReply()
+        session.pending_replies.append(place)
         group = self._classifier.group_of(slots) if slots else 0
         assert group is not None
-        return Ask(
+        return PendingRequest(
             self._last_request,
             session.client,
             place,
@@ -370,36 +370,36 @@
             writes,
             payload,
             replies,
-            self._now - self._waited_us - self._own_us,  # the client's time runs since its command was there
+            self._now - self._waited_us - self._pipelined_us,  # the client's time runs since its command was there
             session.protocol,
         )
 
-    def _enter(self, session: Session, ask: Ask) -> None:
+    def _add_request(self, session: Session, ask: PendingRequest) -> None:
         """Start a request, or let it wait for its client's earlier ones."""
-        self._asks[ask.id] = session.asks[ask.id] = ask
+        self._requests[ask.id] = session.requests[ask.id] = ask
         if ask.version:
             self._busy[ask.version] = self._busy.get(ask.version, 0) + 1
-        heapq.heappush(self._ends, (self._due_of(ask), ask.id))
+        heapq.heappush(self._deadlines, (self._deadline_us(ask), ask.id))
         free = session.may_start(ask)
-        session.enter(ask)
+        session.mark_unfinished(ask)
         if not free:
             session.waiting.append(ask)
         elif ask.gated is None:
             self._start(session, ask)
 
     @staticmethod
-    def _due_of(ask: Ask) -> int:
+    def _deadline_us(ask: PendingRequest) -> int:
         """The last moment for a request's final answer."""
-        return ask.arrived_us + ask.rule.deadline_ms * 1_000 - SLACK_US
+        return ask.arrived_us + ask.rule.deadline_ms * 1_000 - ANSWER_MARGIN_US
 
-    def _start(self, session: Session, ask: Ask) -> None:
+    def _start(self, session: Session, ask: PendingRequest) -> None:
         """Hand a request to the Router."""
         rule = ask.rule
-        if self._now >= self._due_of(ask):
+        if self._now >= self._deadline_us(ask):
             return  # Threat: a box that is sent what nobody waits for, and blamed for it. Its end is in this turn.
         ask.started = True
         if ask.lease and session.lease_lost:
-            if ask.executes or ask.watches:
+            if ask.is_exec or ask.is_watch:
                 self._end_unwatched(ask)
                 return
             ask.lease = 0
--- a/oatlink/core/sessions.py
+++ b/oatlink/core/sessions.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class PendingReply:
     """A command's place in the row of answers."""
 
     answer: bytes | None = None
@@ -23,32 +23,34 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class PendingRequest:
     """A command on its way: what the client wants, where it stands."""
 
     id: int
     client: int
-    place: Place
+    pending_reply: PendingReply
     rule: RequestClass
     group: int
     slots: list[int]
-    writes: bool
+    is_write: bool
     payload: bytes
     replies: int
     arrived_us: int
     protocol: int
-    transaction: bool = False
-    executes: bool = False  # EXEC
-    watches: bool = False  # WATCH
+    is_transaction: bool = False
+    is_exec: bool = False  # EXEC
+    is_watch: bool = False  # WATCH
     lease: int = 0
     alone: bool = False
     wait_replicas: int = 0
     started: bool = False
     attempts: int = 0
-    first_us: int = 0  # when the first attempt was handed over
+    first_sent_us: int = 0  # when the first attempt was handed over
     may_have_run: bool = False  # by an attempt that has ended
     runs_from: int = 0  # bytes of the payload before which nothing of it can run; 0: all of them
-    open: dict[int, tuple[int, str, int, str]] = field(default_factory=dict)  # attempt: member, box, when, address
+    open_attempts: dict[int, tuple[int, str, int, str]] = field(
+        default_factory=dict
+    )  # attempt: member, box, when, address
     version: int = 0  # of the layout that it is made for; 0: none here
     gated: tuple[str, list[bytes], int] | None = None  # waits for the fleet's word: command, first key, cost
 
@@ -63,63 +65,63 @@
     user: str = ""
     peer: str = ""
     since_us: int = 0
-    places: deque[Place] = field(default_factory=deque)
-    asks: dict[int, Ask] = field(default_factory=dict)  # that are owed an answer, by number
-    waiting: list[Ask] = field(default_factory=list)
-    busy: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
+    pending_replies: deque[PendingReply] = field(default_factory=deque)
+    requests: dict[int, PendingRequest] = field(default_factory=dict)  # that are owed an answer, by number
+    waiting: list[PendingRequest] = field(default_factory=list)
+    unfinished_by_slot: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
     queued: list[tuple[list[bytes], bool]] | None = None  # of the open MULTI: words, whether they write
     queued_bytes: int = 0
     queued_slots: list[int] = field(default_factory=list)
-    spoilt: bool = False
+    transaction_failed: bool = False
     watching: list[int] = field(default_factory=list)  # slots watched
     lease: int = 0
     lease_box: str = ""
     lease_lost: bool = False
     answered: int = 0
     closing: bool = False
-    hung_us: int = -1  # when a command last ended unserved past its aim
-    shed: int = 0  # times refused for the gateway's own load, one after the other
+    last_unserved_us: int = -1  # when a command last ended unserved past its aim
+    shed_in_a_row: int = 0  # times refused for the gateway's own load, one after the other
     admin: bool = False
-    recording: deque[Place] = field(default_factory=deque)  # asked of the recorder, not yet answered
-    pinned: int = 0  # the version that this connection's requests are made for, unless its name says another
-    errands: deque[Place] = field(default_factory=deque)  # asked of the fleet's node, not yet answered
+    recorder_replies: deque[PendingReply] = field(default_factory=deque)  # asked of the recorder, not yet answered
+    pinned_version: int = 0  # the version that this connection's requests are made for, unless its name says another
+    fleet_replies: deque[PendingReply] = field(default_factory=deque)  # asked of the fleet's node, not yet answered
 
-    def may_start(self, ask: Ask) -> bool:
+    def may_start(self, ask: PendingRequest) -> bool:
         """Whether nothing unfinished stands before a new command."""
         for slot in ask.slots:
-            counts = self.busy.get(slot)
-            if counts is not None and (counts[1] or (ask.writes and counts[0])):
+            counts = self.unfinished_by_slot.get(slot)
+            if counts is not None and (counts[1] or (ask.is_write and counts[0])):
                 return False
         return True
 
-    def enter(self, ask: Ask) -> None:
+    def mark_unfinished(self, ask: PendingRequest) -> None:
         """Count a command as unfinished."""
         for slot in ask.slots:
-            self.busy.setdefault(slot, [0, 0])[ask.writes] += 1
+            self.unfinished_by_slot.setdefault(slot, [0, 0])[ask.is_write] += 1
 
-    def leave(self, ask: Ask) -> None:
+    def mark_finished(self, ask: PendingRequest) -> None:
         """A command has ended."""
         for slot in ask.slots:
-            counts = self.busy[slot]
-            counts[ask.writes] -= 1
+            counts = self.unfinished_by_slot[slot]
+            counts[ask.is_write] -= 1
             if not counts[0] and not counts[1]:
-                del self.busy[slot]
+                del self.unfinished_by_slot[slot]
 
-    def next_to_start(self) -> Iterator[Ask]:
+    def take_startable(self) -> Iterator[PendingRequest]:
         """The waiting commands that nothing unfinished before them holds back any longer, taken out."""
         if not self.waiting:
             return
-        unfinished = {slot: list(counts) for slot, counts in self.busy.items()}
+        unfinished = {slot: list(counts) for slot, counts in self.unfinished_by_slot.items()}
         for ask in self.waiting:
             for slot in ask.slots:
-                unfinished[slot][ask.writes] -= 1
-        still: list[Ask] = []
-        ready: list[Ask] = []
+                unfinished[slot][ask.is_write] -= 1
+        still: list[PendingRequest] = []
+        ready: list[PendingRequest] = []
         for ask in self.waiting:
-            held = any(unfinished[slot][1] or (ask.writes and unfinished[slot][0]) for slot in ask.slots)
+            held = any(unfinished[slot][1] or (ask.is_write and unfinished[slot][0]) for slot in ask.slots)
             (still if held else ready).append(ask)
             for slot in ask.slots:
-                unfinished[slot][ask.writes] += 1
+                unfinished[slot][ask.is_write] += 1
         self.waiting = still
         yield from ready
 
@@ -127,18 +129,18 @@
         """The answers that may leave now, how many commands they end, and whether the connection ends then."""
         out: list[bytes] = []
         done = 0
-        while self.places and self.places[0].answer is not None:
-            place = self.places.popleft()
+        while self.pending_replies and self.pending_replies[0].answer is not None:
+            place = self.pending_replies.popleft()
             out.append(place.answer or b"")
             done += 1
             if place.hangup:
-                self.places.clear()
+                self.pending_replies.clear()
                 return out, done, True
         return out, done, False
 
     def forget_transaction(self) -> None:
         """MULTI has ended."""
-        self.queued, self.queued_bytes, self.spoilt = None, 0, False
+        self.queued, self.queued_bytes, self.transaction_failed = None, 0, False
         self.queued_slots = []
 
 
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -10,13 +10,13 @@
 from oatlink import interface as api
 from oatlink.core import messages as m
 from oatlink.core.addresses import Paths, Race
-from oatlink.core.classify import Classifier, to_rule
+from oatlink.core.classify import Classifier, router_class
 from oatlink.core.commands import Spec
 from oatlink.core.local import Local
 from oatlink.core.overload import admission
 from oatlink.core.positions import Positions
 from oatlink.core.reports import BoxReport
-from oatlink.core.sessions import Ask, Session
+from oatlink.core.sessions import PendingRequest, Session
 from oatlink.fleet.gate import Gate, gate_of
 from oatlink.rules import Router
 from oatlink.settings.model import RequestClass, Settings
@@ -73,16 +73,16 @@
         self._dialling = 0
         self._dials_wait: deque[tuple[str, int]] = deque()
         self._gate: Gate = gate_of(settings)
-        self._at_gate: dict[int, Ask] = {}  # wait for the gate's word
+        self._at_gate: dict[int, PendingRequest] = {}  # wait for the gate's word
         self._gate_due = 2**62
         self._busy: dict[int, int] = {}  # by version: requests of it that are not over
         self._names: dict[int, str] = {}  # member: box
         self._last_member = 0
         self._sessions: dict[int, Session] = {}
-        self._asks: dict[int, Ask] = {}
+        self._requests: dict[int, PendingRequest] = {}
         self._last_request = 0
         self._last_lease = 0
-        self._ends: list[tuple[int, int]] = []  # (when, request)
+        self._deadlines: list[tuple[int, int]] = []  # (when, request)
         self._router_due = 2**62
         self._wake_us = 2**62
         self._draining = False
@@ -91,7 +91,7 @@
         self._out: list[m.AnyEffect] = []
         self._late_us = 0  # how long the input has lain in this process
         self._waited_us = 0  # how long ago it came
-        self._own_us = 0  # and before that, behind its client's own earlier commands
+        self._pipelined_us = 0  # and before that, behind its client's own earlier commands
         self._behind = 0  # clients that wait for this process
         self._more = False  # inputs of the same read follow: what is held is placed after the last of them
         self._code = ""  # the form of the program, as `Started` said
@@ -140,25 +140,25 @@
     def _again(self, state: BoxState) -> api.Report | None:
         raise NotImplementedError
 
-    def _end_lease(self, ask: Ask) -> None:
+    def _end_lease(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _finish(self, ask: Ask, data: bytes) -> None:
+    def _finish(self, ask: PendingRequest, data: bytes) -> None:
         raise NotImplementedError
 
     def _flush(self, session: Session) -> None:
         raise NotImplementedError
 
-    def _say(self, session: Session, data: bytes, hangup: bool = False) -> None:
+    def _reply(self, session: Session, data: bytes, hangup: bool = False) -> None:
         raise NotImplementedError
 
     def _answer_locally(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _request(self, session: Session, spec: Spec, args: list[bytes]) -> None:
+    def _submit(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _ask(
+    def _new_request(
         self,
         session: Session,
         rule: RequestClass,
@@ -166,28 +166,28 @@
         writes: bool,
         payload: bytes,
         replies: int = 1,
-    ) -> Ask:
+    ) -> PendingRequest:
         raise NotImplementedError
 
-    def _enter(self, session: Session, ask: Ask) -> None:
+    def _add_request(self, session: Session, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _start(self, session: Session, ask: Ask) -> None:
+    def _start(self, session: Session, ask: PendingRequest) -> None:
         raise NotImplementedError
 
     def _forget(self, request: int) -> None:
         raise NotImplementedError
 
-    def _queue(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
+    def _queue_command(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
         raise NotImplementedError
 
     def _transaction(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _lose_lease(self, ask: Ask) -> None:
+    def _lose_lease(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _end_unwatched(self, ask: Ask) -> None:
+    def _end_unwatched(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
     def _release(self, session: Session) -> None:
@@ -206,7 +206,7 @@
     return api.Settings(
         seed=settings.seed,
         zone=settings.hall,
-        classes=tuple(to_rule(one) for one in classifier.classes),
+        classes=tuple(router_class(one) for one in classifier.classes),
         peers=settings.peers,
         step_us=STEP_US,
         max_attempts=limits.attempts,
--- a/oatlink/core/statements.py
+++ b/oatlink/core/statements.py
@@ -20,7 +20,7 @@
 from pglast import ast, enums, parse_sql
 from pglast.parser import ParseError
 
-from oatlink.core.commands import Kind, find
+from oatlink.core.commands import Kind, find_command
 
 
 class Does(IntEnum):
@@ -352,7 +352,7 @@
 
 def read_command(name: bytes) -> Does:
     """What a RESP command does, by the command table; one that is not in it is `UNKNOWN`."""
-    spec = find(name)
+    spec = find_command(name)
     return Does.UNKNOWN if spec is None else _COMMANDS[spec.kind]
 
 
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -4,60 +4,60 @@
 from oatlink.core.classify import PINNED, slots_of
 from oatlink.core.clients import Clients
 from oatlink.core.commands import Spec
-from oatlink.core.sessions import Ask, Session, over_quota, refusal, unserved
+from oatlink.core.sessions import PendingRequest, Session, over_quota, refusal, unserved
 from oatlink.protocols.resp import OK, QUEUED, Null, encode, encode_command, error
 
 
 class Transactions(Clients):
     """Transactions and leases."""
 
-    def _queue(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
+    def _queue_command(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
         """A command between MULTI and EXEC; all of one transaction go to one group."""
         assert session.queued is not None
         limits = self.settings.limits
         session.queued_bytes += sum(map(len, args))
         if len(session.queued) >= limits.transaction_commands or session.queued_bytes > limits.message_bytes:
-            session.spoilt = True
+            session.transaction_failed = True
             session.queued = []
-            self._say(session, error("ERR transaction too large"))
+            self._reply(session, error("ERR transaction too large"))
             return
         if slots and session.queued_slots and self._classifier.group_of([slots[0], session.queued_slots[0]]) is None:
-            session.spoilt = True
-            self._say(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
+            session.transaction_failed = True
+            self._reply(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
             return
         session.queued_slots += [one for one in slots if one not in session.queued_slots]
         session.queued.append((args, writes))
-        self._say(session, QUEUED)
+        self._reply(session, QUEUED)
 
     def _transaction(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         """MULTI, EXEC, DISCARD, WATCH, UNWATCH."""
         if spec.name == "multi":
             if session.queued is not None:
-                self._say(session, error("ERR MULTI calls can not be nested"))
+                self._reply(session, error("ERR MULTI calls can not be nested"))
                 return
             session.queued = []
-            self._say(session, OK)
+            self._reply(session, OK)
         elif spec.name == "watch":
             self._watch(session, spec, args)
         elif spec.name == "unwatch":
             self._release(session)
-            self._say(session, OK)
+            self._reply(session, OK)
         elif session.queued is None:
-            self._say(session, error(f"ERR {spec.name.upper()} without MULTI"))
+            self._reply(session, error(f"ERR {spec.name.upper()} without MULTI"))
         elif spec.name == "discard":
             session.forget_transaction()
             self._release(session)
-            self._say(session, OK)
+            self._reply(session, OK)
         else:
             self._exec(session)
 
     def _exec(self, session: Session) -> None:
         """The whole transaction as one request: contiguous on one connection, never split."""
-        queued, spoilt, slots = session.queued or [], session.spoilt, session.queued_slots
+        queued, spoilt, slots = session.queued or [], session.transaction_failed, session.queued_slots
         session.forget_transaction()
         if spoilt or self._draining:
             self._release(session)
-            self._say(
+            self._reply(
                 session,
                 error("EXECABORT Transaction discarded because of previous errors.")
                 if spoilt
@@ -66,10 +66,10 @@
             return
         slots = slots or list(session.watching)
         if not queued and not session.lease:
-            self._say(session, b"*0\r\n")
+            self._reply(session, b"*0\r\n")
             return
         writes = any(one for _, one in queued)
-        rule = self._classifier.of_transaction(writes, session.user, session.name)
+        rule = self._classifier.class_of_transaction(writes, session.user, session.name)
         if session.lease and not writes:
             rule = PINNED
         gated, key = 0, queued[0][0][1:2] if queued else []
@@ -78,78 +78,78 @@
             version, away_us = self._version(session, rule, slots)
             if away_us:
                 self._release(session)
-                self._say(session, unserved(version, away_us))
+                self._reply(session, unserved(version, away_us))
                 return
             gated = self._over_quota(session, rule, "exec", key, len(queued))
             if gated > 0:
                 self._release(session)
-                self._say(session, over_quota(gated))
+                self._reply(session, over_quota(gated))
                 return
         parts = [
             b"*1\r\n$5\r\nMULTI\r\n",
             *(encode_command(one) for one, _ in queued),
             b"*1\r\n$4\r\nEXEC\r\n",
         ]
-        ask = self._ask(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
-        ask.transaction = ask.executes = True
+        ask = self._new_request(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
+        ask.is_transaction = ask.is_exec = True
         ask.version = version
         ask.lease = session.lease
         if not session.lease and rule.wait_replicas:
             ask.alone = True
         if gated:
             self._hold_at_gate(ask, "exec", key, len(queued))
-        self._enter(session, ask)
+        self._add_request(session, ask)
 
     def _watch(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         """WATCH binds a client to a connection of its own at the group's primary until EXEC or UNWATCH."""
         if session.queued is not None:
-            self._say(session, error("ERR WATCH inside MULTI is not allowed"))
+            self._reply(session, error("ERR WATCH inside MULTI is not allowed"))
             return
         slots = slots_of(spec.keys(args))
         if self._classifier.group_of([*slots, *session.watching]) is None:
-            self._say(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
+            self._reply(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
             return
         if self._draining:
-            self._say(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
+            self._reply(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
             return
         gated, keys = 0, spec.keys(args)
         if self._gate.on:
             gated = self._over_quota(session, PINNED, spec.name, keys, 1)
             if gated > 0:
-                self._say(session, over_quota(gated))
+                self._reply(session, over_quota(gated))
                 return
         if not session.lease:
             self._last_lease += 1
             session.lease, session.lease_box, session.lease_lost = self._last_lease, "", False
         session.watching += [one for one in slots if one not in session.watching]
-        ask = self._ask(session, PINNED, slots, True, encode_command(args))
-        ask.lease, ask.watches = session.lease, True
+        ask = self._new_request(session, PINNED, slots, True, encode_command(args))
+        ask.lease, ask.is_watch = session.lease, True
         if gated:
             self._hold_at_gate(ask, spec.name, keys, 1)
-        self._enter(session, ask)
+        self._add_request(session, ask)
 
-    def _end_lease(self, ask: Ask) -> None:
+    def _end_lease(self, ask: PendingRequest) -> None:
         session = self._sessions.get(ask.client)
         if session is not None and ask.lease and session.lease == ask.lease:
             session.lease_lost = True
-            if ask.executes:
+            if ask.is_exec:
                 self._release(session)
 
-    def _lose_lease(self, ask: Ask) -> None:
+    def _lose_lease(self, ask: PendingRequest) -> None:
         """A client's own connection has ended: what it watched is no longer watched."""
         session = self._sessions.get(ask.client)
         if session is not None and session.lease == ask.lease:
             session.lease_lost = True
 
-    def _end_unwatched(self, ask: Ask) -> None:
+    def _end_unwatched(self, ask: PendingRequest) -> None:
         """Nothing is watched any more: EXEC answers as if a key had changed, which it may have; WATCH as usual."""
         null = encode(Null(b"*" if ask.protocol == 2 else b"_"), ask.protocol)
         session = self._sessions.get(ask.client)
-        if session is not None and ask.executes and session.lease == ask.lease:
+        if session is not None and ask.is_exec and session.lease == ask.lease:
             self._release(session)
         self.counts["served"] += 1
         self._out.append(m.Counted(ask.rule.name, "served", self._now - ask.arrived_us))
-        self._finish(ask, null if ask.executes else OK)
+        self._finish(ask, null if ask.is_exec else OK)
 
     def _release(self, session: Session) -> None:
         if session.lease:
--- a/oatlink/lab/against.py
+++ b/oatlink/lab/against.py
@@ -62,7 +62,7 @@
         # What was asked before the part began is answered in it; what clients had said of themselves holds on.
         for number, session in engine_of(recording.header).sessions.items():
             said = found[number]
-            said.before = len(session.places)
+            said.before = len(session.pending_replies)
             said.greeting = [[b"HELLO", b"%d" % session.protocol]] if session.protocol != 2 else []
             if session.name:
                 said.greeting.append([b"CLIENT", b"SETNAME", session.name.encode()])
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -38,7 +38,7 @@
     assert begins(rig.text()) == ([b"-TRYAGAIN"] if late else [])
     # A pipeline is no lateness of this process: past its aim it is still taken, and nobody is paused.
     rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 0, 1_000_000))
-    assert len(rig.engine.sessions[2].asks) == 1 and not rig.paused and not rig.engine.counts.get("shed")
+    assert len(rig.engine.sessions[2].requests) == 1 and not rig.paused and not rig.engine.counts.get("shed")
 
 
 # ---- On sockets ----
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 from oatlink.core import messages as m
 from oatlink.core import outcomes
 from oatlink.core.classify import Classifier
-from oatlink.core.commands import COMMANDS, find, idempotency_key, slot_of
+from oatlink.core.commands import COMMANDS, find_command, idempotency_key, slot_of
 from oatlink.core.engine import Engine
 from oatlink.interface import Outcome, Role
 from oatlink.protocols import resp
@@ -373,7 +373,7 @@
     rig.give(m.Closed(1))
     rig.end(send)
     rig.pass_us(6_000_000)
-    assert len(rig.sent) == 1 and not rig.engine._asks
+    assert len(rig.sent) == 1 and not rig.engine._requests
 
 
 def test_a_broken_protocol_ends_after_what_was_owed(rig: Rig) -> None:
@@ -482,7 +482,7 @@
 
 @given(st.lists(st.sampled_from([b"IDMP", b"*", b"MAXLEN", b"p", b"k", b"1-1", b"~", b"5", b"NOMKSTREAM"]), max_size=8))
 def test_a_key_is_seen_only_before_the_entry_id(words: list[bytes]) -> None:
-    spec = find(b"xadd")
+    spec = find_command(b"xadd")
     assert spec is not None
     args = [b"XADD", b"s", *words]
     found = idempotency_key(spec, args)
@@ -509,7 +509,7 @@
         else:
             rig.list(**{["p", "r", "s"][number % 3]: ["ready", "terminating", "gone"][number % 2]})
     rig.pass_us(6_000_000)
-    assert rig.engine.idle and not rig.engine._sessions[1].busy and rig.text().count(b"\r\n") == asked
+    assert rig.engine.idle and not rig.engine._sessions[1].unfinished_by_slot and rig.text().count(b"\r\n") == asked
     for name in {one.request for one in rig.sent}:
         kinds = [one for one in rig.sent if one.request == name and one.payload.startswith(b"*3\r\n$3\r\nSET")]
         assert len(kinds) <= 6
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -149,7 +149,7 @@
     rig.text()
     rig.give(_late(PLAIN, 9_000_000))
     assert rig.text().startswith(b"-TRYAGAIN refused, nothing was run; retry after ")
-    assert rig.engine.counts["shed"] == 1 and not rig.engine._asks and not rig.paused
+    assert rig.engine.counts["shed"] == 1 and not rig.engine._requests and not rig.paused
 
 
 def test_a_connection_is_paused_longer_each_time_and_for_what_came_too_late_not_at_all() -> None:
@@ -168,23 +168,23 @@
     rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 900_000))
     assert rig.engine.counts["shed"] == 5 and not rig.paused
     rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 100_000))  # hardly waited for the process: let in
-    assert len(rig.engine._asks) == 1 and rig.engine.sessions[1].shed == 0
+    assert len(rig.engine._requests) == 1 and rig.engine.sessions[1].shed_in_a_row == 0
 
 
 def test_a_clients_time_runs_while_its_command_waits_for_the_process() -> None:
     rig = Rig()
     rig.ask("GET", KEY, client=2)
     rig.give(_late(KEY, 500_000))
-    ask = next(one for one in rig.engine._asks.values() if one.client == 1)
+    ask = next(one for one in rig.engine._requests.values() if one.client == 1)
     assert ask.arrived_us == rig.now - 500_000
-    assert min(when for when, _ in rig.engine._ends) < rig.now + 1_500_000
+    assert min(when for when, _ in rig.engine._deadlines) < rig.now + 1_500_000
 
 
 def test_one_that_came_before_its_time_is_owed_an_answer_within_its_own() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
     rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 500_000))
-    assert next(iter(rig.engine._asks.values())).arrived_us == rig.now - 500_000
+    assert next(iter(rig.engine._requests.values())).arrived_us == rig.now - 500_000
     rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 700_000))  # past its aim, and late is worth nothing
     assert rig.text(2).startswith(b"-TRYAGAIN")
 
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -6,7 +6,7 @@
 
 from oatlink.core import messages as m
 from oatlink.core.classify import Classifier, slots_of
-from oatlink.core.commands import find, idempotency_key, slot_of
+from oatlink.core.commands import find_command, idempotency_key, slot_of
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder, Recording, replay
 from oatlink.core.redact import Redactor, tag_of
@@ -41,7 +41,7 @@
 
 @given(COMMANDS.map(list))
 def test_a_redacted_command_routes_as_before(args: list[bytes]) -> None:
-    spec = find(args[0])
+    spec = find_command(args[0])
     assert spec is not None
     made = Redactor(HASHED).words(args)
     assert len(made) == len(args)
