--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection: what it may say, what is answered here, the order of its answers, its leaving. No I/O."""
+"""Client connections: which commands are accepted, local answers, the order of answers, disconnection. No I/O."""
 
 from collections.abc import Mapping
 
@@ -11,71 +11,71 @@
 
 
 class Clients(Requests):
-    """Client connections."""
+    """Handles client connections and their commands."""
 
     @property
     def sessions(self) -> Mapping[int, Session]:
-        """The clients' sessions by number; to look at only."""
+        """The clients' sessions by client number, read-only."""
         return self._sessions
 
-    def _on_opened(self, given: m.AnyInput) -> None:
-        assert isinstance(given, m.Opened)
-        self._sessions[given.client] = Session(given.client, peer=given.peer, since_us=self._now, admin=given.admin)
+    def _on_opened(self, event: m.AnyInput) -> None:
+        assert isinstance(event, m.Opened)
+        self._sessions[event.client] = Session(event.client, peer=event.peer, since_us=self._now, admin=event.admin)
 
-    def _on_closed(self, given: m.AnyInput) -> None:
-        """A client has left. What it asked for may be running; nothing more is sent for it."""
-        assert isinstance(given, m.Closed)
-        session = self._sessions.pop(given.client, None)
+    def _on_closed(self, event: m.AnyInput) -> None:
+        """Drop a client that has disconnected. Its requests may be running; no further attempt is sent for them."""
+        assert isinstance(event, m.Closed)
+        session = self._sessions.pop(event.client, None)
         if session is None:
             return
         self._release(session)
-        for ask in list(session.requests.values()):
-            ask.pending_reply.answer = b""
-            if ask.started:
-                self._route(api.Departure(str(ask.id)))
-            if not ask.open_attempts:
-                self._forget(ask.id)
-                self._at_gate.pop(ask.id, None)
+        for request in list(session.requests.values()):
+            request.pending_reply.answer = b""
+            if request.started:
+                self._route(api.Departure(str(request.id)))
+            if not request.open_attempts:
+                self._forget(request.id)
+                self._at_gate.pop(request.id, None)
 
-    def _on_protocol_violated(self, given: m.AnyInput) -> None:
-        """Outside the protocol: the error in its turn, then the end of the connection."""
-        assert isinstance(given, m.ProtocolViolated)
-        session = self._sessions.get(given.client)
+    def _on_protocol_violated(self, event: m.AnyInput) -> None:
+        """Answer a protocol violation with its error, after the answers owed before, and close the connection."""
+        assert isinstance(event, m.ProtocolViolated)
+        session = self._sessions.get(event.client)
         if session is not None and not session.closing:
             session.closing = True
-            session.pending_replies.append(PendingReply(error(given.text), hangup=True))
+            session.pending_replies.append(PendingReply(error(event.text), hangup=True))
             self._flush(session)
 
-    def _on_draining(self, given: m.AnyInput) -> None:
-        """New commands are refused from now on; what is held goes on to its end."""
+    def _on_draining(self, event: m.AnyInput) -> None:
+        """Refuse new commands from now on. Pending requests run to their end."""
         self._draining = True
 
     def _flush(self, session: Session) -> None:
-        parts, done, over = session.take_answers()
+        parts, done, hangs_up = session.take_answers()
         if parts:
             session.answered += done
             self._out.append(m.Answer(session.client, parts[0] if len(parts) == 1 else b"".join(parts), done))
-        if over:
+        if hangs_up:
             self._out.append(m.Hangup(session.client))
 
     def _reply(self, session: Session, data: bytes, hangup: bool = False) -> None:
-        """An answer of the gateway's own, in its turn."""
+        """Queue an answer of the gateway itself behind the answers owed before it."""
         session.pending_replies.append(PendingReply(data, hangup))
         self._flush(session)
 
-    def _on_command_received(self, given: m.AnyInput) -> None:
-        """A command has come in."""
-        assert isinstance(given, m.CommandReceived)
-        session = self._sessions.get(given.client)
+    def _on_command_received(self, event: m.AnyInput) -> None:
+        """Check a client's command and pass it on by its kind."""
+        assert isinstance(event, m.CommandReceived)
+        session = self._sessions.get(event.client)
         if session is None or session.closing:
             return
-        self._late_us, self._behind = given.late_us, given.behind
-        self._waited_us = max(given.late_us, given.waited_us)
-        # Threat: a long pipeline that is served as fast as it can be, refused for its own length. What lay behind its
-        # client's own commands loses that time only where one of them hung meanwhile.
-        has_hung = session.last_unserved_us >= self._now - self._waited_us - given.own_us
-        self._pipelined_us = given.own_us if has_hung else 0
-        args = given.args
+        self._late_us, self._behind = event.late_us, event.behind
+        self._waited_us = max(event.late_us, event.waited_us)
+        # The time behind the client's own earlier commands counts only if one of them timed out meanwhile. Otherwise
+        # a long pipeline that is served as fast as possible would be refused for its own length.
+        has_timed_out = session.last_unserved_us >= self._now - self._waited_us - event.own_us
+        self._pipelined_us = event.own_us if has_timed_out else 0
+        args = event.args
         if session.admin:
             self._administer(session, args)
             return
@@ -83,8 +83,8 @@
         if spec is None:
             session.transaction_failed = session.queued is not None
             shown = args[0][:128].decode("utf-8", "replace")
-            begin = " ".join(f"'{one[:32].decode('utf-8', 'replace')}'" for one in args[1:5])
-            self._reply(session, error(f"ERR unknown command '{shown}', with args beginning with: {begin}"))
+            first_args = " ".join(f"'{arg[:32].decode('utf-8', 'replace')}'" for arg in args[1:5])
+            self._reply(session, error(f"ERR unknown command '{shown}', with args beginning with: {first_args}"))
             return
         if not spec.arity_fits(len(args)):
             session.transaction_failed = session.queued is not None
--- a/oatlink/core/engine.py
+++ b/oatlink/core/engine.py
@@ -1,10 +1,10 @@
-"""The one door: inputs in, effects out. Gateway, tools and laboratory are shells around this class.
+"""The engine's entry point: inputs in, effects out. Gateway, tools and the test lab are shells around `Engine`.
 
-What may live in the engine: the translation between the protocol's world and the Router's (requests, members, times),
-and the state that neither of them keeps: sessions, boxes' identities, histories of offsets, deadlines. No I/O, no
-clock. Here are the door and time; the rooms behind it are `ways`, `boxes`, `requests`, `clients`, `transactions`,
-`operators`, over the state in `shared`. Each is built on the one before it, in one line of classes, which a compiler
-can take.
+The engine translates between the protocol (commands, boxes, sessions) and the Router (requests, members, times), and
+keeps the state that neither of them has: sessions, identities of boxes, histories of offsets, deadlines. It does no
+I/O and reads no clock. This module dispatches inputs and runs what has come due; the handlers are in `ways`, `boxes`,
+`requests`, `clients`, `transactions` and `operators`, over the state in `shared`. These modules form a single line of
+classes, each derived from the one before it, because mypyc can compile that.
 """
 
 import heapq
@@ -19,7 +19,7 @@
 
 
 class Engine(Operators):
-    """Decides for one gateway, by the Router and the modules beside it."""
+    """Makes all decisions of one gateway, with the Router and the modules of `oatlink.core`."""
 
     def __init__(self, settings: Settings, now_us: int = 0) -> None:
         super().__init__(settings, now_us)
@@ -45,7 +45,7 @@
         }
 
     def handle(self, given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
-        """Take one input and return the effects it calls for, in order. Time must not run backwards."""
+        """Process one input and return the resulting effects in order. Time must not run backwards."""
         self._now = max(self._now, now_us)
         self._out, self.fresh = [], False
         self._late_us = self._waited_us = self._pipelined_us = 0
@@ -56,39 +56,39 @@
 
     @property
     def names(self) -> dict[int, str]:
-        """The boxes behind the Router's member numbers."""
+        """The names of the boxes by the Router's member numbers."""
         return self._names
 
     @property
     def gate(self) -> Gate:
-        """What this gateway knows of its fleet; the shell asks it for `demands` only."""
+        """What this gateway knows of its fleet. The shell uses only its `demands`."""
         return self._gate
 
-    def _on_started(self, given: m.AnyInput) -> None:
-        assert isinstance(given, m.Started)
-        self._code = given.code
+    def _on_started(self, event: m.AnyInput) -> None:
+        assert isinstance(event, m.Started)
+        self._code = event.code
         self._route(api.Start())
 
-    def _on_ticked(self, given: m.AnyInput) -> None:
+    def _on_ticked(self, event: m.AnyInput) -> None:
         self._wake_us = 2**62
         if self.router.book.unsettled:
             self._route(api.TimerFired("settle"))
 
-    def _on_reloaded(self, given: m.AnyInput) -> None:
-        """New settings, checked before; what is on its way keeps its class and its deadline."""
-        assert isinstance(given, m.Reloaded)
+    def _on_reloaded(self, event: m.AnyInput) -> None:
+        """Apply new settings that have already been checked. Pending requests keep their class and deadline."""
+        assert isinstance(event, m.Reloaded)
         admission = self._admission
-        self._configure(given.settings)
-        # Threat: a reload amid a flood that lets all of it in.
+        self._configure(event.settings)
+        # The admission limit is kept, because a new one would let in all of a flood that is going on.
         admission.target_us, admission.least = self._admission.target_us, self._admission.least
         self._admission = admission
         for state in self._boxes.values():
-            state.paths.stagger_us = given.settings.links.stagger_ms * 1_000
-        self.router.configure(router_settings(given.settings, self._classifier))
+            state.paths.stagger_us = event.settings.links.stagger_ms * 1_000
+        self.router.configure(router_settings(event.settings, self._classifier))
         self._out.append(m.Note("reload", "the new settings hold from now on"))
 
     def _run_due(self) -> None:
-        """All that has come due; then one wake-up for what comes next."""
+        """Run everything that has come due, then request one wake-up for what is due next."""
         now = self._now
         if now >= self._router_due:
             self._router_due = 2**62
@@ -99,14 +99,15 @@
             self._looked(*heapq.heappop(self._looks))
         if now >= self._gate_due:
             self._ask_gate()
-        waits = self._looks[0][0] if self._looks else 2**62
+        checks_due_us = self._looks[0][0] if self._looks else 2**62
         for state in list(self._check_waits.values()):
             if state.check_waits_us:
                 if now >= state.check_waits_us:
                     self._probe(state)
                 else:
-                    waits = min(waits, state.check_waits_us)
-        next_us = min(self._router_due, self._deadlines[0][0] if self._deadlines else 2**62, waits, self._gate_due)
+                    checks_due_us = min(checks_due_us, state.check_waits_us)
+        deadline_us = self._deadlines[0][0] if self._deadlines else 2**62
+        next_us = min(self._router_due, deadline_us, checks_due_us, self._gate_due)
         if next_us < self._wake_us:
             self._wake_us = next_us
             self._out.append(m.Wake(next_us))
--- a/oatlink/core/messages.py
+++ b/oatlink/core/messages.py
@@ -1,7 +1,8 @@
-"""What the engine is told (inputs) and what it answers (effects): values only, no logic.
+"""The engine's inputs and effects. They are plain values without logic.
 
-Every nondeterministic thing is an input, so that what went in explains what came out. Times are integer
-microseconds on the gateway's monotonic clock and are handed over beside each input.
+Everything nondeterministic is an input, so the inputs alone determine the effects and a recording can be replayed.
+Times are integer microseconds on the gateway's monotonic clock; the current time is passed along with each input.
+The tags and field names are those of recordings, so a renamed class or attribute keeps them (`tag`, `msgspec.field`).
 """
 
 import msgspec
@@ -11,7 +12,7 @@
 
 
 class Way(msgspec.Struct, frozen=True, gc=False):
-    """One more address of a box. `connect_timeout_ms` and `keepalive_s`: 0 for what holds for all."""
+    """A further address of a box. `connect_timeout_ms` and `keepalive_s` are 0 where the general settings apply."""
 
     address: str
     hall: str = ""
@@ -20,7 +21,10 @@
 
 
 class Box(msgspec.Struct, frozen=True):
-    """A member as discovery lists it; `bank` is its number in the settings, `ways` its further addresses."""
+    """A member as discovery lists it.
+
+    `bank` is the index of its bank in the settings, `ways` are its further addresses.
+    """
 
     name: str
     bank: int
@@ -36,23 +40,23 @@
 
 
 class Input(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """Base of all that the engine is told."""
+    """Base class of the engine's inputs."""
 
 
 class Started(Input, frozen=True, tag="Started", gc=False):
-    """The gateway begins; `code` says in which form its program runs, for operators."""
+    """The gateway has started. `code` tells operators in which form the program runs (compiled or not)."""
 
     code: str = ""
 
 
 class RosterListed(Input, frozen=True, tag="Listed"):
-    """The whole roster, as discovery has it now."""
+    """The complete roster as discovery reports it now."""
 
     boxes: tuple[Box, ...]
 
 
 class Opened(Input, frozen=True, tag="Opened", gc=False):
-    """A client has connected; `admin` where it came by the listener for operators."""
+    """A client has connected. `admin` is set if it used the operators' listener."""
 
     client: int
     peer: str = ""
@@ -66,11 +70,14 @@
 
 
 class CommandReceived(Input, frozen=True, tag="Asked"):
-    """A client has sent a command, which then waited for this process for `late_us`, at most.
-
-    `behind`: how many other clients whose commands have come still wait for it. `waited_us`: how long ago it came, at
-    most; that is longer where the client came before it should have and was not read. `own_us`: how long it lay here
-    before that behind its client's own earlier commands, as many as may be open: no lateness, but the client's time.
+    """A client has sent a command.
+
+    `late_us`: the longest time that it can have waited for this process.
+    `behind`: the number of other clients whose commands have arrived and still wait for this process.
+    `waited_us`: the longest time since it can have arrived. It exceeds `late_us` if the client sent before the end of
+    its pause and was not read.
+    `own_us`: the time that it waited before that behind its client's own earlier commands, because the client had as
+    many open as it may. This does not count as lateness of the process, but it is part of the client's waiting time.
     """
 
     client: int
@@ -82,19 +89,20 @@
 
 
 class ProtocolViolated(Input, frozen=True, tag="Broken", gc=False):
-    """A client has sent what the protocol does not allow; `text` is the error due to it."""
+    """A client has violated the protocol. `text` is the error to answer with."""
 
     client: int
     text: str
 
 
 class Ended(Input, frozen=True, tag="Ended"):
-    """An attempt has ended. `how` is a word of `oatlink.core.outcomes.ENDINGS`; `info` a report behind it.
+    """An attempt has ended.
 
-    `address`: that of the connection it was on, empty where it never came on one.
-
-    `took_us` is the box's time: how long the answer lay in this process is left out. With `more`, the same read has
-    brought further answers, which follow, or a `Ticked` does.
+    `how`: a key of `oatlink.core.outcomes.ENDINGS`.
+    `info`: the box's report if it was requested behind the attempt, else empty.
+    `address`: the address of the connection that carried it; empty if no connection did.
+    `took_us`: the time that the box took. The time that the answer waited in this process is not included.
+    `more`: the same read from the socket has brought further answers. They follow as inputs, or else a `Ticked` does.
     """
 
     request: int
@@ -110,9 +118,9 @@
 
 
 class ConnectionWanted(Input, frozen=True, tag="Wanted", gc=False):
-    """A link wants one more connection, rather over `address`; `dial` is its number at that link, from 1.
+    """A link needs one more connection, preferably over `address`. A `Use` or a `NoPath` follows.
 
-    A `Use` or a `NoPath` follows.
+    `dial` numbers the connections that the link has asked for, from 1.
     """
 
     box: str
@@ -121,7 +129,10 @@
 
 
 class Dialled(Input, frozen=True, tag="Dialled", gc=False):
-    """An attempt (`Dial`) has ended: `reply` with what the box said of itself as `info`, else how it failed."""
+    """A connection attempt (`Dial`) has ended.
+
+    `how` is `reply`, with the box's report as `info`, or says how the attempt failed.
+    """
 
     box: str
     dial: int
@@ -133,7 +144,7 @@
 
 
 class Probed(Input, frozen=True, tag="Probed", gc=False):
-    """A probe has ended; without `info` it failed, `how` says in what way."""
+    """A probe has ended. Without `info` it failed, and `how` says how."""
 
     box: str
     how: str
@@ -144,42 +155,42 @@
 
 
 class Ticked(Input, frozen=True, tag="Ticked", gc=False):
-    """The time asked for by `Wake` has come."""
+    """The time requested by `Wake` has been reached."""
 
 
 class Draining(Input, frozen=True, tag="Draining", gc=False):
-    """The gateway is about to stop: nothing new is taken, what is held ends."""
+    """The gateway is about to stop: new commands are refused, pending requests run to their end."""
 
 
 class RefreshRequested(Input, frozen=True, tag="Inspected", gc=False):
-    """An operator wants fresh news of every box."""
+    """An operator asks for a new report of every box."""
 
 
 class ClockStalled(Input, frozen=True, tag="Gapped", gc=False):
-    """The clock stood still while time went on (the machine slept): ages counted over it are too small."""
+    """The clock did not advance while the machine slept: ages measured across the gap are too small."""
 
 
 class Reloaded(Input, frozen=True, tag="Reloaded"):
-    """The settings file has been read again and may be used from now on (`oatlink.core.reload`)."""
+    """The settings file was read again and the new settings were accepted (`oatlink.core.reload`)."""
 
     settings: Settings
 
 
 class FleetNews(Input, frozen=True, tag="Told"):
-    """News from the fleet, for the gate."""
+    """News from the fleet for the gate."""
 
     news: AnyNews
 
 
 class FleetReplied(Input, frozen=True, tag="Replied", gc=False):
-    """What came of a `FleetCommand`: a text for the operator who asked."""
+    """The result of a `FleetCommand`: a text for the operator who sent it."""
 
     client: int
     text: str
 
 
 class Recorded(Input, frozen=True, tag="Recorded", gc=False):
-    """What came of a `Record`: a line for the operator who asked."""
+    """The result of a `Record`: a line for the operator who sent it. `done` is false if it failed."""
 
     client: int
     text: str
@@ -190,11 +201,11 @@
 
 
 class Effect(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """Base of all that the engine asks for."""
+    """Base class of the engine's effects."""
 
 
 class Answer(Effect, frozen=True, tag="Answer", gc=False):
-    """Bytes for a client; `done` is how many of its commands end with them."""
+    """Bytes for a client. They complete `done` of its commands."""
 
     client: int
     data: bytes
@@ -202,25 +213,28 @@
 
 
 class Pause(Effect, frozen=True, tag="Pause", gc=False):
-    """Read nothing more from a client until then."""
+    """Do not read from a client until `until_us`."""
 
     client: int
     until_us: int
 
 
 class Hangup(Effect, frozen=True, tag="Hangup", gc=False):
-    """Close a client's connection once all that was answered has been written."""
+    """Close a client's connection once all its answers have been written."""
 
     client: int
 
 
 class Send(Effect, frozen=True, tag="Send", gc=False):
-    """Hand a request to a box and collect `replies` frames.
-
-    `run_id`: the connection must have proven to reach this run of the box. `lease`: above 0, the connection kept
-    for that client alone. `alone`: nothing else may share the connection meanwhile. `ask`: have it report behind.
-    `until_us`: nothing of it may be written later; by then it is unsent. `address`: the path that it should go over.
-    `runs_from`: before so many bytes of the payload have been handed over, the box can have run nothing of it.
+    """Send an attempt of a request to a box and collect `replies` frames.
+
+    `run_id`: the connection must have been verified to reach this run of the box.
+    `until_us`: no part of it may be written later; an attempt that has not been written by then ends as unsent.
+    `lease`: if above 0, the connection that is reserved for this client.
+    `alone`: no other request may use the connection meanwhile.
+    `ask`: request the box's report behind the attempt.
+    `address`: the preferred path.
+    `runs_from`: the box cannot have run any part of the payload before this many of its bytes were handed over.
     """
 
     request: int
@@ -239,21 +253,21 @@
 
 
 class Release(Effect, frozen=True, tag="Release", gc=False):
-    """A client's own connection is no longer needed; `box` is empty where it never had one."""
+    """A client's reserved connection is no longer needed. `box` is empty if it never had one."""
 
     lease: int
     box: str = ""
 
 
 class Record(Effect, frozen=True, tag="Record", gc=False):
-    """An operator wants the recording started, stopped, written down or told of; a `Recorded` must follow."""
+    """An operator's command to the recorder: start, stop, write or status. A `Recorded` must follow."""
 
     client: int
     word: str
 
 
 class FleetCommand(Effect, frozen=True, tag="Errand", gc=False):
-    """An operator's word to the fleet; a `FleetReplied` must follow."""
+    """An operator's command to the fleet. A `FleetReplied` must follow."""
 
     client: int
     word: str
@@ -261,14 +275,14 @@
 
 
 class Probe(Effect, frozen=True, tag="Probe", gc=False):
-    """Ask a box for its report over one address."""
+    """Request a box's report over one address."""
 
     box: str
     address: str = ""
 
 
 class Dial(Effect, frozen=True, tag="Dial", gc=False):
-    """Begin an attempt for a connection; a `Dialled` follows within about twice `timeout_us`."""
+    """Start a connection attempt. A `Dialled` follows within about twice `timeout_us`."""
 
     box: str
     dial: int
@@ -277,7 +291,7 @@
 
 
 class Use(Effect, frozen=True, tag="Use", gc=False):
-    """An attempt's connection is the one that was wanted."""
+    """Use this attempt's connection for the `ConnectionWanted`."""
 
     box: str
     dial: int
@@ -285,7 +299,7 @@
 
 
 class Discard(Effect, frozen=True, tag="Discard", gc=False):
-    """An attempt's connection is not needed, or must not be used: close it."""
+    """Close an attempt's connection, which is not needed or must not be used."""
 
     box: str
     dial: int
@@ -293,7 +307,7 @@
 
 
 class NoPath(Effect, frozen=True, tag="NoPath", gc=False):
-    """There is no connection for what was wanted; `how` is a word of `outcomes.ENDINGS`."""
+    """There is no connection for the `ConnectionWanted`. `how` is a key of `outcomes.ENDINGS`."""
 
     box: str
     dial: int
@@ -301,7 +315,7 @@
 
 
 class ClosePath(Effect, frozen=True, tag="Shun", gc=False):
-    """End all connections over an address of a box: what is on them is lost there."""
+    """Close all connections over an address of a box. Attempts on them are lost."""
 
     box: str
     address: str
@@ -314,24 +328,27 @@
 
 
 class Wake(Effect, frozen=True, tag="Wake", gc=False):
-    """Ask for a `Ticked` at a time; replaces the one asked for before."""
+    """Request a `Ticked` at `at_us`; replaces the one requested before."""
 
     at_us: int
 
 
 class Note(Effect, frozen=True, tag="Note", gc=False):
-    """A line for the people on call."""
+    """A log line for the people on call."""
 
     event: str
     text: str = ""
 
 
 class QueryFleet(Effect, frozen=True, tag="Seek", gc=False):
-    """A request waits for the fleet's word: its node should ask now."""
+    """A request waits for a grant from the fleet: the fleet's node should send its demands now."""
 
 
 class ReportEvidence(Effect, frozen=True, tag="Observed", gc=False):
-    """Something was seen of a box that the fleet may be told: a kind of `fleet.messages.Evidence`, or `elected`."""
+    """An observation of a box that may be reported to the fleet.
+
+    `kind` is a kind of `fleet.messages.Evidence`, or `elected`.
+    """
 
     box: str
     bank: str
@@ -341,13 +358,13 @@
 
 
 class PublishRoster(Effect, frozen=True, tag="Listing", gc=False):
-    """Discovery's list, for the fleet's node."""
+    """Discovery's roster for the fleet's node."""
 
     boxes: tuple[Box, ...]
 
 
 class Counted(Effect, frozen=True, tag="Counted", gc=False):
-    """A request's final answer, for the figures: its class, how it ended and what it took in microseconds."""
+    """A request's final answer, for the metrics: its class, how it ended and how long it took."""
 
     class_name: str
     outcome: str
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -1,8 +1,9 @@
-"""A request's life, from the client's words to the final answer. No I/O.
+"""The life of a request, from the client's command to the final answer. No I/O.
 
-Asked, (waiting behind the same client's earlier ones,) handed to the Router, sent, ended, answered. It is answered
-exactly once: `_finish` is the only place that fills a client's place in the row. The Router decides which member, when
-to hold, resend, refuse or fail; here its actions become effects.
+A request is created, waits for earlier requests of the same client if it has to, is handed to the Router, sent, ended
+and answered. It is answered exactly once: only `_finish` sets a pending reply's answer. The Router decides which member
+a request goes to and when it is held, sent again, refused or failed; this module turns the Router's actions into
+effects.
 """
 
 import heapq
@@ -21,38 +22,39 @@
 from oatlink.protocols.resp import command, encode_command, error
 from oatlink.settings.model import RequestClass
 
-ANSWER_MARGIN_US = 4_000  # the last moment for a final answer lies so long before the client's time is up
+ANSWER_MARGIN_US = 4_000  # a final answer is given at the latest this long before the client's deadline
 
 
 class Requests(Gated):
-    """Requests between clients and the Router."""
+    """Carries requests between clients and the Router."""
 
     @property
     def idle(self) -> bool:
         """Whether no client is owed an answer."""
-        return not any(one.pending_replies for one in self._sessions.values())
+        return not any(session.pending_replies for session in self._sessions.values())
 
     @property
     def last_request(self) -> int:
-        """The number of the newest request; they count from 1."""
+        """The number of the newest request. Requests are numbered from 1."""
         return self._last_request
 
     def request(self, number: int) -> PendingRequest | None:
-        """A request that still has something out or is owed an answer."""
+        """A request that has open attempts or is owed an answer, else None."""
         return self._requests.get(number)
 
-    def may_write(self, request: int, attempt: int, now_us: int) -> bool:
-        """Whether an attempt may be written now; nothing changes. The shell asks at the write, which commits it.
+    def may_write(self, request_id: int, attempt: int, now_us: int) -> bool:
+        """Whether an attempt may be written now. Changes nothing; the shell calls it immediately before the write.
 
-        Threat: a client that has left or has its answer, a box that drains, has moved or gone, a window that is over.
+        Prevents a write for a client that has left or has its answer, to a box that drains, has moved or is gone, or
+        after the window for repeats.
         """
-        ask = self._requests.get(request)
-        if ask is None or attempt not in ask.open_attempts or ask.pending_reply.answer is not None:
+        request = self._requests.get(request_id)
+        if request is None or attempt not in request.open_attempts or request.pending_reply.answer is not None:
             return False
-        return self.router.may_write(str(request), attempt, now_us)
+        return self.router.may_write(str(request_id), attempt, now_us)
 
     def _route(self, event: api.Event) -> None:
-        """Hand the Router an event and turn its actions into effects."""
+        """Pass an event to the Router and turn its actions into effects."""
         for action in self.router.handle(event, self._now, self._more):
             if isinstance(action, api.Send):
                 self._send(action)
@@ -71,220 +73,229 @@
                 self._out.append(m.Note("router", self._named(action.text)))
 
     def _named(self, text: str) -> str:
-        """A log line of the Router with names for its numbers, for people."""
+        """A log line of the Router with its numbers of members and groups replaced by their names."""
         words = text.split()
-        for at, word in enumerate(words):
-            bare = word.rstrip(":")
-            if bare.isdigit():
-                if at and words[at - 1] == "group":
-                    words[at] = self.settings.banks[int(bare)].name + word[len(bare) :]
-                elif int(bare) in self._names:
-                    words[at] = self._names[int(bare)]
+        for index, word in enumerate(words):
+            number = word.rstrip(":")
+            if number.isdigit():
+                if index and words[index - 1] == "group":
+                    words[index] = self.settings.banks[int(number)].name + word[len(number) :]
+                elif int(number) in self._names:
+                    words[index] = self._names[int(number)]
         return " ".join(words)
 
     def _send(self, action: api.Send) -> None:
-        """An attempt begins. The Router's count of a request's sends is the attempt's number."""
-        ask = self._requests[int(action.request)]
-        name = self._names[action.member]
-        state = self._boxes[name]
-        attempt, ask.attempts = ask.attempts, ask.attempts + 1
+        """Start an attempt. Attempts are numbered as the Router counts the sends of a request."""
+        request = self._requests[int(action.request)]
+        box = self._names[action.member]
+        state = self._boxes[box]
+        attempt, request.attempts = request.attempts, request.attempts + 1
         address = self._hand(state)
-        ask.open_attempts[attempt] = (action.member, name, self._now, address)
-        until_us = self._deadline_us(ask)
+        request.open_attempts[attempt] = (action.member, box, self._now, address)
+        until_us = self._deadline_us(request)
         if attempt == 0:
-            ask.first_sent_us = self._now
-        elif not ask.may_have_run:
-            ask.first_sent_us = self._now  # nothing of the earlier ones can have arrived: the window has not begun
-        elif ask.rule.effect == "keyed":
-            # Threat: a repeat that waits for a connection until the bank has forgotten the first one.
-            until_us = min(until_us, ask.first_sent_us + ask.rule.repeat_window_ms * 1_000 - ANSWER_MARGIN_US)
-        lease = ask.lease
-        session = self._sessions.get(ask.client)
+            request.first_sent_us = self._now
+        elif not request.may_have_run:
+            request.first_sent_us = self._now  # no earlier attempt can have run: the window for repeats starts now
+        elif request.rule.effect == "keyed":
+            # Prevents a repeat that waits for a connection from running after the bank has forgotten the first attempt.
+            until_us = min(until_us, request.first_sent_us + request.rule.repeat_window_ms * 1_000 - ANSWER_MARGIN_US)
+        lease = request.lease
+        session = self._sessions.get(request.client)
         if lease and session is not None:
-            if session.lease_box and session.lease_box != name:
-                session.lease_lost = True  # the primary has moved; what was watched there is not watched here
-            session.lease_box = session.lease_box or name
+            if session.lease_box and session.lease_box != box:
+                session.lease_lost = True  # the primary has moved, and the keys are not watched at the new one
+            session.lease_box = session.lease_box or box
             if session.lease_lost or session.lease != lease:
                 lease = 0
-                if ask.is_exec or ask.is_watch:
-                    # Threat: EXEC on a connection that watches nothing, WATCH on one that others share.
-                    del ask.open_attempts[attempt]
+                if request.is_exec or request.is_watch:
+                    # Prevents EXEC on a connection that watches nothing, and WATCH on one that other clients share.
+                    del request.open_attempts[attempt]
                     self._path_ended(state, address, "", "unsent", self._now, 0)
-                    self._end_unwatched(ask)
-                    self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
+                    self._end_unwatched(request)
+                    self._route(
+                        api.AttemptEnded(str(request.id), attempt, action.member, Outcome.CANCELLED, 0, over=True)
+                    )
                     return
-        if ask.version and not self._fits(state, ask):
-            del ask.open_attempts[attempt]
+        if request.version and not self._fits(state, request):
+            del request.open_attempts[attempt]
             self._path_ended(state, address, "", "unsent", self._now, 0)
-            self._turn_back(ask, state)
-            self._route(api.AttemptEnded(str(ask.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
+            self._turn_back(request, state)
+            self._route(api.AttemptEnded(str(request.id), attempt, action.member, Outcome.CANCELLED, 0, over=True))
             return
-        wants = self._now - state.informed_us >= self._sample_us // 2 and not ask.is_transaction and not ask.alone
-        if wants:
+        is_report_due = self._now - state.informed_us >= self._sample_us // 2
+        requests_report = is_report_due and not request.is_transaction and not request.alone
+        if requests_report:
             state.informed_us = self._now
         run_id = state.report.run_id if state.report is not None else ""
         self._out.append(
             m.Send(
-                ask.id,
+                request.id,
                 attempt,
-                name,
-                ask.payload,
-                ask.replies,
-                ask.protocol,
+                box,
+                request.payload,
+                request.replies,
+                request.protocol,
                 run_id,
                 until_us,
                 lease,
-                ask.alone,
-                wants,
+                request.alone,
+                requests_report,
                 address,
-                ask.runs_from or len(ask.payload),
+                request.runs_from or len(request.payload),
             )
         )
 
-    def _expire(self, request: int) -> None:
-        """A request's time is up: every attempt still out is late, and the Router gives its last word."""
-        ask = self._requests.get(request)
-        if ask is None:
+    def _expire(self, request_id: int) -> None:
+        """End a request whose deadline has passed: its open attempts are late, and the Router decides the answer."""
+        request = self._requests.get(request_id)
+        if request is None:
             return
-        answered = ask.pending_reply.answer is not None
-        if not ask.started and not answered:
-            # It waited behind the same client's earlier commands; nothing was ever sent.
-            self._refuse(ask, 0)
+        is_answered = request.pending_reply.answer is not None
+        if not request.started and not is_answered:
+            # It waited behind the same client's earlier commands and was never sent.
+            self._refuse(request, 0)
             return
-        for attempt, (member, box, sent_us, address) in list(ask.open_attempts.items()):
-            del ask.open_attempts[attempt]
-            ask.may_have_run = True
+        for attempt, (member, box, sent_us, address) in list(request.open_attempts.items()):
+            del request.open_attempts[attempt]
+            request.may_have_run = True
             state = self._boxes.get(box)
             if state is not None:
                 self._path_ended(state, address, "", "late", sent_us, 0)
                 self._observe(state, "hung")
             self._route(
-                api.AttemptEnded(str(request), attempt, member, Outcome.LATE, self._now - sent_us, over=answered)
+                api.AttemptEnded(str(request_id), attempt, member, Outcome.LATE, self._now - sent_us, over=is_answered)
             )
-            answered = ask.pending_reply.answer is not None
-        if not answered:
-            # The Router gives up held work in time by itself; this is the last guard of the first rule.
-            self._route(api.Departure(str(request)))
-            self._fail(ask)
-        self._forget(request)
+            is_answered = request.pending_reply.answer is not None
+        if not is_answered:
+            # The Router gives up held requests in time by itself. This makes sure that every request is answered.
+            self._route(api.Departure(str(request_id)))
+            self._fail(request)
+        self._forget(request_id)
 
-    def _on_ended(self, given: m.AnyInput) -> None:
-        """An attempt has ended: what it says of the box, then of the request."""
-        assert isinstance(given, m.Ended)
-        self._more = given.more
-        state = self._boxes.get(given.box)
-        if given.info and state is not None:
-            self._hear(state, parse_info(given.info), given.sent_us)
-        ask = self._requests.get(given.request)
-        entry = ask.open_attempts.pop(given.attempt, None) if ask is not None else None
-        if ask is None or entry is None:
-            return  # its time was up before
+    def _on_ended(self, event: m.AnyInput) -> None:
+        """Process the end of an attempt: first what it shows about the box, then the request's outcome."""
+        assert isinstance(event, m.Ended)
+        self._more = event.more
+        state = self._boxes.get(event.box)
+        if event.info and state is not None:
+            self._hear(state, parse_info(event.info), event.sent_us)
+        request = self._requests.get(event.request)
+        entry = request.open_attempts.pop(event.attempt, None) if request is not None else None
+        if request is None or entry is None:
+            return  # its deadline had passed before
         member = entry[0]
         only_path = state is not None and self._path_ended(
-            state, entry[3], given.address, given.how, entry[2], given.took_us
+            state, entry[3], event.address, event.how, entry[2], event.took_us
         )
-        if given.how == "reply":
-            outcome = outcomes.of_reply(given.frames, ask.is_transaction)
+        if event.how == "reply":
+            outcome = outcomes.of_reply(event.frames, request.is_transaction)
             if (
                 outcome is Outcome.SERVED
-                and ask.wait_replicas
-                and given.frames[0][:1] != b"-"
-                and not (outcomes.enough_replicas(given.frames[-1], ask.wait_replicas))
+                and request.wait_replicas
+                and event.frames[0][:1] != b"-"
+                and not outcomes.enough_replicas(event.frames[-1], request.wait_replicas)
             ):
-                outcome = Outcome.ERROR  # it has run, but too few replicas hold it yet: not yet an answer
+                outcome = Outcome.ERROR  # it has run, but too few replicas have it: this is not an answer yet
         else:
-            # A path that was lost while the box lives says nothing of the box; what was on it may still have run.
-            if state is not None and not only_path and given.how in SEEN:
-                self._observe(state, SEEN[given.how])
-            outcome = Outcome.CANCELLED if only_path else outcomes.ENDINGS[given.how]
-        ask.may_have_run = ask.may_have_run or outcome.may_have_run
+            # The loss of one path of a live box is no evidence against the box; what was on the path may have run.
+            if state is not None and not only_path and event.how in SEEN:
+                self._observe(state, SEEN[event.how])
+            outcome = Outcome.CANCELLED if only_path else outcomes.ENDINGS[event.how]
+        request.may_have_run = request.may_have_run or outcome.may_have_run
         report = answer = None
-        if given.how == "reply" and state is not None and state.member == member:
-            # An answer proves that the box lives; a write's proves that it was primary when it was sent.
+        if event.how == "reply" and state is not None and state.member == member:
+            # An answer proves that the box is alive; the answer to a write, that it was primary when it was sent.
             answer = api.Report()
-            if ask.is_write and outcome is Outcome.SERVED and given.frames[-1][:1] != b"-":
+            if request.is_write and outcome is Outcome.SERVED and event.frames[-1][:1] != b"-":
                 answer = api.Report(self._now)
-                report = api.Report(given.sent_us, Role.PRIMARY)
+                report = api.Report(event.sent_us, Role.PRIMARY)
             else:
-                report = self._report(state, given.sent_us) if given.info else self._again(state)
-        if ask.lease and given.how != "reply":
-            self._lose_lease(ask)
-        over = ask.pending_reply.answer is not None
-        if outcome is Outcome.SERVED and not over:
-            self._serve(ask, given, member)
-            over = True
-        self._route(api.AttemptEnded(str(ask.id), given.attempt, member, outcome, given.took_us, over, answer, report))
-        if ask.pending_reply.answer is not None and not ask.open_attempts:
-            self._forget(ask.id)
+                report = self._report(state, event.sent_us) if event.info else self._again(state)
+        if request.lease and event.how != "reply":
+            self._lose_lease(request)
+        is_answered = request.pending_reply.answer is not None
+        if outcome is Outcome.SERVED and not is_answered:
+            self._serve(request, event)
+            is_answered = True
+        self._route(
+            api.AttemptEnded(
+                str(request.id), event.attempt, member, outcome, event.took_us, is_answered, answer, report
+            )
+        )
+        if request.pending_reply.answer is not None and not request.open_attempts:
+            self._forget(request.id)
 
-    def _serve(self, ask: PendingRequest, given: m.Ended, member: int) -> None:
-        """The first good answer goes to the client."""
-        if ask.is_transaction:
-            data = given.frames[-1]
-        elif ask.wait_replicas:
-            data = given.frames[0]
+    def _serve(self, request: PendingRequest, event: m.Ended) -> None:
+        """Answer the client with the first successful reply."""
+        if request.is_transaction:
+            data = event.frames[-1]
+        elif request.wait_replicas:
+            data = event.frames[0]
         else:
-            data = given.frames[0] if len(given.frames) == 1 else b"".join(given.frames)
-        session = self._sessions.get(ask.client)
-        if session is not None and ask.is_exec and session.lease:
+            data = event.frames[0] if len(event.frames) == 1 else b"".join(event.frames)
+        session = self._sessions.get(request.client)
+        if session is not None and request.is_exec and session.lease:
             self._release(session)
         self.counts["served"] += 1
-        self._out.append(m.Counted(ask.rule.name, "served", self._now - ask.arrived_us, given.box))
-        self._finish(ask, data)
+        self._out.append(m.Counted(request.rule.name, "served", self._now - request.arrived_us, event.box))
+        self._finish(request, data)
 
-    def _note_unserved(self, ask: PendingRequest) -> None:
-        """An unserved end past the aim: what its client had sent behind it has waited for nothing."""
-        session = self._sessions.get(ask.client)
-        if session is not None and self._now >= min(ask.arrived_us + ask.rule.aim_ms * 1_000, self._deadline_us(ask)):
+    def _note_unserved(self, request: PendingRequest) -> None:
+        """Remember when a request ended unserved past its aim: the commands behind it have waited in vain."""
+        session = self._sessions.get(request.client)
+        if session is not None and self._now >= min(
+            request.arrived_us + request.rule.aim_ms * 1_000, self._deadline_us(request)
+        ):
             session.last_unserved_us = self._now
 
-    def _refuse(self, ask: PendingRequest, retry_after_us: int) -> None:
-        self._note_unserved(ask)
-        self._end_lease(ask)
+    def _refuse(self, request: PendingRequest, retry_after_us: int) -> None:
+        self._note_unserved(request)
+        self._end_lease(request)
         self.counts["refused"] += 1
-        self._out.append(m.Counted(ask.rule.name, "refused", self._now - ask.arrived_us))
-        self._finish(ask, refusal(retry_after_us))
+        self._out.append(m.Counted(request.rule.name, "refused", self._now - request.arrived_us))
+        self._finish(request, refusal(retry_after_us))
 
-    def _fail(self, ask: PendingRequest) -> None:
-        self._note_unserved(ask)
-        self._end_lease(ask)
+    def _fail(self, request: PendingRequest) -> None:
+        self._note_unserved(request)
+        self._end_lease(request)
         self.counts["failed"] += 1
-        self._out.append(m.Counted(ask.rule.name, "failed", self._now - ask.arrived_us))
-        self._finish(ask, failure(ask.rule.effect != "idempotent"))
+        self._out.append(m.Counted(request.rule.name, "failed", self._now - request.arrived_us))
+        self._finish(request, failure(request.rule.effect != "idempotent"))
 
-    def _finish(self, ask: PendingRequest, data: bytes) -> None:
-        """The final answer, once; then the client's next commands."""
-        if ask.pending_reply.answer is not None:
-            self._out.append(m.Note("fault", f"request {ask.id} was about to be answered twice"))
+    def _finish(self, request: PendingRequest, data: bytes) -> None:
+        """Set the final answer, once, and start the client's next commands."""
+        if request.pending_reply.answer is not None:
+            self._out.append(m.Note("fault", f"request {request.id} was about to be answered twice"))
             return
-        ask.pending_reply.answer = data
-        if not ask.open_attempts:
-            self._forget(ask.id)
-        session = self._sessions.get(ask.client)
+        request.pending_reply.answer = data
+        if not request.open_attempts:
+            self._forget(request.id)
+        session = self._sessions.get(request.client)
         if session is None:
             return
-        session.mark_finished(ask)
-        session.requests.pop(ask.id, None)
-        if not ask.started:
-            session.waiting = [one for one in session.waiting if one is not ask]
+        session.mark_finished(request)
+        session.requests.pop(request.id, None)
+        if not request.started:
+            session.waiting = [waiting for waiting in session.waiting if waiting is not request]
         self._flush(session)
         for waiting in session.take_startable():
             if waiting.gated is None:
                 self._start(session, waiting)
 
     def _submit(self, session: Session, spec: Spec, args: list[bytes]) -> None:
-        """A command with keys, or one without where there is one group only."""
+        """Create a request for a command with keys, or for one without keys if there is only one group."""
         try:
             keys = spec.keys(args)
-        except ValueError as problem:
+        except ValueError as key_error:
             session.transaction_failed = session.queued is not None
-            self._reply(session, error(str(problem)))
+            self._reply(session, error(str(key_error)))
             return
         slots = slots_of(keys)
-        problem_text = self._group_error(spec, slots)
-        if problem_text:
+        group_error = self._group_error(spec, slots)
+        if group_error:
             session.transaction_failed = session.queued is not None
-            self._reply(session, error(problem_text))
+            self._reply(session, error(group_error))
             return
         writes = spec.kind not in (Kind.READ, Kind.KEYLESS_READ)
         if session.queued is not None:
@@ -311,34 +322,34 @@
             if gated > 0:
                 self._reply(session, over_quota(gated))
                 return
-        ask = self._new_request(session, rule, slots, writes, encode_command(args))
-        ask.version = version
+        request = self._new_request(session, rule, slots, writes, encode_command(args))
+        request.version = version
         if gated:
-            self._hold_at_gate(ask, spec.name, keys, 1)
+            self._hold_at_gate(request, spec.name, keys, 1)
         if session.lease:
-            ask.lease = session.lease
+            request.lease = session.lease
         elif rule.wait_replicas:
-            ask.wait_replicas = rule.wait_replicas
-            ask.runs_from = len(ask.payload)
-            ask.payload += command("WAIT", rule.wait_replicas, rule.wait_ms)
-            ask.replies, ask.alone = 2, True
-        self._add_request(session, ask)
+            request.wait_replicas = rule.wait_replicas
+            request.runs_from = len(request.payload)
+            request.payload += command("WAIT", rule.wait_replicas, rule.wait_ms)
+            request.replies, request.alone = 2, True
+        self._add_request(session, request)
 
     def _shed(self, session: Session, rule: RequestClass, back_us: int) -> None:
-        """Refuse a command before anything is kept of it; its connection is not read until it may come back."""
+        """Refuse a command before any state of it is kept, and do not read from its connection for a while."""
         self.counts["refused"] += 1
         self.counts["shed"] += 1
         self._out.append(m.Counted(rule.name, "shed", self._late_us))
         self._reply(session, refusal(back_us))
-        # Threat: a command that came before its time and lies unread is still owed an answer within its own.
-        # Threat: a connection shared by many, refused once: what comes in the pause is too late by it, and so on.
+        # A command past its deadline starts no pause. Its client may have more commands unread that are owed an answer
+        # in time, and on a connection shared by many, commands sent during one pause would be late and cause the next.
         if not past(self._waited_us, rule):
             pause_us = min(back_us, self._first_pause_us << min(session.shed_in_a_row, 8), self._longest_pause_us)
             session.shed_in_a_row += 1
             self._out.append(m.Pause(session.client, self._now + pause_us))
 
     def _group_error(self, spec: Spec, slots: list[int]) -> str:
-        """Why a command has no one group, in the words of the cluster specification."""
+        """The error for a command that has no single group, as the cluster specification words it, else empty."""
         if slots:
             if self._classifier.group_of(slots) is None:
                 return "CROSSSLOT Keys in request don't hash to the same slot"
@@ -370,46 +381,58 @@
             writes,
             payload,
             replies,
-            self._now - self._waited_us - self._pipelined_us,  # the client's time runs since its command was there
+            self._now - self._waited_us - self._pipelined_us,  # the deadline counts from the command's arrival
             session.protocol,
         )
 
-    def _add_request(self, session: Session, ask: PendingRequest) -> None:
-        """Start a request, or let it wait for its client's earlier ones."""
-        self._requests[ask.id] = session.requests[ask.id] = ask
-        if ask.version:
-            self._busy[ask.version] = self._busy.get(ask.version, 0) + 1
-        heapq.heappush(self._deadlines, (self._deadline_us(ask), ask.id))
-        free = session.may_start(ask)
-        session.mark_unfinished(ask)
-        if not free:
-            session.waiting.append(ask)
-        elif ask.gated is None:
-            self._start(session, ask)
+    def _add_request(self, session: Session, request: PendingRequest) -> None:
+        """Start a request, or queue it behind its client's earlier requests."""
+        self._requests[request.id] = session.requests[request.id] = request
+        if request.version:
+            self._busy[request.version] = self._busy.get(request.version, 0) + 1
+        heapq.heappush(self._deadlines, (self._deadline_us(request), request.id))
+        may_start = session.may_start(request)
+        session.mark_unfinished(request)
+        if not may_start:
+            session.waiting.append(request)
+        elif request.gated is None:
+            self._start(session, request)
 
     @staticmethod
-    def _deadline_us(ask: PendingRequest) -> int:
-        """The last moment for a request's final answer."""
-        return ask.arrived_us + ask.rule.deadline_ms * 1_000 - ANSWER_MARGIN_US
+    def _deadline_us(request: PendingRequest) -> int:
+        """The latest time for a request's final answer."""
+        return request.arrived_us + request.rule.deadline_ms * 1_000 - ANSWER_MARGIN_US
 
-    def _start(self, session: Session, ask: PendingRequest) -> None:
-        """Hand a request to the Router."""
-        rule = ask.rule
-        if self._now >= self._deadline_us(ask):
-            return  # Threat: a box that is sent what nobody waits for, and blamed for it. Its end is in this turn.
-        ask.started = True
-        if ask.lease and session.lease_lost:
-            if ask.is_exec or ask.is_watch:
-                self._end_unwatched(ask)
+    def _start(self, session: Session, request: PendingRequest) -> None:
+        """Pass a request to the Router."""
+        rule = request.rule
+        if self._now >= self._deadline_us(request):
+            # It expires within this same input. Sending it would load a box for nobody, and count against that box.
+            return
+        request.started = True
+        if request.lease and session.lease_lost:
+            if request.is_exec or request.is_watch:
+                self._end_unwatched(request)
                 return
-            ask.lease = 0
+            request.lease = 0
         if rule.freshness in ("bounded", "session"):
-            group = self._groups[ask.group]
+            group = self._groups[request.group]
             primary = self._boxes.get(group.primary)
             if primary is not None and self._now - group.positions.newest_us() > self._sample_us:
                 self._sample(primary)
-            self._refresh(ask.group)
-        name = session.name if self.settings.sessions == "client-name" and session.name else f"#{session.client}"
-        left = ask.arrived_us + rule.deadline_ms * 1_000 - self._now
-        needs_us = self._step_us(ask) if ask.version else None
-        self._route(api.Arrival(str(ask.id), rule.name, ask.group, left, f"{name}@{ask.group}", needs_us=needs_us))
+            self._refresh(request.group)
+        session_name = (
+            session.name if self.settings.sessions == "client-name" and session.name else f"#{session.client}"
+        )
+        expires_in_us = request.arrived_us + rule.deadline_ms * 1_000 - self._now
+        needs_us = self._step_us(request) if request.version else None
+        self._route(
+            api.Arrival(
+                str(request.id),
+                rule.name,
+                request.group,
+                expires_in_us,
+                f"{session_name}@{request.group}",
+                needs_us=needs_us,
+            )
+        )
--- a/oatlink/core/sessions.py
+++ b/oatlink/core/sessions.py
@@ -1,9 +1,9 @@
-"""A client's session: order of its commands, its transaction, what it has said of itself. No I/O.
+"""A client's session: the order of its commands, its transaction, its name and user. No I/O.
 
-Order. Answers leave in the order of the commands. A command starts at once unless an earlier unfinished one
-of the same client touches the same hash slot and one of the two writes; then it waits for it. Between slots no
-order is promised, as in a cluster; a transaction is one command. So a client reads its own pipelined writes,
-and many members work for one connection.
+Answers are sent in the order of the commands. A command starts at once unless an earlier unfinished command of the same
+client touches the same hash slot and one of the two writes; then it waits for that one. As in a cluster, there is no
+order between slots. A transaction counts as one command. So a client reads its own pipelined writes, and many members
+can work for one connection at the same time.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class PendingReply:
-    """A command's place in the row of answers."""
+    """The answer to one command of a session, once it is known, in the order of the commands."""
 
     answer: bytes | None = None
     hangup: bool = False
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A command on its way: what the client wants, where it stands."""
+    """A command that is being processed: what the client wants, and the state of its attempts."""
 
     id: int
     client: int
@@ -45,19 +45,19 @@
     wait_replicas: int = 0
     started: bool = False
     attempts: int = 0
-    first_sent_us: int = 0  # when the first attempt was handed over
-    may_have_run: bool = False  # by an attempt that has ended
-    runs_from: int = 0  # bytes of the payload before which nothing of it can run; 0: all of them
+    first_sent_us: int = 0  # start of the window for repeats: the first attempt that may have run
+    may_have_run: bool = False  # in an attempt that has ended
+    runs_from: int = 0  # nothing can run before this many bytes of the payload are sent; 0: all of them
     open_attempts: dict[int, tuple[int, str, int, str]] = field(
         default_factory=dict
-    )  # attempt: member, box, when, address
-    version: int = 0  # of the layout that it is made for; 0: none here
-    gated: tuple[str, list[bytes], int] | None = None  # waits for the fleet's word: command, first key, cost
+    )  # attempt: member, box, time, address
+    version: int = 0  # of the layout that it is made for; 0: no layout
+    gated: tuple[str, list[bytes], int] | None = None  # waits for a grant of the fleet: command, first key, cost
 
 
 @dataclass(slots=True)
 class Session:
-    """One client connection."""
+    """The state of one client connection."""
 
     client: int
     protocol: int = 2
@@ -66,103 +66,105 @@
     peer: str = ""
     since_us: int = 0
     pending_replies: deque[PendingReply] = field(default_factory=deque)
-    requests: dict[int, PendingRequest] = field(default_factory=dict)  # that are owed an answer, by number
+    requests: dict[int, PendingRequest] = field(default_factory=dict)  # owed an answer, by number
     waiting: list[PendingRequest] = field(default_factory=list)
     unfinished_by_slot: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
-    queued: list[tuple[list[bytes], bool]] | None = None  # of the open MULTI: words, whether they write
+    queued: list[tuple[list[bytes], bool]] | None = None  # commands since MULTI: arguments, whether it writes
     queued_bytes: int = 0
     queued_slots: list[int] = field(default_factory=list)
     transaction_failed: bool = False
-    watching: list[int] = field(default_factory=list)  # slots watched
+    watching: list[int] = field(default_factory=list)  # slots of the watched keys
     lease: int = 0
     lease_box: str = ""
     lease_lost: bool = False
     answered: int = 0
     closing: bool = False
-    last_unserved_us: int = -1  # when a command last ended unserved past its aim
-    shed_in_a_row: int = 0  # times refused for the gateway's own load, one after the other
+    last_unserved_us: int = -1  # when a request last ended unserved past its aim
+    shed_in_a_row: int = 0  # consecutive refusals because of the gateway's load
     admin: bool = False
-    recorder_replies: deque[PendingReply] = field(default_factory=deque)  # asked of the recorder, not yet answered
-    pinned_version: int = 0  # the version that this connection's requests are made for, unless its name says another
-    fleet_replies: deque[PendingReply] = field(default_factory=deque)  # asked of the fleet's node, not yet answered
+    recorder_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the recorder
+    pinned_version: int = 0  # version of this connection's requests, unless its name says another
+    fleet_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the fleet's node
 
-    def may_start(self, ask: PendingRequest) -> bool:
-        """Whether nothing unfinished stands before a new command."""
-        for slot in ask.slots:
+    def may_start(self, request: PendingRequest) -> bool:
+        """Whether no unfinished command must end before a new one may start."""
+        for slot in request.slots:
             counts = self.unfinished_by_slot.get(slot)
-            if counts is not None and (counts[1] or (ask.is_write and counts[0])):
+            if counts is not None and (counts[1] or (request.is_write and counts[0])):
                 return False
         return True
 
-    def mark_unfinished(self, ask: PendingRequest) -> None:
-        """Count a command as unfinished."""
-        for slot in ask.slots:
-            self.unfinished_by_slot.setdefault(slot, [0, 0])[ask.is_write] += 1
+    def mark_unfinished(self, request: PendingRequest) -> None:
+        """Count a command as unfinished in its slots."""
+        for slot in request.slots:
+            self.unfinished_by_slot.setdefault(slot, [0, 0])[request.is_write] += 1
 
-    def mark_finished(self, ask: PendingRequest) -> None:
-        """A command has ended."""
-        for slot in ask.slots:
+    def mark_finished(self, request: PendingRequest) -> None:
+        """Count a command as finished in its slots."""
+        for slot in request.slots:
             counts = self.unfinished_by_slot[slot]
-            counts[ask.is_write] -= 1
+            counts[request.is_write] -= 1
             if not counts[0] and not counts[1]:
                 del self.unfinished_by_slot[slot]
 
     def take_startable(self) -> Iterator[PendingRequest]:
-        """The waiting commands that nothing unfinished before them holds back any longer, taken out."""
+        """Remove and return the waiting commands that no unfinished earlier command holds back any longer."""
         if not self.waiting:
             return
         unfinished = {slot: list(counts) for slot, counts in self.unfinished_by_slot.items()}
-        for ask in self.waiting:
-            for slot in ask.slots:
-                unfinished[slot][ask.is_write] -= 1
-        still: list[PendingRequest] = []
+        for request in self.waiting:
+            for slot in request.slots:
+                unfinished[slot][request.is_write] -= 1
+        blocked: list[PendingRequest] = []
         ready: list[PendingRequest] = []
-        for ask in self.waiting:
-            held = any(unfinished[slot][1] or (ask.is_write and unfinished[slot][0]) for slot in ask.slots)
-            (still if held else ready).append(ask)
-            for slot in ask.slots:
-                unfinished[slot][ask.is_write] += 1
-        self.waiting = still
+        for request in self.waiting:
+            is_blocked = any(
+                unfinished[slot][1] or (request.is_write and unfinished[slot][0]) for slot in request.slots
+            )
+            (blocked if is_blocked else ready).append(request)
+            for slot in request.slots:
+                unfinished[slot][request.is_write] += 1
+        self.waiting = blocked
         yield from ready
 
     def take_answers(self) -> tuple[list[bytes], int, bool]:
-        """The answers that may leave now, how many commands they end, and whether the connection ends then."""
-        out: list[bytes] = []
+        """The answers that can be sent now, how many commands they complete, and whether to hang up after them."""
+        answers: list[bytes] = []
         done = 0
         while self.pending_replies and self.pending_replies[0].answer is not None:
-            place = self.pending_replies.popleft()
-            out.append(place.answer or b"")
+            reply = self.pending_replies.popleft()
+            answers.append(reply.answer or b"")
             done += 1
-            if place.hangup:
+            if reply.hangup:
                 self.pending_replies.clear()
-                return out, done, True
-        return out, done, False
+                return answers, done, True
+        return answers, done, False
 
     def forget_transaction(self) -> None:
-        """MULTI has ended."""
+        """Reset the state of the open MULTI."""
         self.queued, self.queued_bytes, self.transaction_failed = None, 0, False
         self.queued_slots = []
 
 
 def refusal(retry_after_us: int) -> bytes:
-    """The final answer of a refused request: nothing ran, and when to come again (`TRYAGAIN`, cluster spec)."""
+    """The final answer to a refused request: nothing ran, and when to retry (`TRYAGAIN`, cluster specification)."""
     return encode(Error(b"TRYAGAIN refused, nothing was run; retry after %d ms" % -(-retry_after_us // 1000)))
 
 
 def over_quota(retry_after_us: int) -> bytes:
-    """The final answer of a request that its tenant's quota refuses: nothing ran, and when to come again."""
-    back_ms = -(-retry_after_us // 1000)
-    return encode(Error(b"QUOTA over the tenant's rate, nothing was run; retry after %d ms" % back_ms))
+    """The final answer to a request over its tenant's quota: nothing ran, and when to retry."""
+    retry_after_ms = -(-retry_after_us // 1000)
+    return encode(Error(b"QUOTA over the tenant's rate, nothing was run; retry after %d ms" % retry_after_ms))
 
 
 def unserved(version: int, retry_after_us: int) -> bytes:
-    """The final answer of a request whose version is not served here now: nothing ran, and when to come again."""
+    """The final answer to a request whose version is not served here now: nothing ran, and when to retry."""
     text = b"LAYOUT %d is not served here now, nothing was run; retry after %d ms"
     return encode(Error(text % (version, -(-retry_after_us // 1000))))
 
 
 def failure(writes: bool) -> bytes:
-    """The final answer of a failed request."""
+    """The final answer to a failed request. A write may have run."""
     return encode(
         Error(
             b"ERR failed: no final answer from the bank; the command may have run"
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -1,4 +1,7 @@
-"""MULTI, EXEC, DISCARD, WATCH, UNWATCH, and the connection that a client has for itself while it watches. No I/O."""
+"""MULTI, EXEC, DISCARD, WATCH, UNWATCH, and the connection reserved for a client while it watches keys. No I/O.
+
+The reserved connection is called a lease.
+"""
 
 from oatlink.core import messages as m
 from oatlink.core.classify import PINNED, slots_of
@@ -9,10 +12,10 @@
 
 
 class Transactions(Clients):
-    """Transactions and leases."""
+    """Handles transactions and leases."""
 
     def _queue_command(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
-        """A command between MULTI and EXEC; all of one transaction go to one group."""
+        """Queue a command between MULTI and EXEC. All commands of a transaction must belong to one group."""
         assert session.queued is not None
         limits = self.settings.limits
         session.queued_bytes += sum(map(len, args))
@@ -25,12 +28,12 @@
             session.transaction_failed = True
             self._reply(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
             return
-        session.queued_slots += [one for one in slots if one not in session.queued_slots]
+        session.queued_slots += [slot for slot in slots if slot not in session.queued_slots]
         session.queued.append((args, writes))
         self._reply(session, QUEUED)
 
     def _transaction(self, session: Session, spec: Spec, args: list[bytes]) -> None:
-        """MULTI, EXEC, DISCARD, WATCH, UNWATCH."""
+        """Handle MULTI, EXEC, DISCARD, WATCH and UNWATCH."""
         if spec.name == "multi":
             if session.queued is not None:
                 self._reply(session, error("ERR MULTI calls can not be nested"))
@@ -52,15 +55,15 @@
             self._exec(session)
 
     def _exec(self, session: Session) -> None:
-        """The whole transaction as one request: contiguous on one connection, never split."""
-        queued, spoilt, slots = session.queued or [], session.transaction_failed, session.queued_slots
+        """Send the whole transaction as one request: contiguous on one connection, never split."""
+        queued, has_failed, slots = session.queued or [], session.transaction_failed, session.queued_slots
         session.forget_transaction()
-        if spoilt or self._draining:
+        if has_failed or self._draining:
             self._release(session)
             self._reply(
                 session,
                 error("EXECABORT Transaction discarded because of previous errors.")
-                if spoilt
+                if has_failed
                 else refusal(self.settings.limits.retry_after_max_ms * 1_000),
             )
             return
@@ -68,7 +71,7 @@
         if not queued and not session.lease:
             self._reply(session, b"*0\r\n")
             return
-        writes = any(one for _, one in queued)
+        writes = any(is_write for _, is_write in queued)
         rule = self._classifier.class_of_transaction(writes, session.user, session.name)
         if session.lease and not writes:
             rule = PINNED
@@ -87,21 +90,21 @@
                 return
         parts = [
             b"*1\r\n$5\r\nMULTI\r\n",
-            *(encode_command(one) for one, _ in queued),
+            *(encode_command(args) for args, _ in queued),
             b"*1\r\n$4\r\nEXEC\r\n",
         ]
-        ask = self._new_request(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
-        ask.is_transaction = ask.is_exec = True
-        ask.version = version
-        ask.lease = session.lease
+        request = self._new_request(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
+        request.is_transaction = request.is_exec = True
+        request.version = version
+        request.lease = session.lease
         if not session.lease and rule.wait_replicas:
-            ask.alone = True
+            request.alone = True
         if gated:
-            self._hold_at_gate(ask, "exec", key, len(queued))
-        self._add_request(session, ask)
+            self._hold_at_gate(request, "exec", key, len(queued))
+        self._add_request(session, request)
 
     def _watch(self, session: Session, spec: Spec, args: list[bytes]) -> None:
-        """WATCH binds a client to a connection of its own at the group's primary until EXEC or UNWATCH."""
+        """Handle WATCH: it reserves a connection to the group's primary for the client until EXEC or UNWATCH."""
         if session.queued is not None:
             self._reply(session, error("ERR WATCH inside MULTI is not allowed"))
             return
@@ -121,35 +124,35 @@
         if not session.lease:
             self._last_lease += 1
             session.lease, session.lease_box, session.lease_lost = self._last_lease, "", False
-        session.watching += [one for one in slots if one not in session.watching]
-        ask = self._new_request(session, PINNED, slots, True, encode_command(args))
-        ask.lease, ask.is_watch = session.lease, True
+        session.watching += [slot for slot in slots if slot not in session.watching]
+        request = self._new_request(session, PINNED, slots, True, encode_command(args))
+        request.lease, request.is_watch = session.lease, True
         if gated:
-            self._hold_at_gate(ask, spec.name, keys, 1)
-        self._add_request(session, ask)
+            self._hold_at_gate(request, spec.name, keys, 1)
+        self._add_request(session, request)
 
-    def _end_lease(self, ask: PendingRequest) -> None:
-        session = self._sessions.get(ask.client)
-        if session is not None and ask.lease and session.lease == ask.lease:
+    def _end_lease(self, request: PendingRequest) -> None:
+        session = self._sessions.get(request.client)
+        if session is not None and request.lease and session.lease == request.lease:
             session.lease_lost = True
-            if ask.is_exec:
+            if request.is_exec:
                 self._release(session)
 
-    def _lose_lease(self, ask: PendingRequest) -> None:
-        """A client's own connection has ended: what it watched is no longer watched."""
-        session = self._sessions.get(ask.client)
-        if session is not None and session.lease == ask.lease:
+    def _lose_lease(self, request: PendingRequest) -> None:
+        """Record that a client's reserved connection has ended, and that its keys are no longer watched."""
+        session = self._sessions.get(request.client)
+        if session is not None and session.lease == request.lease:
             session.lease_lost = True
 
-    def _end_unwatched(self, ask: PendingRequest) -> None:
-        """Nothing is watched any more: EXEC answers as if a key had changed, which it may have; WATCH as usual."""
-        null = encode(Null(b"*" if ask.protocol == 2 else b"_"), ask.protocol)
-        session = self._sessions.get(ask.client)
-        if session is not None and ask.is_exec and session.lease == ask.lease:
+    def _end_unwatched(self, request: PendingRequest) -> None:
+        """Answer a request whose lease is lost: EXEC as if a watched key had changed (it may have), WATCH as usual."""
+        null = encode(Null(b"*" if request.protocol == 2 else b"_"), request.protocol)
+        session = self._sessions.get(request.client)
+        if session is not None and request.is_exec and session.lease == request.lease:
             self._release(session)
         self.counts["served"] += 1
-        self._out.append(m.Counted(ask.rule.name, "served", self._now - ask.arrived_us))
-        self._finish(ask, null if ask.is_exec else OK)
+        self._out.append(m.Counted(request.rule.name, "served", self._now - request.arrived_us))
+        self._finish(request, null if request.is_exec else OK)
 
     def _release(self, session: Session) -> None:
         if session.lease:
