--- a/oatlink/core/commands.py
+++ b/oatlink/core/commands.py
@@ -1,16 +1,17 @@
-"""The command table: what a command of the protocol is, in data; and the hash slot of a key.
+"""The table of the protocol's commands, and the hash slot of a key.
 
 Sources: the command reference of redis.io (arity, key positions, flags) and the cluster specification (slots,
-hash tags). What may live here: facts about commands. Which class a command falls in is `oatlink.core.classify`.
+hash tags). This module has only facts about commands; `oatlink.core.classify` decides their classes.
 
-A line of `TABLE` is: name, arity (negative: at least), kind, first key, last key (negative: from the end), step.
-In place of positions `numkeys:N` says that argument N counts the keys that follow it, and `streams` that the
-keys are the first half of what follows the word STREAMS.
+Entries of `TABLE` are separated by `|` or a line break. Each has: name, arity (negative: at least), kind, first key,
+last key (negative: from the end), step. `numkeys:N` means that argument N is the number of keys that follow it, and
+`streams` that the keys are the first half of the arguments after STREAMS.
 
 Kinds: r read; w write; l answered by the gateway; t transaction control; b may block or subscribe, refused;
-n without a key, served only where there is one group; s a script (its effects are not known: a write).
-An unknown command is refused: without its key positions it cannot be given a group, and a guess could split
-one user's data over two.
+n write without a key, nr read without a key, both served only if there is a single group; s script, treated as a write
+because its effects are not known.
+An unknown command is refused: without its key positions its group is not known, and a wrong guess could split one
+user's data over two groups.
 """
 
 from dataclasses import dataclass
@@ -63,7 +64,7 @@
 
 
 class Kind(Enum):
-    """What a command does, as far as routing is concerned."""
+    """What a command does, as far as routing depends on it."""
 
     READ = "read"
     WRITE = "write"
@@ -89,7 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """One row of the table. `first` is 0 without fixed keys; `count_at` is the argument that counts keys, or 0."""
+    """An entry of the table.
+
+    `first` is 0 if there are no keys at fixed positions. `count_at` is the position of the argument with the number of
+    keys, or 0.
+    """
 
     name: str
     arity: int
@@ -101,18 +106,18 @@
     streams: bool = False
 
     def arity_fits(self, count: int) -> bool:
-        """Whether so many words, the name included, are allowed."""
+        """Whether the command may have this number of arguments, including its name."""
         return count == self.arity if self.arity > 0 else count >= -self.arity
 
     def keys(self, args: list[bytes]) -> list[bytes]:
-        """The keys among a command's words. Raises `ValueError` with a server's words where they do not fit."""
+        """The keys among a command's arguments. Raises `ValueError` with a server's error text if these are invalid."""
         if self.first == 1 and self.last == 1:
-            found = [args[1]]
+            keys = [args[1]]
         elif self.first:
             last = self.last if self.last >= 0 else len(args) + self.last
-            found = args[self.first : last + 1 : self.step]
+            keys = args[self.first : last + 1 : self.step]
         else:
-            found = []
+            keys = []
         if self.count_at:
             try:
                 count = int(args[self.count_at])
@@ -120,9 +125,9 @@
                 raise ValueError("ERR value is not an integer or out of range") from None
             if count < 0 or count > len(args) - self.count_at - 1:
                 raise ValueError("ERR Number of keys can't be greater than number of args")
-            found = found + args[self.count_at + 1 : self.count_at + 1 + count]
+            keys = keys + args[self.count_at + 1 : self.count_at + 1 + count]
         if self.streams:
-            upper = [one.upper() for one in args]
+            upper = [arg.upper() for arg in args]
             if b"STREAMS" not in upper:
                 raise ValueError("ERR syntax error")
             rest = args[upper.index(b"STREAMS") + 1 :]
@@ -131,62 +136,62 @@
                     f"ERR Unbalanced '{self.name}' list of streams: for each stream key an ID, '+', "
                     "or '$' must be specified."
                 )
-            found = rest[: len(rest) // 2]
-        return found
+            keys = rest[: len(rest) // 2]
+        return keys
 
 
 def _parse(table: str) -> dict[bytes, Spec]:
-    found = {}
+    specs = {}
     for row in table.replace("|", "\n").split("\n"):
-        words = row.split()
-        if not words:
+        columns = row.split()
+        if not columns:
             continue
-        name, arity, kind, *rest = words
-        more: dict[str, int] = {}
-        numbers = [int(one) for one in rest if one.lstrip("-").isdigit()]
+        name, arity, kind, *rest = columns
+        positions: dict[str, int] = {}
+        numbers = [int(column) for column in rest if column.lstrip("-").isdigit()]
         if numbers:
-            more = dict(zip(("first", "last", "step"), numbers, strict=True))
-        counted = [int(one.split(":")[1]) for one in rest if one.startswith("numkeys:")]
+            positions = dict(zip(("first", "last", "step"), numbers, strict=True))
+        count_positions = [int(column.split(":")[1]) for column in rest if column.startswith("numkeys:")]
         spec = Spec(
             name,
             int(arity),
             _KINDS[kind],
-            **more,
-            count_at=counted[0] if counted else 0,
+            **positions,
+            count_at=count_positions[0] if count_positions else 0,
             streams="streams" in rest,
         )
-        found[name.encode()] = found[name.upper().encode()] = spec
-    return found
+        specs[name.encode()] = specs[name.upper().encode()] = spec
+    return specs
 
 
 COMMANDS = _parse(TABLE)
-"""Every known command, by its name in lower and in upper case."""
+"""All known commands by name, in lower and in upper case."""
 
 
 def find_command(name: bytes) -> Spec | None:
-    """The row of a command, whatever its case."""
+    """The entry of a command in any case, or None."""
     return COMMANDS.get(name) or COMMANDS.get(name.lower())
 
 
 def blocks(spec: Spec, args: list[bytes]) -> bool:
-    """Whether this call would wait at the server for other clients' work."""
-    return spec.kind is Kind.BLOCKING or (spec.streams and any(one.upper() == b"BLOCK" for one in args[1:-2]))
+    """Whether this call would wait at the server for other clients' commands."""
+    return spec.kind is Kind.BLOCKING or (spec.streams and any(arg.upper() == b"BLOCK" for arg in args[1:-2]))
 
 
 def idempotency_key(spec: Spec, args: list[bytes]) -> tuple[bytes, bytes] | None:
     """The producer and key by which a server drops repeats: `XADD key ... IDMP producer key ...`, else None.
 
-    `IDMPAUTO` makes the key from the entry's fields: the same repeat, so it counts too, with the fields' place.
+    `IDMPAUTO` derives the key from the entry's fields, which are the same in a repeat. The key returned is then empty.
     """
     if spec.name != "xadd":
         return None
-    for at in range(2, min(len(args), 9)):
-        word = args[at].upper()
-        if word == b"IDMP" and at + 3 < len(args):
-            return args[at + 1], args[at + 2]
-        if word == b"IDMPAUTO" and at + 2 < len(args):
-            return args[at + 1], b""
-        if word == b"*" or (word[:1].isdigit() and args[at - 1].upper() not in (b"MAXLEN", b"~", b"=", b"LIMIT")):
+    for index in range(2, min(len(args), 9)):
+        word = args[index].upper()
+        if word == b"IDMP" and index + 3 < len(args):
+            return args[index + 1], args[index + 2]
+        if word == b"IDMPAUTO" and index + 2 < len(args):
+            return args[index + 1], b""
+        if word == b"*" or (word[:1].isdigit() and args[index - 1].upper() not in (b"MAXLEN", b"~", b"=", b"LIMIT")):
             return None
     return None
 
--- a/oatlink/core/local.py
+++ b/oatlink/core/local.py
@@ -1,4 +1,7 @@
-"""What the gateway answers by itself: connection commands and INFO. No I/O; sources: their pages on redis.io."""
+"""The commands that the gateway answers itself: connection commands and INFO. No I/O.
+
+Their behaviour follows their pages on redis.io.
+"""
 
 from collections.abc import Callable, Mapping
 
@@ -8,11 +11,11 @@
 from oatlink.protocols.resp import OK, Array, Error, Map, Null, Simple, Value, bulk, encode
 from oatlink.settings.model import Settings
 
-SERVER_VERSION = "7.4.0"  # the command set that the table follows; clients choose features by it
+SERVER_VERSION = "7.4.0"  # the server version of the command table; clients choose features by it
 Answerer = Callable[[Session, list[bytes]], bytes]
 
 
-def _wrong(name: str) -> bytes:
+def _wrong_arity(name: str) -> bytes:
     return encode(Error(b"ERR wrong number of arguments for '%b' command" % name.encode()))
 
 
@@ -21,10 +24,10 @@
 
 
 class Local:
-    """Answers for one gateway; `info` gives the sections of INFO as text."""
+    """Answers local commands for one gateway. `info` returns the sections of INFO."""
 
     def __init__(self, settings: Settings, info: Callable[[], Mapping[str, Mapping[str, object]]]) -> None:
-        self._users = {one.name: one.password for one in settings.users}
+        self._passwords = {user.name: user.password for user in settings.users}
         self._info = info
         self._answer: dict[str, Answerer] = {
             "ping": self._ping,
@@ -44,26 +47,26 @@
         }
 
     def answer(self, spec: Spec, session: Session, args: list[bytes]) -> bytes:
-        """The answer to a local command; changes the session where the command does."""
+        """Return the answer to a local command, and change the session if the command does so."""
         return self._answer[spec.name](session, args)
 
     def admits(self, session: Session, spec: Spec) -> bool:
-        """Whether a client may use a command: with users set, one must have been named first."""
-        return not self._users or bool(session.user) or spec.name in ("auth", "hello", "quit", "reset")
+        """Whether a client may use a command: if there are users in the settings, it must log in first."""
+        return not self._passwords or bool(session.user) or spec.name in ("auth", "hello", "quit", "reset")
 
     def _ping(self, session: Session, args: list[bytes]) -> bytes:
         if len(args) > 2:
-            return _wrong("ping")
+            return _wrong_arity("ping")
         return bulk(args[1]) if len(args) == 2 else b"+PONG\r\n"
 
     def _login(self, session: Session, user: bytes, password: bytes) -> bytes | None:
-        if not self._users:
+        if not self._passwords:
             if user == b"default":
                 session.user = "default"
                 return None
             return encode(Error(b"WRONGPASS invalid username-password pair or user is disabled."))
         name = user.decode("utf-8", "replace")
-        if self._users.get(name) != password.decode("utf-8", "replace"):
+        if self._passwords.get(name) != password.decode("utf-8", "replace"):
             return encode(Error(b"WRONGPASS invalid username-password pair or user is disabled."))
         session.user = name
         return None
@@ -71,7 +74,7 @@
     def _auth(self, session: Session, args: list[bytes]) -> bytes:
         if len(args) > 3:
             return encode(Error(b"ERR syntax error"))
-        if len(args) == 2 and not self._users:
+        if len(args) == 2 and not self._passwords:
             return encode(
                 Error(
                     b"ERR AUTH <password> called without any password configured for the default user. "
@@ -82,28 +85,28 @@
         return self._login(session, user, args[-1]) or OK
 
     def _hello(self, session: Session, args: list[bytes]) -> bytes:
-        protocol, at, name = session.protocol, 2, None
+        protocol, index, name = session.protocol, 2, None
         if len(args) > 1:
             if not args[1].isdigit() or len(args[1]) > 9:
                 return encode(Error(b"ERR Protocol version is not an integer or out of range"))
             protocol = int(args[1])
             if protocol not in (2, 3):
                 return encode(Error(b"NOPROTO unsupported protocol version"))
-        while at < len(args):
-            option = args[at].upper()
-            if option == b"AUTH" and at + 2 < len(args):
-                failed = self._login(session, args[at + 1], args[at + 2])
-                if failed is not None:
-                    return failed
-                at += 3
-            elif option == b"SETNAME" and at + 1 < len(args):
-                name = args[at + 1]
-                if not _name_fits(name):
-                    return _BAD_NAME
-                at += 2
+        while index < len(args):
+            option = args[index].upper()
+            if option == b"AUTH" and index + 2 < len(args):
+                login_error = self._login(session, args[index + 1], args[index + 2])
+                if login_error is not None:
+                    return login_error
+                index += 3
+            elif option == b"SETNAME" and index + 1 < len(args):
+                name = args[index + 1]
+                if not _is_valid_name(name):
+                    return _INVALID_NAME
+                index += 2
             else:
-                return encode(Error(b"ERR Syntax error in HELLO option '%b'" % args[at][:64]))
-        if self._users and not session.user:
+                return encode(Error(b"ERR Syntax error in HELLO option '%b'" % args[index][:64]))
+        if self._passwords and not session.user:
             return encode(
                 Error(
                     b"NOAUTH HELLO must be called with the client already authenticated, otherwise the "
@@ -128,8 +131,8 @@
     def _client(self, session: Session, args: list[bytes]) -> bytes:
         sub = args[1].upper()
         if sub == b"SETNAME" and len(args) == 3:
-            if not _name_fits(args[2]):
-                return _BAD_NAME
+            if not _is_valid_name(args[2]):
+                return _INVALID_NAME
             session.name = args[2].decode()
             return OK
         if sub == b"GETNAME" and len(args) == 2:
@@ -166,17 +169,17 @@
         if sub == b"COUNT":
             return encode(len(names))
         if sub == b"LIST":
-            return encode(Array(tuple(one.encode() for one in names)))
+            return encode(Array(tuple(name.encode() for name in names)))
         if sub in (b"", b"INFO"):
-            wanted = [one.lower() for one in args[2:]] or [one.encode() for one in names]
-            return encode(Array(tuple(_row(COMMANDS.get(one)) for one in wanted)), session.protocol)
+            wanted = [name.lower() for name in args[2:]] or [name.encode() for name in names]
+            return encode(Array(tuple(_command_info(COMMANDS.get(name)) for name in wanted)), session.protocol)
         if sub == b"DOCS":
-            wanted = [one.lower() for one in args[2:]] or [one.encode() for one in names]
+            wanted = [name.lower() for name in args[2:]] or [name.encode() for name in names]
             pairs: list[tuple[Value, Value]] = []
-            for one in wanted:
-                spec = COMMANDS.get(one)
+            for name in wanted:
+                spec = COMMANDS.get(name)
                 if spec is not None:
-                    pairs.append((one, Map(((b"summary", spec.kind.value.encode()), (b"arity", spec.arity)))))
+                    pairs.append((name, Map(((b"summary", spec.kind.value.encode()), (b"arity", spec.arity)))))
             return encode(Map(tuple(pairs)), session.protocol)
         if sub == b"GETKEYS" and len(args) > 2:
             spec = COMMANDS.get(args[2].lower())
@@ -195,7 +198,7 @@
         return OK if args[1] == b"0" else encode(Error(b"ERR DB index is out of range"))
 
     def _info_command(self, session: Session, args: list[bytes]) -> bytes:
-        wanted = [one.decode("utf-8", "replace").lower() for one in args[1:]]
+        wanted = [section.decode("utf-8", "replace").lower() for section in args[1:]]
         everything = not wanted or bool({"all", "everything", "default"} & set(wanted))
         lines = []
         for section, values in self._info().items():
@@ -211,7 +214,7 @@
 
 
 def server_section(started_us: int, now_us: int) -> dict[str, object]:
-    """INFO's server section of a gateway."""
+    """The server section of a gateway's INFO."""
     return {
         "redis_version": SERVER_VERSION,
         "oatlink_version": __version__,
@@ -220,14 +223,15 @@
     }
 
 
-_BAD_NAME = encode(Error(b"ERR Client names cannot contain spaces, newlines or special characters."))
+_INVALID_NAME = encode(Error(b"ERR Client names cannot contain spaces, newlines or special characters."))
 
 
-def _name_fits(name: bytes) -> bool:
+def _is_valid_name(name: bytes) -> bool:
     return len(name) <= 256 and all(0x21 <= byte <= 0x7E for byte in name)
 
 
-def _row(spec: Spec | None) -> Value:
+def _command_info(spec: Spec | None) -> Value:
+    """An element of the answer to COMMAND INFO."""
     if spec is None:
         return Null(b"*")
     flags: dict[Kind, tuple[bytes, ...]] = {
@@ -244,7 +248,7 @@
         (
             spec.name.encode(),
             spec.arity,
-            Array(tuple(Simple(one) for one in flags[spec.kind])),
+            Array(tuple(Simple(flag) for flag in flags[spec.kind])),
             spec.first,
             spec.last,
             spec.step if spec.first else 0,
--- a/oatlink/core/outcomes.py
+++ b/oatlink/core/outcomes.py
@@ -1,7 +1,7 @@
-"""How an attempt ended, in the Router's words. Tables only, and the one reading of a reply's first bytes.
+"""Maps the end of an attempt to an outcome of the Router, by how it ended or by the first bytes of the reply.
 
 The error prefixes are those of the specification (redis.io: error replies of the commands, replication,
-cluster specification). `NOT_RUN` ones prove that the command had no effect.
+cluster specification). Those marked "not run" prove that the command had no effect.
 """
 
 from oatlink.interface import Outcome
@@ -10,21 +10,22 @@
     "refused": Outcome.NO_CONNECTION,  # connect refused, unreachable, or `max number of clients reached`
     "no connection in time": Outcome.NO_CONNECTION,  # nothing was written
     "stranger": Outcome.NO_CONNECTION,  # the connection reached another run of the box; nothing was written
-    "unsent": Outcome.NO_CONNECTION,  # the connection ended before the first byte was handed to it
-    "withdrawn": Outcome.WITHDRAWN,  # taken back before its write: what it was sent by holds no more
-    "no room": Outcome.FULL,  # every queue of the gateway to the box is at its bound; nothing was written
-    "reset": Outcome.RESET,  # ended after at least one byte may have been handed over: it may have run
-    "late": Outcome.LATE,  # no answer before the request's time was up: it may have run
-    "bad reply": Outcome.RESET,  # bytes outside the protocol: the connection is closed, it may have run
+    "unsent": Outcome.NO_CONNECTION,  # the connection ended before the first byte was written to it
+    "withdrawn": Outcome.WITHDRAWN,  # cancelled before its write, because the reason to send it no longer held
+    "no room": Outcome.FULL,  # every queue of the gateway to the box is full; nothing was written
+    "reset": Outcome.RESET,  # ended after at least one byte may have been sent: it may have run
+    "late": Outcome.LATE,  # no answer before the request's deadline: it may have run
+    "bad reply": Outcome.RESET,  # the reply violated the protocol: the connection is closed, it may have run
 }
+"""Outcomes by how an attempt ended."""
 
 ERRORS = {
-    b"READONLY": Outcome.MISS,  # a replica: not the primary (any more); not run
+    b"READONLY": Outcome.MISS,  # a replica: not, or no longer, the primary; not run
     b"MOVED": Outcome.MISS,  # another group has the slot; not run
-    b"ASK": Outcome.MISS,  # the slot is leaving; not run
+    b"ASK": Outcome.MISS,  # the slot is being moved away; not run
     b"MASTERDOWN": Outcome.MISS,  # a replica that may not answer without its primary; not run
     b"LOADING": Outcome.MISS,  # not ready; not run
-    b"BUSY": Outcome.FULL,  # a script holds the server; not run
+    b"BUSY": Outcome.FULL,  # a script blocks the server; not run
     b"OOM": Outcome.FULL,  # no memory for writes; not run
     b"NOREPLICAS": Outcome.FULL,  # too few good replicas for a write; not run
     b"CLUSTERDOWN": Outcome.FULL,  # not run
@@ -32,19 +33,19 @@
     b"MISCONF": Outcome.FULL,  # snapshots fail, writes are stopped; not run
     b"UNBLOCKED": Outcome.ERROR,  # lost its role while the command waited; it may have run
 }
-"""By an error's prefix. Every other error is the command's own answer and goes to the client as it is."""
+"""Outcomes by an error's prefix. Any other error is the command's own answer and is passed to the client unchanged."""
 
 
 def of_reply(frames: list[bytes], transaction: bool) -> Outcome:
-    """The outcome of whole replies. In a transaction an error at queueing time tells why EXEC was given up."""
+    """The outcome of complete replies. If EXEC failed, an error from queueing one of its commands gives the reason."""
     if transaction:
         if frames[-1][:1] != b"-":
             return Outcome.SERVED
         for frame in frames:
             if frame[:1] == b"-":
-                found = ERRORS.get(_prefix(frame))
-                if found is not None:
-                    return found
+                outcome = ERRORS.get(_prefix(frame))
+                if outcome is not None:
+                    return outcome
         return Outcome.SERVED
     first = frames[0]
     if first[:1] != b"-":
@@ -56,7 +57,7 @@
     return frame[1:32].split(b" ", 1)[0].rstrip(b"\r\n")
 
 
-def enough_replicas(frame: bytes, wanted: int) -> bool:
-    """Whether the answer to WAIT names at least as many replicas as were asked for."""
+def enough_replicas(frame: bytes, required_count: int) -> bool:
+    """Whether the answer to WAIT reports at least the required number of replicas."""
     text = frame[1:-2]
-    return frame[:1] == b":" and text.isdigit() and int(text) >= wanted
+    return frame[:1] == b":" and text.isdigit() and int(text) >= required_count
--- a/oatlink/core/stored_names.py
+++ b/oatlink/core/stored_names.py
@@ -1,10 +1,10 @@
-"""The names under which an engine's state stands in snapshots, and the code's names for them. No I/O.
+"""The names in snapshots of an engine's state, and the names in the code that they stand for. No I/O.
 
 A snapshot names each record and enum, and each attribute of the engine and of the router's state. These outer names
-are part of the files and stay as they are. Where a class or an attribute of the code gets a new name, only the code's
-side of the tables here changes: the classes in `RECORDS` and `ENUMS`, the attributes in `RECORDS`, and the values of
-`ENGINE` and `ROUTER`. A class or attribute that the tables do not know is an error at import, or, for the engine's
-own, when a snapshot is taken.
+are part of the files and never change. If a class or an attribute is renamed in the code, only the code's side of these
+tables changes, at the same place: the classes in `RECORDS` and `ENUMS`, the attributes in `RECORDS`, and the values of
+`ENGINE` and `ROUTER`. A class or attribute that is missing in the tables is an error at import or, for attributes of
+the engine, when a snapshot is taken.
 """
 
 import dataclasses
@@ -455,8 +455,8 @@
 }
 """Outer name of an attribute of the engine: its name in the code. They are written in the engine's own order."""
 
-ENGINE_MADE_ANEW = frozenset(("settings", "_classifier", "router", "_local", "_handlers", "_out", "_gate"))
-"""What an engine is made of and not what it remembers: made anew from the settings, and not written."""
+ENGINE_RECREATED = frozenset(("settings", "_classifier", "router", "_local", "_handlers", "_out", "_gate"))
+"""Attributes of the engine that are not state: recreated from the settings, and not written."""
 
 ROUTER: dict[str, str] = {
     "now": "now",
@@ -494,8 +494,11 @@
 }
 """Outer name of an attribute of the router's state: its name in the code, in the order in which they are written."""
 
-ROUTER_MADE_ANEW = frozenset(("settings", "random", "choose", "do"))
-"""What a router's state is made of: made anew from the settings, and not written here (`random` is by itself)."""
+ROUTER_RECREATED = frozenset(("settings", "random", "choose", "do"))
+"""Attributes of the router's state that are recreated from the settings and not written here.
+
+`random` is written separately.
+"""
 
 
 def attributes_of(value: object) -> tuple[str, ...]:
@@ -505,31 +508,31 @@
 
 
 def engine_names(engine: object) -> dict[str, str]:
-    """`ENGINE` in the order of the engine's attributes. Raises `TypeError` where these are not the table's."""
+    """`ENGINE` in the order of the engine's attributes. Raises `TypeError` if these differ from the table."""
     attributes = attributes_of(engine)
-    _check_names("the engine", attributes, ENGINE.values(), ENGINE_MADE_ANEW)
+    _check_names("the engine", attributes, ENGINE.values(), ENGINE_RECREATED)
     outer_names = {attribute: outer for outer, attribute in ENGINE.items()}
-    return {outer_names[name]: name for name in attributes if name not in ENGINE_MADE_ANEW}
+    return {outer_names[name]: name for name in attributes if name not in ENGINE_RECREATED}
 
 
 def _check_names(
-    owner: str, attributes: Iterable[str], written: Collection[str], made_anew: Collection[str] = ()
+    owner: str, attributes: Iterable[str], written: Collection[str], recreated: Collection[str] = ()
 ) -> None:
-    """Raise `TypeError` unless each attribute is either written or made anew, and each name is an attribute."""
-    names = [*written, *made_anew]
+    """Raise `TypeError` unless each attribute is either written or recreated, and each name is an attribute."""
+    names = [*written, *recreated]
     wrong = sorted(set(attributes) ^ set(names))
     if wrong or len(names) != len(set(names)):
         raise TypeError(f"{owner}: {__name__} and the code differ about {', '.join(wrong) or 'a name that is twice'}")
 
 
 def _check_tables() -> None:
-    """Raise `TypeError` where a table differs from the code: an attribute would be lost, or restored as another."""
+    """Raise `TypeError` if a table differs from the code: an attribute would be lost, or restored as another."""
     for name, (record, attributes) in RECORDS.items():
-        if record is positions.Positions:  # made without arguments, then filled by name
+        if record is positions.Positions:  # created without arguments, then filled by name
             _check_names(name, attributes_of(positions.Positions()), attributes)
         elif attributes != _positional(record):
             raise TypeError(f"{name}: {__name__} has the attributes {attributes}, the code {_positional(record)}")
-    _check_names("the router's state", _positional(Book), ROUTER.values(), ROUTER_MADE_ANEW)
+    _check_names("the router's state", _positional(Book), ROUTER.values(), ROUTER_RECREATED)
 
 
 def _positional(record: type) -> tuple[str, ...]:
