--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways before stand-ins, all in this process, and plain clients: what tests on sockets open."""
+"""Gateways in front of stand-in servers, all in this process, and plain clients, for tests on sockets."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class Wire:
-    """A plain client."""
+    """A plain client without a client library."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.replies = reader, writer, resp.ReplyReader()
@@ -30,11 +30,12 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     async def ask(self, *words: str | int) -> resp.Value:
+        """Send a command and return its answer."""
         self.writer.write(resp.command(*words))
         return await self.reply()
 
     async def reply(self) -> resp.Value:
-        """The next answer."""
+        """Return the next answer."""
         while (frame := self.replies.take()) is None:
             data = await self.reader.read(65_536)
             if not data:
@@ -44,32 +45,32 @@
 
 
 def started(settings: Settings, **links: int) -> tuple[Gateway, int]:
-    """A gateway on a free port, and the port."""
+    """Start a gateway on a free port, with changed link settings. Returns it and the port."""
     settings = msgspec.structs.replace(settings, links=msgspec.structs.replace(settings.links, **links))
     sockets = listen("127.0.0.1:0")
-    one = Gateway(settings)
-    one.start(sockets)
-    return one, sockets[0].getsockname()[1]
+    gateway = Gateway(settings)
+    gateway.start(sockets)
+    return gateway, sockets[0].getsockname()[1]
 
 
 Input = TypeVar("Input")
 
 
 def given_to(gateway: Gateway, kind: type[Input]) -> list[Input]:
-    """Every input of a kind that the gateway is fed from now on."""
-    found, feed = list[Input](), gateway.feed
+    """A list to which every input of a kind is added that the gateway is fed from now on."""
+    inputs, feed = list[Input](), gateway.feed
 
-    def watched(given: m.AnyInput) -> None:
+    def feed_and_record(given: m.AnyInput) -> None:
         if isinstance(given, kind):
-            found.append(given)
+            inputs.append(given)
         feed(given)
 
-    gateway.feed = watched  # type: ignore[method-assign]
-    return found
+    gateway.feed = feed_and_record  # type: ignore[method-assign]
+    return inputs
 
 
 def program(*words: str) -> tuple[subprocess.Popen[str], str]:
-    """`oatlink` in a process of its own, and the first line that it says."""
+    """Start `oatlink` in its own process. Returns the process and the first line that it prints."""
     process = subprocess.Popen(
         [sys.executable, "-m", "oatlink", *words], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
     )
@@ -79,7 +80,7 @@
 
 @dataclass
 class Served:
-    """A gateway before stand-ins."""
+    """A running gateway in front of stand-in servers."""
 
     embedded: Embedded
     gateway: Gateway
@@ -102,13 +103,16 @@
     before: Callable[[Embedded], None] = lambda _: None,
     links: dict[str, int] | None = None,
 ) -> AsyncIterator[Served]:
-    """One bank of so many boxes; what is done `before` the gateway starts; changes to the gateway's links."""
+    """Run a gateway in front of one bank of `members` boxes.
+
+    `before` is called before the gateway starts; `links` changes the gateway's link settings.
+    """
     embedded = Embedded(1, members, 1, work=work, paths=paths)
-    end = await embedded.start()
+    stop_servers = await embedded.start()
     before(embedded)
     gateway, port = started(embedded.settings(0, log_level="error"), **(links or {}))
     try:
         yield Served(embedded, gateway, port)
     finally:
         await gateway.stop()
-        end()
+        stop_servers()
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -1,4 +1,4 @@
-"""Commands of one client behind each other: each has its final answer in its own time, in order."""
+"""Pipelined commands of one client: each gets its final answer in order, within its own deadline."""
 
 import pytest
 
@@ -14,12 +14,12 @@
 NARROW = SHORT + " + { limits+: { client_pipeline: 2 } }"
 
 
-def begins(answers: bytes) -> list[bytes]:
+def first_words(answers: bytes) -> list[bytes]:
     """The first word of each line."""
     return [line.split(b" ")[0] for line in answers.splitlines()]
 
 
-# ---- By values ----
+# ---- The engine alone ----
 
 
 @pytest.mark.parametrize("own_us", [0, VIEW_US - 1_000, VIEW_US + 1_000])
@@ -30,13 +30,13 @@
     if hung:
         sent(rig.ask("GET", KEY))
         rig.pass_us(VIEW_US + 1_000)
-        rig.end(sent(rig.ask("GET", KEY, client=2)))  # its members are heard again
+        rig.end(sent(rig.ask("GET", KEY, client=2)))  # an answer shows that the members are alive
     rig.text()
-    before, late = len(rig.sent), hung and own_us > 0
+    sent_before, is_late = len(rig.sent), hung and own_us > 0
     rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 0, own_us))
-    assert len(rig.sent) == before + (not late)
-    assert begins(rig.text()) == ([b"-TRYAGAIN"] if late else [])
-    # A pipeline is no lateness of this process: past its aim it is still taken, and nobody is paused.
+    assert len(rig.sent) == sent_before + (not is_late)
+    assert first_words(rig.text()) == ([b"-TRYAGAIN"] if is_late else [])
+    # Time spent in a pipeline is not lateness of the process: past its aim the command is accepted, nobody is paused.
     rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 0, 1_000_000))
     assert len(rig.engine.sessions[2].requests) == 1 and not rig.paused and not rig.engine.counts.get("shed")
 
@@ -45,29 +45,32 @@
 
 
 @scene(world, NARROW)
-async def test_what_waits_behind_a_full_pipeline_is_given_up_in_its_own_time(one: World) -> None:
-    """The fault: two of a client may be open; each further two had their time counted from the answer before them."""
-    one.box.answers.clear()
-    client = await one.wire()
+async def test_what_waits_behind_a_full_pipeline_is_given_up_in_its_own_time(site: World) -> None:
+    """Guards against deadlines that count from the wrong moment.
+
+    A client may have two commands open here. The deadline of each further two was counted from the answer before them.
+    """
+    site.box.answers.clear()
+    client = await site.wire()
     client.writer.write(b"".join(resp.command("GET", f"k{number}") for number in range(16)))
-    other = await one.wire()
+    other = await site.wire()
     assert await other.ask("PING") == PONG
-    got = [await client.reply() for _ in range(16)]
-    assert [str(one).count("nothing was run") for one in got] == [0, 0] + [1] * 14, got
+    answers = [await client.reply() for _ in range(16)]
+    assert [str(answer).count("nothing was run") for answer in answers] == [0, 0] + [1] * 14, answers
 
 
 @scene(world, NARROW)
-async def test_what_was_read_ahead_of_a_full_pipeline_has_its_time_since_it_came(one: World) -> None:
-    asked = given_to(one.gateway, m.CommandReceived)
-    one.box.answers.clear()
-    client = await one.wire()
+async def test_what_was_read_ahead_of_a_full_pipeline_has_its_time_since_it_came(site: World) -> None:
+    commands = given_to(site.gateway, m.CommandReceived)
+    site.box.answers.clear()
+    client = await site.wire()
     client.writer.write(resp.command("GET", "a") + resp.command("GET", "b"))
-    await until(lambda: len(asked) == 2)
+    await until(lambda: len(commands) == 2)
     client.writer.write(resp.command("GET", "c"))
-    (seen,) = one.gateway._clients.values()
-    await until(lambda: seen.stream._read_buffer_size)
-    came_us = seen.stream.since_us
+    (connection,) = site.gateway._clients.values()
+    await until(lambda: connection.stream._read_buffer_size)
+    received_us = connection.stream.since_us
     for _ in range(3):
         await client.reply()
-    # Before, it had come only when its client's earlier ones had ended.
-    assert asked[2].own_us > 0 and one.gateway._now_us - asked[2].own_us >= came_us
+    # It used to count as received only when the client's earlier commands had ended.
+    assert commands[2].own_us > 0 and site.gateway._now_us - commands[2].own_us >= received_us
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine by values alone: order, sessions, identities, positions, deadlines, refusals, repeats."""
+"""The engine without sockets: order, sessions, identities, positions, deadlines, refusals, repeats."""
 
 import random
 from collections.abc import Iterable
@@ -54,6 +54,7 @@
     uptime: int = 999,
     more: str = "",
 ) -> bytes:
+    """The answer of a box to INFO."""
     kind = "slave" if role == "replica" else "master"
     return (
         f"run_id:{run}\r\nuptime_in_seconds:{uptime}\r\nrole:{kind}\r\nslave_repl_offset:{offset}\r\n"
@@ -62,12 +63,16 @@
     ).encode()
 
 
-def ways(one: Member) -> tuple[m.Way, ...]:
-    return tuple(m.Way(way.address, way.hall, way.connect_timeout_ms, way.keepalive_s) for way in one.paths)
+def ways(member: Member) -> tuple[m.Way, ...]:
+    """The further addresses of a member of the settings."""
+    return tuple(m.Way(path.address, path.hall, path.connect_timeout_ms, path.keepalive_s) for path in member.paths)
 
 
 class Rig:
-    """An engine with a clock moved by hand, boxes that answer probes, and a record of what was asked for."""
+    """An engine with a manual clock, boxes that answer probes, and a record of the engine's effects.
+
+    `says` has the report of each box, or of a box over one address; empty if it does not answer.
+    """
 
     def __init__(self, settings: Settings = SETTINGS) -> None:
         self.now = 1_000_000_000
@@ -83,27 +88,36 @@
         self.hung: set[int] = set()
         self.paused: dict[int, int] = {}
         self.probes: list[m.Probe] = []
-        self.mute: set[str] = set()  # addresses over which probes stay without an end
+        self.mute: set[str] = set()  # addresses over which probes never end
         self.other: list[m.AnyEffect] = []
         self.wake = 2**62
         self.give(m.Started())
         self.list()
-        for one in (1, 2):
-            self.give(m.Opened(one))
+        for client in (1, 2):
+            self.give(m.Opened(client))
 
     def list(self, **states: str) -> None:
+        """Feed a roster with the members of the settings, in the given states."""
         boxes = [
-            m.Box(one.name, number, one.address, one.hall, state=states.get(one.name, "ready"), ways=ways(one))
+            m.Box(
+                member.name,
+                number,
+                member.address,
+                member.hall,
+                state=states.get(member.name, "ready"),
+                ways=ways(member),
+            )
             for number, bank in enumerate(self.engine.settings.banks)
-            for one in bank.members
-            if states.get(one.name) != "gone"
+            for member in bank.members
+            if states.get(member.name) != "gone"
         ]
         self.give(m.RosterListed(tuple(boxes)))
 
-    def give(self, one: m.AnyInput) -> None:
-        todo = [one]
-        while todo:
-            for effect in self.engine.handle(todo.pop(0), self.now):
+    def give(self, given: m.AnyInput) -> None:
+        """Feed an input, answer the probes that follow, and record all other effects."""
+        inputs = [given]
+        while inputs:
+            for effect in self.engine.handle(inputs.pop(0), self.now):
                 if isinstance(effect, m.Send):
                     self.sent.append(effect)
                 elif isinstance(effect, m.Answer):
@@ -115,24 +129,27 @@
                 elif isinstance(effect, m.Wake):
                     self.wake = effect.at_us
                 elif isinstance(effect, m.Probe):
-                    said = self.says.get(f"{effect.box} {effect.address}", self.says.get(effect.box))
-                    how = "reply" if said else "late"
+                    report = self.says.get(f"{effect.box} {effect.address}", self.says.get(effect.box))
+                    how = "reply" if report else "late"
                     self.probes.append(effect)
                     if effect.address not in self.mute:
-                        todo.append(m.Probed(effect.box, how, self.now, 300, said or b"", effect.address))
+                        inputs.append(m.Probed(effect.box, how, self.now, 300, report or b"", effect.address))
                 else:
                     self.other.append(effect)
 
     def ask(self, *words: str | int, client: int = 1) -> m.Send | None:
-        before = len(self.sent)
-        self.give(m.CommandReceived(client, [str(one).encode() for one in words]))
-        return self.sent[-1] if len(self.sent) > before else None
+        """Send a command of a client. Returns the attempt that it starts, if any."""
+        sent_before = len(self.sent)
+        self.give(m.CommandReceived(client, [str(word).encode() for word in words]))
+        return self.sent[-1] if len(self.sent) > sent_before else None
 
     def end(self, send: m.Send, frames: Iterable[bytes] = (b"+OK\r\n",), how: str = "reply", info: bytes = b"") -> None:
+        """End an attempt."""
         frames = list(frames) if how == "reply" else []
         self.give(m.Ended(send.request, send.attempt, send.box, how, 1_000, self.now - 1_000, frames, info))
 
     def pass_us(self, us: int) -> None:
+        """Advance time, with the wake-ups that the engine has requested."""
         end = self.now + us
         while self.wake <= end:
             self.now = max(self.now, self.wake)
@@ -141,6 +158,7 @@
         self.now = end
 
     def text(self, client: int = 1) -> bytes:
+        """Take all answers that a client has received since the last call."""
         return b"".join(self.answers.pop(client, []))
 
 
@@ -149,15 +167,16 @@
     return Rig()
 
 
-def met(box: str, said: bytes, now_us: int) -> m.Dialled:
-    """A connection that nobody waits for any more has shown what its box says."""
+def met(box: str, report: bytes, now_us: int) -> m.Dialled:
+    """A box's report over a connection that no link waits for any more."""
     address = {"p": "127.0.0.1:1001", "r": "127.0.0.1:1002"}[box]
-    return m.Dialled(box, 99, address, "reply", now_us, 300, said)
+    return m.Dialled(box, 99, address, "reply", now_us, 300, report)
 
 
-def sent(one: m.Send | None) -> m.Send:
-    assert one is not None
-    return one
+def sent(attempt: m.Send | None) -> m.Send:
+    """Assert that a command has started an attempt, and return it."""
+    assert attempt is not None
+    return attempt
 
 
 def test_a_write_goes_to_the_primary_and_its_answer_comes_back(rig: Rig) -> None:
@@ -168,7 +187,7 @@
 
 
 def test_a_bounded_read_goes_to_a_replica_and_a_current_one_to_the_primary(rig: Rig) -> None:
-    rig.end(sent(rig.ask("GET", KEY)))  # the first one takes the first member whose answer is in
+    rig.end(sent(rig.ask("GET", KEY)))  # the first read goes to the first member whose report has arrived
     assert sent(rig.ask("GET", KEY)).box in ("r", "s")
     assert sent(rig.ask("GET", PLAIN)).box == "p"
 
@@ -192,8 +211,8 @@
 
 def test_answers_leave_in_order_and_one_slot_keeps_its_order(rig: Rig) -> None:
     first = sent(rig.ask("SET", PLAIN, 1))
-    assert rig.ask("GET", PLAIN) is None  # waits for the write before it
-    other = sent(rig.ask("GET", OTHER))  # another slot does not
+    assert rig.ask("GET", PLAIN) is None  # waits for the write to the same slot
+    other = sent(rig.ask("GET", OTHER))  # another slot does not wait
     rig.end(other, [b"$1\r\nx\r\n"])
     assert rig.text() == b""
     rig.end(first)
@@ -204,7 +223,7 @@
 
 def test_a_sessions_own_write_binds_its_reads_and_no_one_elses(rig: Rig) -> None:
     rig.end(sent(rig.ask("SET", OWN, 1)))
-    rig.says["p"] = info("primary", 150, run="p")  # the write is at 101 to 150; the replicas are at 100
+    rig.says["p"] = info("primary", 150, run="p")  # the write is between 101 and 150; the replicas are at 100
     assert sent(rig.ask("GET", OWN)).box == "p"
     assert sent(rig.ask("GET", OWN, client=2)).box in ("r", "s")
 
@@ -236,7 +255,7 @@
     assert again.box == "r" and again.until_us <= 1_000_000_000 + 2_000_000
     rig.end(again, how="reset")
     rig.pass_us(2_500_000)
-    assert rig.text().startswith(b"-ERR failed") and all(one.until_us <= 1_002_000_000 for one in rig.sent[1:])
+    assert rig.text().startswith(b"-ERR failed") and all(attempt.until_us <= 1_002_000_000 for attempt in rig.sent[1:])
 
 
 def test_writes_are_held_over_an_election_and_then_served(rig: Rig) -> None:
@@ -259,7 +278,7 @@
     text = rig.text()
     assert text.count(b"\r\n") == 3 and text.startswith(b"-ERR failed") and rig.engine.idle
     for send in list(rig.sent):
-        rig.end(send)  # far too late
+        rig.end(send)  # long after the answer
     assert rig.text() == b""
 
 
@@ -296,8 +315,8 @@
     rig.now += 10_000
     state = rig.engine._boxes["p"]
     rig.give(met("p", info("primary", 180, run="p"), rig.now))
-    found = rig.engine._report(state, rig.now)
-    assert found is not None and found.role is Role.UNKNOWN
+    report = rig.engine._report(state, rig.now)
+    assert report is not None and report.role is Role.UNKNOWN
 
 
 def test_nothing_new_goes_to_a_draining_member(rig: Rig) -> None:
@@ -348,10 +367,10 @@
     assert read.lease == watch.lease
     rig.end(read, how="reset")
     again = rig.sent[-1]
-    assert again.request == read.request and again.lease == 0  # a read may go on elsewhere
+    assert again.request == read.request and again.lease == 0  # a read may be sent again elsewhere
     rig.end(again, [b"$1\r\n5\r\n"])
     rig.text()
-    assert rig.ask("WATCH", PLAIN) is None  # never on a connection that others share
+    assert rig.ask("WATCH", PLAIN) is None  # WATCH is never sent on a connection that others share
     rig.ask("MULTI")
     rig.ask("SET", PLAIN, 1)
     assert rig.ask("EXEC") is None and rig.text().endswith(b"+QUEUED\r\n*-1\r\n")
@@ -363,7 +382,7 @@
     rig.ask("SET", PLAIN, 1)
     rig.end(sent(rig.ask("EXEC")), how="unsent")
     rig.pass_us(1_000_000)
-    assert [one.payload for one in rig.sent if b"EXEC" in one.payload][1:] == []
+    assert [attempt.payload for attempt in rig.sent if b"EXEC" in attempt.payload][1:] == []
     assert rig.text().endswith(b"+QUEUED\r\n*-1\r\n")
 
 
@@ -424,14 +443,14 @@
     rig.ask("AUTH", "u", "wrong")
     rig.ask("AUTH", "u", "x")
     rig.ask("PING")
-    assert [one[:9] for one in rig.text().split(b"\r\n")[:4]] == [b"-NOAUTH A", b"-WRONGPAS", b"+OK", b"+PONG"]
+    assert [line[:9] for line in rig.text().split(b"\r\n")[:4]] == [b"-NOAUTH A", b"-WRONGPAS", b"+OK", b"+PONG"]
 
 
 def test_outcome_table_tells_what_never_ran() -> None:
     for prefix in (b"READONLY", b"LOADING", b"MASTERDOWN", b"MOVED", b"BUSY", b"OOM", b"NOREPLICAS"):
         assert not outcomes.of_reply([b"-" + prefix + b" text\r\n"], False).may_have_run
     assert outcomes.of_reply([b"-ERR mine\r\n"], False) is Outcome.SERVED
-    assert [one for one, found in outcomes.ENDINGS.items() if found.may_have_run] == ["reset", "late", "bad reply"]
+    assert [how for how, outcome in outcomes.ENDINGS.items() if outcome.may_have_run] == ["reset", "late", "bad reply"]
     assert outcomes.enough_replicas(b":2\r\n", 1) and not outcomes.enough_replicas(b":0\r\n", 1)
 
 
@@ -439,9 +458,9 @@
     classifier = Classifier(SETTINGS)
     for name, spec in COMMANDS.items():
         args = [name, KEY.encode(), b"x", b"y"]
-        found = classifier.class_of(spec, args, [KEY.encode()], "", "")
+        rule = classifier.class_of(spec, args, [KEY.encode()], "", "")
         if spec.kind.value not in ("read", "keyless read"):
-            assert found.freshness == "write", spec
+            assert rule.freshness == "write", spec
 
 
 def test_ten_thousand_mutated_replies_from_members_harm_nothing() -> None:
@@ -455,11 +474,11 @@
         b":7\r\n",
     ]
     report = info("replica", 100, run="r")
-    rig, taken = Rig(), 0
+    rig, ended = Rig(), 0
     for _ in range(10_000):
         data = bytearray(rng.choice(good))
-        said = bytearray(report)
-        for target in (data, said):
+        mutated_report = bytearray(report)
+        for target in (data, mutated_report):
             for _ in range(rng.randrange(3)):
                 target[rng.randrange(len(target))] = rng.randrange(256)
         reader = resp.ReplyReader()
@@ -472,12 +491,12 @@
             how = "bad reply"
         send = rig.ask("GET", KEY) or rig.sent[-1]
         if frames or how != "reply":
-            taken += 1
-            rig.end(send, frames[:1], how, bytes(said) if rng.random() < 0.2 else b"")
+            ended += 1
+            rig.end(send, frames[:1], how, bytes(mutated_report) if rng.random() < 0.2 else b"")
         rig.pass_us(rng.randrange(100, 50_000))
     rig.pass_us(6_000_000)
-    assert rig.engine.idle and taken > 5_000
-    assert len(rig.engine._names) < 3_000  # boxes that are new members again and again are not all remembered
+    assert rig.engine.idle and ended > 5_000
+    assert len(rig.engine._names) < 3_000  # boxes that become new members again and again are not all kept
 
 
 @given(st.lists(st.sampled_from([b"IDMP", b"*", b"MAXLEN", b"p", b"k", b"1-1", b"~", b"5", b"NOMKSTREAM"]), max_size=8))
@@ -485,8 +504,8 @@
     spec = find_command(b"xadd")
     assert spec is not None
     args = [b"XADD", b"s", *words]
-    found = idempotency_key(spec, args)
-    if found is not None:
+    key = idempotency_key(spec, args)
+    if key is not None:
         assert b"IDMP" in words and (b"*" not in words or words.index(b"IDMP") < words.index(b"*"))
 
 
@@ -494,22 +513,28 @@
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 400)), max_size=60))
 def test_whatever_happens_each_command_is_answered_once_and_in_time(steps: list[tuple[int, int]]) -> None:
     rig = Rig()
-    asked = 0
-    for what, number in steps:
-        if what < 3:
-            asked += 1
-            rig.ask(*[("GET", KEY), ("SET", PLAIN, 1), ("XADD", PLAIN, "IDMP", "p", asked, "*", "f", "v")][what])
-        elif what < 7 and rig.sent:
-            how = ["reply", "reset", "refused", "no room"][what - 3]
+    command_count = 0
+    for action, number in steps:
+        if action < 3:
+            command_count += 1
+            rig.ask(
+                *[("GET", KEY), ("SET", PLAIN, 1), ("XADD", PLAIN, "IDMP", "p", command_count, "*", "f", "v")][action]
+            )
+        elif action < 7 and rig.sent:
+            how = ["reply", "reset", "refused", "no room"][action - 3]
             rig.end(rig.sent[number % len(rig.sent)], how=how)
-        elif what == 7:
+        elif action == 7:
             rig.pass_us(number * 1_000)
-        elif what == 8:
+        elif action == 8:
             rig.says["p"], rig.says["r"] = b"", info("primary", 100 + number, "h2", "r", "h1", 101)
         else:
             rig.list(**{["p", "r", "s"][number % 3]: ["ready", "terminating", "gone"][number % 2]})
     rig.pass_us(6_000_000)
-    assert rig.engine.idle and not rig.engine._sessions[1].unfinished_by_slot and rig.text().count(b"\r\n") == asked
-    for name in {one.request for one in rig.sent}:
-        kinds = [one for one in rig.sent if one.request == name and one.payload.startswith(b"*3\r\n$3\r\nSET")]
-        assert len(kinds) <= 6
+    assert (
+        rig.engine.idle
+        and not rig.engine._sessions[1].unfinished_by_slot
+        and rig.text().count(b"\r\n") == command_count
+    )
+    for request in {attempt.request for attempt in rig.sent}:
+        attempts = [attempt for attempt in rig.sent if attempt.request == request]
+        assert sum(attempt.payload.startswith(b"*3\r\n$3\r\nSET") for attempt in attempts) <= 6
--- a/tests/test_random_news.py
+++ b/tests/test_random_news.py
@@ -1,4 +1,4 @@
-"""Contradictory and out-of-order news at random, with fixed seeds: the rules that events can show."""
+"""Random, contradictory and out-of-order events with fixed seeds: the router's rules that events can show hold."""
 
 import random
 
@@ -9,47 +9,48 @@
 from tests.conftest import POST, SETTINGS, Driver, member
 
 CLASSES = {rule.name: rule for rule in SETTINGS.classes}
-TOLD_US = 20_000  # a final answer may come this long past the end of the client's patience
+ANSWER_TOLERANCE_US = 20_000  # a final answer may come this long after the request has expired
 
 
-class Watch:
-    """Feeds one router with random news and checks what it does."""
+class RandomEvents:
+    """Feeds random events to one router and checks its actions."""
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.random = random.Random(seed)
         self.driver = Driver(seed=seed, must_ask_roster=bool(seed % 2), **changes)
-        self.open: dict[str, tuple[str, int, int]] = {}
-        self.tries: dict[str, list[tuple[int, int, Outcome | None]]] = {}
-        self.out: list[tuple[str, int, int]] = []
-        self.checks: list[int] = []
+        self.open_requests: dict[str, tuple[str, int, int]] = {}
+        self.attempts: dict[str, list[tuple[int, int, Outcome | None]]] = {}
+        self.open_attempts: list[tuple[str, int, int]] = []
+        self.requested_checks: list[int] = []
         self.groups = {number: number % 3 for number in range(1, 13)}
         self.drained: set[int] = set()
         self.fired = 0
 
-    def take(self, actions: list[api.Action]) -> None:
+    def check(self, actions: list[api.Action]) -> None:
+        """Check the router's actions against its rules and record them."""
         now = self.driver.now
         for action in actions:
             if isinstance(action, api.Send):
-                name, group, _ = self.open[action.request]
+                name, group, _ = self.open_requests[action.request]
                 assert self.groups[action.member] == group and action.member not in self.drained
-                earlier = self.tries[action.request]
+                earlier = self.attempts[action.request]
                 if any(end is None or end.may_have_run for _, _, end in earlier):
                     assert CLASSES[name].effect is not api.Effect.UNSAFE
                     if CLASSES[name].effect is api.Effect.KEYED:
                         first = min(sent for _, sent, end in earlier if end is None or end.may_have_run)
                         assert now < first + POST.repeat_window_us
-                self.out.append((action.request, len(earlier), action.member))
+                self.open_attempts.append((action.request, len(earlier), action.member))
                 earlier.append((action.member, now, None))
                 assert len(earlier) <= SETTINGS.max_attempts
             elif isinstance(action, api.Refuse | api.Fail):
-                name, _, _ = self.open.pop(action.request)
-                ran = any(end is None or end.may_have_run for _, _, end in self.tries[action.request])
+                name, _, _ = self.open_requests.pop(action.request)
+                ran = any(end is None or end.may_have_run for _, _, end in self.attempts[action.request])
                 if isinstance(action, api.Refuse) and ran:
                     assert CLASSES[name].effect is api.Effect.IDEMPOTENT
             elif isinstance(action, api.Check):
-                self.checks.append(action.member)
+                self.requested_checks.append(action.member)
 
-    def list_news(self) -> api.Roster:
+    def random_roster(self) -> api.Roster:
         draw = self.random
         if draw.random() < 0.1:
             return api.Roster(api.RosterKind.FAILED)
@@ -72,41 +73,52 @@
             )
         return api.Roster(kind, tuple(entries))
 
-    def report(self) -> api.Report | None:
+    def random_report(self) -> api.Report | None:
         draw = self.random
         if draw.random() < 0.2:
             return None
         position = draw.choice([None, self.driver.now - draw.randrange(3_000_000), self.driver.now + 10**9])
         return api.Report(position, draw.choice(list(Role)))
 
-    def end_one(self) -> None:
+    def end_attempt(self) -> None:
+        """End a random open attempt with a random outcome."""
         draw = self.random
-        request, number, target = self.out.pop(draw.randrange(len(self.out)))
-        outcome = draw.choice([Outcome.SERVED] * 4 + [one for one in Outcome if one is not Outcome.NOT_SENT])
-        _, sent, _ = self.tries[request][number]
-        self.tries[request][number] = (target, sent, outcome)
-        over = request not in self.open or outcome is Outcome.SERVED
+        request, number, target = self.open_attempts.pop(draw.randrange(len(self.open_attempts)))
+        outcome = draw.choice(
+            [Outcome.SERVED] * 4 + [outcome for outcome in Outcome if outcome is not Outcome.NOT_SENT]
+        )
+        _, sent, _ = self.attempts[request][number]
+        self.attempts[request][number] = (target, sent, outcome)
+        over = request not in self.open_requests or outcome is Outcome.SERVED
         if outcome is Outcome.SERVED:
-            self.open.pop(request, None)
-        self.take(
+            self.open_requests.pop(request, None)
+        self.check(
             self.driver.give(
                 api.AttemptEnded(
-                    request, number, target, outcome, max(0, self.driver.now - sent), over, self.report(), self.report()
+                    request,
+                    number,
+                    target,
+                    outcome,
+                    max(0, self.driver.now - sent),
+                    over,
+                    self.random_report(),
+                    self.random_report(),
                 )
             )
         )
 
     def step(self) -> None:
+        """Feed one random event, or let time pass."""
         draw, driver = self.random, self.driver
-        what = draw.random()
-        if what < 0.3:
+        event = draw.random()
+        if event < 0.3:
             name, group = draw.choice(sorted(CLASSES)), draw.randrange(4)
-            longest = CLASSES[name].deadline_us
-            expires = draw.choice([9_000, 25_000, longest // 2, longest])
+            deadline_us = CLASSES[name].deadline_us
+            expires = draw.choice([9_000, 25_000, deadline_us // 2, deadline_us])
             driver.count += 1
             request = f"r{driver.count}"
-            self.open[request], self.tries[request] = (name, group, driver.now + expires), []
-            self.take(
+            self.open_requests[request], self.attempts[request] = (name, group, driver.now + expires), []
+            self.check(
                 driver.give(
                     api.Arrival(
                         request,
@@ -119,50 +131,54 @@
                     )
                 )
             )
-        elif what < 0.6 and self.out:
-            self.end_one()
-        elif what < 0.7 and self.checks:
-            target = self.checks.pop(draw.randrange(len(self.checks)))
+        elif event < 0.6 and self.open_attempts:
+            self.end_attempt()
+        elif event < 0.7 and self.requested_checks:
+            target = self.requested_checks.pop(draw.randrange(len(self.requested_checks)))
             outcome = draw.choice([Outcome.SERVED, Outcome.SERVED, Outcome.LATE, Outcome.FULL])
-            self.take(driver.give(api.Checked(target, outcome, draw.randrange(300_000), self.report())))
-        elif what < 0.74:
-            self.take(driver.give(self.list_news()))
-        elif what < 0.76:
-            self.take(driver.give(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.report())))
-            self.take(driver.give(api.TimerFired("unasked")))
-            self.take(driver.give(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
+            self.check(driver.give(api.Checked(target, outcome, draw.randrange(300_000), self.random_report())))
+        elif event < 0.74:
+            self.check(driver.give(self.random_roster()))
+        elif event < 0.76:
+            self.check(driver.give(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.random_report())))
+            self.check(driver.give(api.TimerFired("unasked")))
+            self.check(driver.give(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
         else:
             self.pass_time(draw.choice([0, 5_000, 20_000, 100_000]))
 
     def pass_time(self, us: int) -> None:
-        """Batches of 5 ms; timers fire in their batch, and overdue attempts end at the client's limit."""
+        """Advance time by 5 ms at a time: timers fire, and attempts of expired requests end as late."""
         driver, end = self.driver, self.driver.now + us
         while driver.now < end:
             driver.now += 5_000
-            for timer in [one for one in driver.timers if one.at_us <= driver.now]:
+            for timer in [timer for timer in driver.timers if timer.at_us <= driver.now]:
                 driver.timers.remove(timer)
                 self.fired += 1
-                self.take(driver.give(api.TimerFired(timer.name)))
-            for request, (_, _, expires) in list(self.open.items()):
-                if driver.now >= expires and any(one[0] == request for one in self.out):
-                    for one in [one for one in self.out if one[0] == request]:
-                        self.out.remove(one)
-                        target, sent, _ = self.tries[request][one[1]]
-                        self.tries[request][one[1]] = (target, sent, Outcome.LATE)
-                        self.take(
+                self.check(driver.give(api.TimerFired(timer.name)))
+            for request, (_, _, expires) in list(self.open_requests.items()):
+                if driver.now >= expires:
+                    for attempt in [attempt for attempt in self.open_attempts if attempt[0] == request]:
+                        self.open_attempts.remove(attempt)
+                        number = attempt[1]
+                        target, sent, _ = self.attempts[request][number]
+                        self.attempts[request][number] = (target, sent, Outcome.LATE)
+                        is_over = request not in self.open_requests
+                        self.check(
                             driver.give(
-                                api.AttemptEnded(
-                                    request, one[1], target, Outcome.LATE, driver.now - sent, request not in self.open
-                                )
+                                api.AttemptEnded(request, number, target, Outcome.LATE, driver.now - sent, is_over)
                             )
                         )
-            overdue = [one for one, (_, _, expires) in self.open.items() if driver.now > expires + TOLD_US]
+            overdue = [
+                request
+                for request, (_, _, expires) in self.open_requests.items()
+                if driver.now > expires + ANSWER_TOLERANCE_US
+            ]
             assert not overdue
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_news_breaks_no_rule(seed: int) -> None:
-    watch = Watch(
+    events = RandomEvents(
         seed,
         peers=(1, 3, 400)[seed % 3],
         members_check_reads=bool(seed // 2 % 2),
@@ -170,8 +186,8 @@
         over_share_worth=0.2,
     )
     for _ in range(3_000):
-        watch.step()
-    watch.pass_time(6_000_000)
-    router = watch.driver.router
-    assert not watch.open and not router.book.requests
+        events.step()
+    events.pass_time(6_000_000)
+    router = events.driver.router
+    assert not events.open_requests and not router.book.requests
     assert len(router.book.members) <= 12 and len(router.book.due) < 50
