--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -51,6 +51,7 @@
         self._draining = True
 
     def _flush(self, session: Session) -> None:
+        """Send the answers that can be sent now."""
         parts, done, hangs_up = session.take_answers()
         if parts:
             session.answered += done
@@ -82,9 +83,9 @@
         spec = find_command(args[0])
         if spec is None:
             session.transaction_failed = session.queued is not None
-            shown = args[0][:128].decode("utf-8", "replace")
+            name = args[0][:128].decode("utf-8", "replace")
             first_args = " ".join(f"'{arg[:32].decode('utf-8', 'replace')}'" for arg in args[1:5])
-            self._reply(session, error(f"ERR unknown command '{shown}', with args beginning with: {first_args}"))
+            self._reply(session, error(f"ERR unknown command '{name}', with args beginning with: {first_args}"))
             return
         if not spec.arity_fits(len(args)):
             session.transaction_failed = session.queued is not None
@@ -112,6 +113,7 @@
             self._submit(session, spec, args)
 
     def _answer_locally(self, session: Session, spec: Spec, args: list[bytes]) -> None:
+        """Answer a command that needs no box."""
         if session.queued is not None and spec.name not in ("quit", "reset"):
             session.transaction_failed = True
             self._reply(session, error(f"ERR {spec.name} is not served inside a transaction by this gateway"))
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -287,9 +287,9 @@
         """Create a request for a command with keys, or for one without keys if there is only one group."""
         try:
             keys = spec.keys(args)
-        except ValueError as key_error:
+        except ValueError as invalid_keys:
             session.transaction_failed = session.queued is not None
-            self._reply(session, error(str(key_error)))
+            self._reply(session, error(str(invalid_keys)))
             return
         slots = slots_of(keys)
         group_error = self._group_error(spec, slots)
@@ -305,26 +305,26 @@
         if session.lease and not writes:
             rule = PINNED
         party = session.user or f"#{session.client}"
-        back_us = self._admission.admit(
+        retry_after_us = self._admission.admit(
             self._now, self._late_us, rule, party, len(self._requests) + self._behind, self._waited_us
         )
-        if back_us and not session.lease:
-            self._shed(session, rule, back_us)
+        if retry_after_us and not session.lease:
+            self._shed(session, rule, retry_after_us)
             return
         session.shed_in_a_row = 0
-        gated = version = 0
+        quota_retry_us = version = 0
         if self._gate.on:
-            version, away_us = self._version(session, rule, slots)
-            if away_us:
-                self._reply(session, unserved(version, away_us))
+            version, version_retry_us = self._version(session, rule, slots)
+            if version_retry_us:
+                self._reply(session, unserved(version, version_retry_us))
                 return
-            gated = self._over_quota(session, rule, spec.name, keys, 1)
-            if gated > 0:
-                self._reply(session, over_quota(gated))
+            quota_retry_us = self._over_quota(session, rule, spec.name, keys, 1)
+            if quota_retry_us > 0:
+                self._reply(session, over_quota(quota_retry_us))
                 return
         request = self._new_request(session, rule, slots, writes, encode_command(args))
         request.version = version
-        if gated:
+        if quota_retry_us:  # `HELD`
             self._hold_at_gate(request, spec.name, keys, 1)
         if session.lease:
             request.lease = session.lease
@@ -335,16 +335,18 @@
             request.replies, request.alone = 2, True
         self._add_request(session, request)
 
-    def _shed(self, session: Session, rule: RequestClass, back_us: int) -> None:
+    def _shed(self, session: Session, rule: RequestClass, retry_after_us: int) -> None:
         """Refuse a command before any state of it is kept, and do not read from its connection for a while."""
         self.counts["refused"] += 1
         self.counts["shed"] += 1
         self._out.append(m.Counted(rule.name, "shed", self._late_us))
-        self._reply(session, refusal(back_us))
+        self._reply(session, refusal(retry_after_us))
         # A command past its deadline starts no pause. Its client may have more commands unread that are owed an answer
         # in time, and on a connection shared by many, commands sent during one pause would be late and cause the next.
         if not past(self._waited_us, rule):
-            pause_us = min(back_us, self._first_pause_us << min(session.shed_in_a_row, 8), self._longest_pause_us)
+            pause_us = min(
+                retry_after_us, self._first_pause_us << min(session.shed_in_a_row, 8), self._longest_pause_us
+            )
             session.shed_in_a_row += 1
             self._out.append(m.Pause(session.client, self._now + pause_us))
 
@@ -366,15 +368,16 @@
         payload: bytes,
         replies: int = 1,
     ) -> PendingRequest:
+        """Create a request and its place among the session's replies."""
         self._last_request += 1
-        place = PendingReply()
-        session.pending_replies.append(place)
+        reply = PendingReply()
+        session.pending_replies.append(reply)
         group = self._classifier.group_of(slots) if slots else 0
         assert group is not None
         return PendingRequest(
             self._last_request,
             session.client,
-            place,
+            reply,
             rule,
             group,
             slots,
--- a/oatlink/core/sessions.py
+++ b/oatlink/core/sessions.py
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True)
 class PendingReply:
-    """The answer to one command of a session, once it is known, in the order of the commands."""
+    """The answer to one command, None until it is known. Sessions keep them in the order of the commands."""
 
     answer: bytes | None = None
-    hangup: bool = False
+    hangup: bool = False  # close the connection after it
 
 
 @dataclass(slots=True)
@@ -34,23 +34,22 @@
     slots: list[int]
     is_write: bool
     payload: bytes
-    replies: int
+    replies: int  # reply frames to expect
     arrived_us: int
     protocol: int
     is_transaction: bool = False
-    is_exec: bool = False  # EXEC
-    is_watch: bool = False  # WATCH
-    lease: int = 0
-    alone: bool = False
-    wait_replicas: int = 0
-    started: bool = False
-    attempts: int = 0
+    is_exec: bool = False
+    is_watch: bool = False
+    lease: int = 0  # number of the connection reserved for the client; 0: none
+    alone: bool = False  # nothing else may use the connection meanwhile
+    wait_replicas: int = 0  # replicas that must have the write before it is answered
+    started: bool = False  # passed to the Router
+    attempts: int = 0  # sent so far
     first_sent_us: int = 0  # start of the window for repeats: the first attempt that may have run
     may_have_run: bool = False  # in an attempt that has ended
     runs_from: int = 0  # nothing can run before this many bytes of the payload are sent; 0: all of them
-    open_attempts: dict[int, tuple[int, str, int, str]] = field(
-        default_factory=dict
-    )  # attempt: member, box, time, address
+    # Attempt: member, box, when it was sent, address.
+    open_attempts: dict[int, tuple[int, str, int, str]] = field(default_factory=dict)
     version: int = 0  # of the layout that it is made for; 0: no layout
     gated: tuple[str, list[bytes], int] | None = None  # waits for a grant of the fleet: command, first key, cost
 
@@ -64,24 +63,24 @@
     name: str = ""
     user: str = ""
     peer: str = ""
-    since_us: int = 0
+    since_us: int = 0  # when the client connected
     pending_replies: deque[PendingReply] = field(default_factory=deque)
     requests: dict[int, PendingRequest] = field(default_factory=dict)  # owed an answer, by number
-    waiting: list[PendingRequest] = field(default_factory=list)
+    waiting: list[PendingRequest] = field(default_factory=list)  # for earlier requests of the same slots
     unfinished_by_slot: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
     queued: list[tuple[list[bytes], bool]] | None = None  # commands since MULTI: arguments, whether it writes
     queued_bytes: int = 0
     queued_slots: list[int] = field(default_factory=list)
-    transaction_failed: bool = False
+    transaction_failed: bool = False  # a command since MULTI was refused, so EXEC is too
     watching: list[int] = field(default_factory=list)  # slots of the watched keys
-    lease: int = 0
-    lease_box: str = ""
-    lease_lost: bool = False
-    answered: int = 0
-    closing: bool = False
+    lease: int = 0  # number of the connection reserved for the client; 0: none
+    lease_box: str = ""  # the box that it goes to, once it is known
+    lease_lost: bool = False  # its keys are no longer watched
+    answered: int = 0  # commands
+    closing: bool = False  # no further command is accepted
     last_unserved_us: int = -1  # when a request last ended unserved past its aim
     shed_in_a_row: int = 0  # consecutive refusals because of the gateway's load
-    admin: bool = False
+    admin: bool = False  # connected by the operators' listener
     recorder_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the recorder
     pinned_version: int = 0  # version of this connection's requests, unless its name says another
     fleet_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the fleet's node
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -75,18 +75,18 @@
         rule = self._classifier.class_of_transaction(writes, session.user, session.name)
         if session.lease and not writes:
             rule = PINNED
-        gated, key = 0, queued[0][0][1:2] if queued else []
+        quota_retry_us, key = 0, queued[0][0][1:2] if queued else []
         version = 0
         if self._gate.on and queued:
-            version, away_us = self._version(session, rule, slots)
-            if away_us:
+            version, version_retry_us = self._version(session, rule, slots)
+            if version_retry_us:
                 self._release(session)
-                self._reply(session, unserved(version, away_us))
+                self._reply(session, unserved(version, version_retry_us))
                 return
-            gated = self._over_quota(session, rule, "exec", key, len(queued))
-            if gated > 0:
+            quota_retry_us = self._over_quota(session, rule, "exec", key, len(queued))
+            if quota_retry_us > 0:
                 self._release(session)
-                self._reply(session, over_quota(gated))
+                self._reply(session, over_quota(quota_retry_us))
                 return
         parts = [
             b"*1\r\n$5\r\nMULTI\r\n",
@@ -99,7 +99,7 @@
         request.lease = session.lease
         if not session.lease and rule.wait_replicas:
             request.alone = True
-        if gated:
+        if quota_retry_us:  # `HELD`
             self._hold_at_gate(request, "exec", key, len(queued))
         self._add_request(session, request)
 
@@ -115,11 +115,11 @@
         if self._draining:
             self._reply(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
             return
-        gated, keys = 0, spec.keys(args)
+        quota_retry_us, keys = 0, spec.keys(args)
         if self._gate.on:
-            gated = self._over_quota(session, PINNED, spec.name, keys, 1)
-            if gated > 0:
-                self._reply(session, over_quota(gated))
+            quota_retry_us = self._over_quota(session, PINNED, spec.name, keys, 1)
+            if quota_retry_us > 0:
+                self._reply(session, over_quota(quota_retry_us))
                 return
         if not session.lease:
             self._last_lease += 1
@@ -127,11 +127,12 @@
         session.watching += [slot for slot in slots if slot not in session.watching]
         request = self._new_request(session, PINNED, slots, True, encode_command(args))
         request.lease, request.is_watch = session.lease, True
-        if gated:
+        if quota_retry_us:  # `HELD`
             self._hold_at_gate(request, spec.name, keys, 1)
         self._add_request(session, request)
 
     def _end_lease(self, request: PendingRequest) -> None:
+        """Give up the lease of a request that was refused or has failed."""
         session = self._sessions.get(request.client)
         if session is not None and request.lease and session.lease == request.lease:
             session.lease_lost = True
@@ -155,6 +156,7 @@
         self._finish(request, null if request.is_exec else OK)
 
     def _release(self, session: Session) -> None:
+        """Release a client's reserved connection, if it has one, and forget its watched keys."""
         if session.lease:
             self._out.append(m.Release(session.lease, session.lease_box))
         session.lease, session.lease_box, session.lease_lost, session.watching = 0, "", False, []
