--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -44,7 +44,7 @@
         return resp.decode(frame)
 
 
-def started(settings: Settings, **links: int) -> tuple[Gateway, int]:
+def start_gateway(settings: Settings, **links: int) -> tuple[Gateway, int]:
     """Start a gateway on a free port, with changed link settings. Returns it and the port."""
     settings = msgspec.structs.replace(settings, links=msgspec.structs.replace(settings.links, **links))
     sockets = listen("127.0.0.1:0")
@@ -56,7 +56,7 @@
 Input = TypeVar("Input")
 
 
-def given_to(gateway: Gateway, kind: type[Input]) -> list[Input]:
+def record_inputs(gateway: Gateway, kind: type[Input]) -> list[Input]:
     """A list to which every input of a kind is added that the gateway is fed from now on."""
     inputs, feed = list[Input](), gateway.feed
 
@@ -69,7 +69,7 @@
     return inputs
 
 
-def program(*words: str) -> tuple[subprocess.Popen[str], str]:
+def start_program(*words: str) -> tuple[subprocess.Popen[str], str]:
     """Start `oatlink` in its own process. Returns the process and the first line that it prints."""
     process = subprocess.Popen(
         [sys.executable, "-m", "oatlink", *words], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
@@ -110,7 +110,7 @@
     embedded = Embedded(1, members, 1, work=work, paths=paths)
     stop_servers = await embedded.start()
     before(embedded)
-    gateway, port = started(embedded.settings(0, log_level="error"), **(links or {}))
+    gateway, port = start_gateway(embedded.settings(0, log_level="error"), **(links or {}))
     try:
         yield Served(embedded, gateway, port)
     finally:
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -4,7 +4,7 @@
 
 from oatlink.core import messages as m
 from oatlink.protocols import resp
-from tests.gateways import given_to
+from tests.gateways import record_inputs
 from tests.scenes import scene
 from tests.test_engine import KEY, Rig, sent
 from tests.test_gateway_crossings import PONG, World, until, world
@@ -61,7 +61,7 @@
 
 @scene(world, NARROW)
 async def test_what_was_read_ahead_of_a_full_pipeline_has_its_time_since_it_came(site: World) -> None:
-    commands = given_to(site.gateway, m.CommandReceived)
+    commands = record_inputs(site.gateway, m.CommandReceived)
     site.box.answers.clear()
     client = await site.wire()
     client.writer.write(resp.command("GET", "a") + resp.command("GET", "b"))
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -17,14 +17,14 @@
 import redis.asyncio
 
 from oatlink.protocols import resp
-from tests.gateways import program
+from tests.gateways import start_program
 
 
 class Up:
     """`oatlink up` in a process of its own."""
 
     def __init__(self, *options: str) -> None:
-        self.process, line = program("up", "--port", "0", *options)
+        self.process, line = start_program("up", "--port", "0", *options)
         assert line.startswith("ready 127.0.0.1:"), line
         self.port = int(line.rsplit(":", 1)[1])
 
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -16,7 +16,7 @@
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
 from oatlink.settings import load_text
-from tests.gateways import Wire, given_to, started
+from tests.gateways import Wire, record_inputs, start_gateway
 from tests.scenes import scene
 
 PATIENCE_S = 20.0
@@ -146,7 +146,7 @@
             f" + {more}",
             "test",
         )
-        gateway, port = started(settings, **links)
+        gateway, port = start_gateway(settings, **links)
         one = World(gateway, box, port)
         try:
             await until(lambda: not gateway.engine.without_primary)
@@ -266,7 +266,7 @@
 async def test_a_command_whose_client_left_before_its_connection_came_up_is_not_written(
     one: World, words: Words
 ) -> None:
-    ends = given_to(one.gateway, m.Ended)
+    ends = record_inputs(one.gateway, m.Ended)
     await one.sees_leave(await waits(one, *words))
     assert [each.how for each in ends] == ["withdrawn"]  # at once, and the box is not blamed for it
     one.box.greets.set()
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -17,7 +17,7 @@
 from oatlink.protocols import resp
 from oatlink.rules import placing
 from oatlink.standins.box import Work
-from tests.gateways import Served, Wire, given_to, served
+from tests.gateways import Served, Wire, record_inputs, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, info, sent
 from tests.test_operators import Site
@@ -78,7 +78,7 @@
 @scene(served, 1)
 async def test_an_answer_that_lay_in_the_process_does_not_count_as_the_boxs_time(one: Served) -> None:
     """The loop is kept busy after each answer has come; what boxes took must not grow by that."""
-    ended = given_to(one.gateway, m.Ended)
+    ended = record_inputs(one.gateway, m.Ended)
     wire = await one.wire()
     loop = asyncio.get_running_loop()
     link = one.gateway._links["box-0-0"]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,7 @@
 from oatlink.core.commands import slot_of
 from oatlink.lab.embedded import Embedded
 from oatlink.protocols import resp
-from tests.gateways import Served, Wire, served, started
+from tests.gateways import Served, Wire, served, start_gateway
 from tests.scenes import scene
 
 
@@ -101,7 +101,9 @@
         end_ports = embedded.banks[1]
         end_ports.start([embedded._ports[box.name] for box in end_ports.boxes])
         await end_ports.synced()
-        gateway, port = started(embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100)
+        gateway, port = start_gateway(
+            embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100
+        )
         good = await Wire.open(port)
         slots = gateway.engine._classifier._slots
         bad, other = (next(f"k{n}" for n in range(99) if slots[slot_of(b"k%d" % n)] == bank) for bank in (0, 1))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,7 +23,7 @@
 from oatlink.lab.embedded import Embedded, port_of, reserve
 from oatlink.protocols import resp
 from oatlink.settings import load
-from tests.gateways import Wire, program, started
+from tests.gateways import Wire, start_gateway, start_program
 from tests.test_engine import KEY, PLAIN, Rig, info, sent
 from tests.test_recording import recorded
 
@@ -38,7 +38,7 @@
     """A stand-in bank and a gateway before it, each a process, as an operator has them."""
 
     def __init__(self, folder: Path) -> None:
-        self.bank, said = program("bank")
+        self.bank, said = start_program("bank")
         self.boxes = json.loads(said)["banks"]["bank-0"]
         self.folder = folder
         self.roster = folder / "roster.json"
@@ -54,7 +54,7 @@
         self.start()
 
     def start(self) -> None:
-        self.gateway, line = program("gateway", str(self.settings))
+        self.gateway, line = start_program("gateway", str(self.settings))
         assert line.startswith("ready 127.0.0.1:") and not line.startswith("ready 127.0.0.1:0\n"), line
         self.address = line.split()[1]
         self.port = int(self.address.rsplit(":")[-1])
@@ -185,7 +185,7 @@
     async def once() -> None:
         settings = load(str(site.settings))
         for turn in range(2):
-            gateway, port = started(settings)
+            gateway, port = start_gateway(settings)
             wire = await Wire.open(port)
             assert ("teller@0" in gateway.engine.router.book.sessions) is bool(turn)
             await wire.ask("CLIENT", "SETNAME", "teller")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,7 +15,7 @@
 from oatlink.core.overload import LONGEST_US, Admission
 from oatlink.protocols import resp
 from oatlink.settings.model import RequestClass
-from tests.gateways import Served, given_to, served
+from tests.gateways import Served, record_inputs, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, sent
 
@@ -201,7 +201,7 @@
             began = time.monotonic()
             assert isinstance(await wire.ask("GET", "a"), resp.Error)
             assert time.monotonic() - began < 1.5  # price-check's deadline, the shortest
-    asked = given_to(one.gateway, m.CommandReceived)
+    asked = record_inputs(one.gateway, m.CommandReceived)
     assert not isinstance(await wire.ask("SET", "a", 2), resp.Error)
     assert 400_000 < asked[0].waited_us < 900_000 and admission.limit > 0
 
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -17,7 +17,7 @@
 from oatlink.lab.embedded import Embedded
 from oatlink.protocols import resp
 from oatlink.standins.box import Box
-from tests.gateways import Served, Wire, served, started
+from tests.gateways import Served, Wire, served, start_gateway
 from tests.scenes import scene
 
 
@@ -236,7 +236,7 @@
             return out.decode()
 
         checked = await run("check", str(file))
-        gateway, port = started(embedded.settings(0, log_level="error"))
+        gateway, port = start_gateway(embedded.settings(0, log_level="error"))
         await asyncio.sleep(0.4)
         status = await run("status", f"127.0.0.1:{port}")
         metrics = gateway.metrics.text().decode()
