--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -182,7 +182,7 @@
     wait_s = (settings.links.connect_timeout_ms + settings.links.probe_timeout_ms) / 1000 + 0.1
     # Two rounds: the age of a replica's offset follows only from a primary's offset that was read before it.
     for _ in range(2):
-        gateway.feed(m.Inspected())
+        gateway.feed(m.RefreshRequested())
         deadline_s = time.monotonic() + wait_s
         while gateway.is_probing and time.monotonic() < deadline_s:
             await asyncio.sleep(0.005)
--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -43,7 +43,7 @@
         """Report an observation to the fleet, if there is one."""
         if self._gate.on:
             bank = self.settings.banks[state.box.bank].name
-            self._out.append(m.Observed(state.box.name, bank, kind, history, offset))
+            self._out.append(m.ReportEvidence(state.box.name, bank, kind, history, offset))
 
     def _apply_health_report(self, seen: Seen) -> None:
         """Apply other gateways' weighed observations of a box, which cause no more than a check or a later turn.
@@ -73,7 +73,7 @@
         belief = member_status(self.router, state.member)
         return belief is not None and belief.is_primary
 
-    def _on_inspected(self, message: m.AnyInput) -> None:
+    def _on_refresh_requested(self, message: m.AnyInput) -> None:
         """An operator wants fresh reports: every box is probed, the primaries first because of their offsets."""
         primaries_first = sorted(
             self._boxes.values(), key=lambda state: state.box.name != self._groups[state.box.bank].primary
@@ -82,9 +82,9 @@
             state.refresh_pending = True
             self._probe(state)
 
-    def _on_listed(self, message: m.AnyInput) -> None:
+    def _on_roster_listed(self, message: m.AnyInput) -> None:
         """Apply discovery's whole list. A known name with other addresses or another bank is another box."""
-        assert isinstance(message, m.Listed)
+        assert isinstance(message, m.RosterListed)
         entries = []
         listed_names = {box.name for box in message.boxes}
         for name in [known for known in self._boxes if known not in listed_names]:
@@ -105,10 +105,12 @@
             entries.append(self._entry(state))
         self._route(api.Roster(api.RosterKind.WHOLE, tuple(entries)))
         if self._gate.on:
-            self._out.append(m.Listing(message.boxes))
+            self._out.append(m.PublishRoster(message.boxes))
         if not self._has_roster:
             self._has_roster = True
-            self._on_inspected(message)  # a gateway that starts probes every box once, before a request needs it
+            self._on_refresh_requested(
+                message
+            )  # a gateway that starts probes every box once, before a request needs it
 
     def _remove_box(self, state: BoxState) -> None:
         """Drop what is pending for a box that was removed, or whose name another box has now."""
@@ -139,7 +141,7 @@
             state.member, box.bank, box.hall, box.kind, listing, box.primary, state.started_us, state.doubt
         )
 
-    def _on_gapped(self, message: m.AnyInput) -> None:
+    def _on_clock_stalled(self, message: m.AnyInput) -> None:
         """Make every box a new member and probe it, because nothing shown before the gap proves anything after it.
 
         Otherwise, data that is as old as the machine's sleep would look as recent as before it, and stale reads would
@@ -150,7 +152,7 @@
         for state in list(self._boxes.values()):
             state.report, state.report_asked_us = None, 0
             self._replace_member(state, "is asked anew after a gap in the clock")
-        self._on_inspected(message)
+        self._on_refresh_requested(message)
 
     def _on_probed(self, message: m.AnyInput) -> None:
         """A probe has ended, and with it the Router's check of the box and the checks that waited for this primary."""
--- a/oatlink/core/clients.py
+++ b/oatlink/core/clients.py
@@ -1,105 +1,106 @@
-"""A client's connection: what it may say, what is answered here, the order of its answers, its leaving. No I/O."""
+"""Client connections: which commands are accepted, local answers, the order of answers, disconnection. No I/O."""
 
 from collections.abc import Mapping
 
 from oatlink import interface as api
 from oatlink.core import messages as m
-from oatlink.core.commands import Kind, Spec, blocks, find
+from oatlink.core.commands import Kind, Spec, blocks, find_command
 from oatlink.core.requests import Requests
-from oatlink.core.sessions import Place, Session, refusal
+from oatlink.core.sessions import PendingReply, Session, refusal
 from oatlink.protocols.resp import error
 
 
 class Clients(Requests):
-    """Client connections."""
+    """Handles client connections and their commands."""
 
     @property
     def sessions(self) -> Mapping[int, Session]:
-        """The clients' sessions by number; to look at only."""
+        """The clients' sessions by client number, read-only."""
         return self._sessions
 
-    def _on_opened(self, given: m.AnyInput) -> None:
-        assert isinstance(given, m.Opened)
-        self._sessions[given.client] = Session(given.client, peer=given.peer, since_us=self._now, admin=given.admin)
+    def _on_opened(self, event: m.AnyInput) -> None:
+        assert isinstance(event, m.Opened)
+        self._sessions[event.client] = Session(event.client, peer=event.peer, since_us=self._now, admin=event.admin)
 
-    def _on_closed(self, given: m.AnyInput) -> None:
-        """A client has left. What it asked for may be running; nothing more is sent for it."""
-        assert isinstance(given, m.Closed)
-        session = self._sessions.pop(given.client, None)
+    def _on_closed(self, event: m.AnyInput) -> None:
+        """Drop a client that has disconnected. Its requests may be running; no further attempt is sent for them."""
+        assert isinstance(event, m.Closed)
+        session = self._sessions.pop(event.client, None)
         if session is None:
             return
         self._release(session)
-        for ask in list(session.asks.values()):
-            ask.place.answer = b""
-            if ask.started:
-                self._route(api.Departure(str(ask.id)))
-            if not ask.open:
-                self._forget_request(ask.id)
-                self._waiting_for_grant.pop(ask.id, None)
+        for request in list(session.requests.values()):
+            request.pending_reply.answer = b""
+            if request.started:
+                self._route(api.Departure(str(request.id)))
+            if not request.open_attempts:
+                self._forget_request(request.id)
+                self._waiting_for_grant.pop(request.id, None)
 
-    def _on_broken(self, given: m.AnyInput) -> None:
-        """Outside the protocol: the error in its turn, then the end of the connection."""
-        assert isinstance(given, m.Broken)
-        session = self._sessions.get(given.client)
+    def _on_protocol_violated(self, event: m.AnyInput) -> None:
+        """Answer a protocol violation with its error, after the answers owed before, and close the connection."""
+        assert isinstance(event, m.ProtocolViolated)
+        session = self._sessions.get(event.client)
         if session is not None and not session.closing:
             session.closing = True
-            session.places.append(Place(error(given.text), hangup=True))
+            session.pending_replies.append(PendingReply(error(event.text), hangup=True))
             self._flush(session)
 
-    def _on_draining(self, given: m.AnyInput) -> None:
-        """New commands are refused from now on; what is held goes on to its end."""
+    def _on_draining(self, event: m.AnyInput) -> None:
+        """Refuse new commands from now on. Pending requests run to their end."""
         self._draining = True
 
     def _flush(self, session: Session) -> None:
-        parts, done, over = session.take_answers()
+        """Send the answers that can be sent now."""
+        parts, done, hangs_up = session.take_answers()
         if parts:
             session.answered += done
             self._out.append(m.Answer(session.client, parts[0] if len(parts) == 1 else b"".join(parts), done))
-        if over:
+        if hangs_up:
             self._out.append(m.Hangup(session.client))
 
-    def _say(self, session: Session, data: bytes, hangup: bool = False) -> None:
-        """An answer of the gateway's own, in its turn."""
-        session.places.append(Place(data, hangup))
+    def _reply(self, session: Session, data: bytes, hangup: bool = False) -> None:
+        """Queue an answer of the gateway itself behind the answers owed before it."""
+        session.pending_replies.append(PendingReply(data, hangup))
         self._flush(session)
 
-    def _on_asked(self, given: m.AnyInput) -> None:
-        """A command has come in."""
-        assert isinstance(given, m.Asked)
-        session = self._sessions.get(given.client)
+    def _on_command_received(self, event: m.AnyInput) -> None:
+        """Check a client's command and pass it on by its kind."""
+        assert isinstance(event, m.CommandReceived)
+        session = self._sessions.get(event.client)
         if session is None or session.closing:
             return
-        self._late_us, self._waiting_client_count = given.late_us, given.behind
-        self._waited_us = max(given.late_us, given.waited_us)
-        # Threat: a long pipeline that is served as fast as it can be, refused for its own length. What lay behind its
-        # client's own commands loses that time only where one of them hung meanwhile.
-        has_hung = session.hung_us >= self._now - self._waited_us - given.own_us
-        self._pipeline_wait_us = given.own_us if has_hung else 0
-        args = given.args
+        self._late_us, self._waiting_client_count = event.late_us, event.behind
+        self._waited_us = max(event.late_us, event.waited_us)
+        # The time behind the client's own earlier commands counts only if one of them timed out meanwhile. Otherwise
+        # a long pipeline that is served as fast as possible would be refused for its own length.
+        has_timed_out = session.last_unserved_us >= self._now - self._waited_us - event.own_us
+        self._pipeline_wait_us = event.own_us if has_timed_out else 0
+        args = event.args
         if session.admin:
             self._administer(session, args)
             return
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None:
-            session.spoilt = session.queued is not None
-            shown = args[0][:128].decode("utf-8", "replace")
-            begin = " ".join(f"'{one[:32].decode('utf-8', 'replace')}'" for one in args[1:5])
-            self._say(session, error(f"ERR unknown command '{shown}', with args beginning with: {begin}"))
+            session.transaction_failed = session.queued is not None
+            name = args[0][:128].decode("utf-8", "replace")
+            first_args = " ".join(f"'{arg[:32].decode('utf-8', 'replace')}'" for arg in args[1:5])
+            self._reply(session, error(f"ERR unknown command '{name}', with args beginning with: {first_args}"))
             return
         if not spec.arity_fits(len(args)):
-            session.spoilt = session.queued is not None
-            self._say(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
+            session.transaction_failed = session.queued is not None
+            self._reply(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
             return
         if not self._local.admits(session, spec):
-            self._say(session, error("NOAUTH Authentication required."))
+            self._reply(session, error("NOAUTH Authentication required."))
             return
         if spec.kind is Kind.LOCAL:
             self._answer_locally(session, spec, args)
         elif spec.kind is Kind.TRANSACTION:
             self._transaction(session, spec, args)
         elif blocks(spec, args):
-            session.spoilt = session.queued is not None
-            self._say(
+            session.transaction_failed = session.queued is not None
+            self._reply(
                 session,
                 error(
                     f"ERR {spec.name} is not served by this gateway: it would wait at the server "
@@ -107,14 +108,15 @@
                 ),
             )
         elif self._draining:
-            self._say(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
+            self._reply(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
         else:
-            self._request(session, spec, args)
+            self._submit(session, spec, args)
 
     def _answer_locally(self, session: Session, spec: Spec, args: list[bytes]) -> None:
+        """Answer a command that needs no box."""
         if session.queued is not None and spec.name not in ("quit", "reset"):
-            session.spoilt = True
-            self._say(session, error(f"ERR {spec.name} is not served inside a transaction by this gateway"))
+            session.transaction_failed = True
+            self._reply(session, error(f"ERR {spec.name} is not served inside a transaction by this gateway"))
             return
         if spec.name == "reset":
             session.forget_transaction()
@@ -123,4 +125,4 @@
         data = self._local.answer(spec, session, args)
         quits = spec.name == "quit"
         session.closing = session.closing or quits
-        self._say(session, data, hangup=quits)
+        self._reply(session, data, hangup=quits)
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -125,7 +125,7 @@
     for entry in entries:
         last_request = engine.last_request
         effects = engine.handle(entry.given, entry.now_us)
-        if last_request < request <= engine.last_request and isinstance(entry.given, m.Asked):
+        if last_request < request <= engine.last_request and isinstance(entry.given, m.CommandReceived):
             command = b" ".join(entry.given.args)[:80].decode("utf-8", "replace")
             explanation.asked = f"client {entry.given.client}: {command}"
             explanation.events.append(f"{entry.now_us} asked")
@@ -141,9 +141,9 @@
                 f"{entry.now_us} attempt {ended.attempt} at {ended.box}{over} ended: {ended.how} {first_frame}".rstrip()
             )
         open_request = engine.request(request)
-        boxes = {box for _, box, _, _ in open_request.open.values()} if open_request is not None else set()
+        boxes = {box for _, box, _, _ in open_request.open_attempts.values()} if open_request is not None else set()
         for effect in effects:
-            if isinstance(effect, m.Shun) and effect.box in boxes:
+            if isinstance(effect, m.ClosePath) and effect.box in boxes:
                 explanation.events.append(f"{entry.now_us} {effect.box}: {effect.address} is silent, left")
         for effect in effects:
             if isinstance(effect, m.Send) and effect.request == request:
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -9,7 +9,7 @@
 
 from oatlink.core import messages as m
 from oatlink.core.boxes import Boxes
-from oatlink.core.sessions import Ask, Session, failure, over_quota, unserved
+from oatlink.core.sessions import PendingRequest, Session, failure, over_quota, unserved
 from oatlink.core.shared import BoxState
 from oatlink.fleet.gate import HELD, Seen
 from oatlink.fleet.messages import Marker
@@ -30,7 +30,7 @@
 
     def _forget_request(self, request: int) -> None:
         """Drop a request that has no attempt open any more and is owed no answer."""
-        ask = self._asks.pop(request, None)
+        ask = self._requests.pop(request, None)
         if ask is not None and ask.version:
             self._open_by_version[ask.version] -= 1
             if not self._open_by_version[ask.version]:
@@ -38,7 +38,7 @@
 
     def _choose_version(self, session: Session, rule: RequestClass, slots: list[int]) -> tuple[int, int]:
         """The version that a request is made for, and, if it is not served here now, when to retry."""
-        layout = self._gate.layout(session.name, session.pinned, self._now)
+        layout = self._gate.layout(session.name, session.pinned_version, self._now)
         retry_after_us = layout.back_us
         if layout.version and not retry_after_us:
             bank = self._classifier.group_of(slots) if slots else 0
@@ -47,11 +47,11 @@
         if retry_after_us:
             self.counts["unserved"] = self.counts.get("unserved", 0) + 1
             self._out.append(m.Counted(rule.name, "unserved", 0))
-        elif layout.version and not session.pinned:
-            session.pinned = layout.version
+        elif layout.version and not session.pinned_version:
+            session.pinned_version = layout.version
         return layout.version, retry_after_us
 
-    def _serves_version(self, state: BoxState, ask: Ask) -> bool:
+    def _serves_version(self, state: BoxState, ask: PendingRequest) -> bool:
         """Whether a box may get a request of its version now: the last check before it is sent.
 
         Prevents sending a request that has waited past the end of the version's term, or that goes to a primary that
@@ -62,7 +62,7 @@
         marker = self._gate.marker(self.settings.banks[state.box.bank].name, ask.version)
         return marker is None or self._has_applied(state, marker)
 
-    def _version_position_us(self, ask: Ask) -> int | None:
+    def _version_position_us(self, ask: PendingRequest) -> int | None:
         """The position, as a time, from which on a replica has surely applied the step that a version needs.
 
         If no sample proves one yet, it is the present time: no replica is as recent, so only the primary is left.
@@ -79,7 +79,7 @@
             Place(report.replid, report.offset, report.replid2, report.second_offset), marker
         )
 
-    def _reject_unserved(self, ask: Ask, state: BoxState) -> None:
+    def _reject_unserved(self, ask: PendingRequest, state: BoxState) -> None:
         """End a request whose version the chosen box does not offer, and probe the box."""
         state.refresh_pending = True
         self._probe(state)
@@ -108,17 +108,17 @@
             self._out.append(m.Counted(rule.name, "over quota", 0))
         return retry_after_us
 
-    def _wait_for_grant(self, ask: Ask, command: str, keys: list[bytes], cost: int) -> None:
+    def _wait_for_grant(self, ask: PendingRequest, command: str, keys: list[bytes], cost: int) -> None:
         """Let a request wait for a quota grant."""
         ask.gated = (command, keys[:1], cost)
         if not self._waiting_for_grant:
             self._quota_retry_us = self._now + QUOTA_RETRY_INTERVAL_US
         self._waiting_for_grant[ask.id] = ask
-        self._out.append(m.Seek())
+        self._out.append(m.QueryFleet())
 
-    def _on_told(self, message: m.AnyInput) -> None:
+    def _on_fleet_news(self, message: m.AnyInput) -> None:
         """News from the fleet."""
-        assert isinstance(message, m.Told)
+        assert isinstance(message, m.FleetNews)
         if isinstance(message.news, Seen):
             self._apply_health_report(message.news)
             return
@@ -131,7 +131,7 @@
         waiting, self._waiting_for_grant, self._quota_retry_us = self._waiting_for_grant, {}, 2**62
         for ask in waiting.values():
             session = self._sessions.get(ask.client)
-            if session is None or ask.gated is None or ask.place.answer is not None:
+            if session is None or ask.gated is None or ask.pending_reply.answer is not None:
                 continue
             command, keys, cost = ask.gated
             retry_after_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from oatlink.core import messages as m
-from oatlink.core.commands import find
+from oatlink.core.commands import find_command
 from oatlink.core.local import server_section
 from oatlink.core.reports import BoxReport
-from oatlink.core.sessions import Place, Session
+from oatlink.core.sessions import PendingReply, Session
 from oatlink.core.shared import BoxState
 from oatlink.core.transactions import Transactions
 from oatlink.interface import Role
@@ -96,8 +96,8 @@
         """Handle a command of the operators' listener: `ADMIN_COMMANDS`, requests, and a few commands of RESP."""
         name = args[0].upper()
         if name == b"RECORD" and len(args) == 2:
-            session.recording.append(Place())
-            session.places.append(session.recording[-1])
+            session.recorder_replies.append(PendingReply())
+            session.pending_replies.append(session.recorder_replies[-1])
             self._out.append(m.Record(session.client, args[1][:16].decode("utf-8", "replace").lower()))
             return
         if name in (b"FLEET", b"LAYOUT") and len(args) <= 3:
@@ -107,17 +107,17 @@
             self._request_of_fleet(session, "control", msgspec.msgpack.encode(args[1:]))
             return
         if name in ADMIN_COMMANDS and len(args) == 1:
-            self._say(session, encode(self._admin_value(name), session.protocol))
+            self._reply(session, encode(self._admin_value(name), session.protocol))
             return
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None or spec.name not in ("ping", "info", "hello", "auth", "client", "command", "quit", "echo"):
             commands = " ".join(sorted(command.decode() for command in ADMIN_COMMANDS))
             commands = f"INFO, PING, RECORD WORD, FLEET, LAYOUT WORD, CONTROL WORD and {commands}"
-            self._say(session, error(f"ERR not served to operators; they have {commands}"))
+            self._reply(session, error(f"ERR not served to operators; they have {commands}"))
         elif not spec.arity_fits(len(args)):
-            self._say(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
+            self._reply(session, error(f"ERR wrong number of arguments for '{spec.name}' command"))
         elif not self._local.admits(session, spec):
-            self._say(session, error("NOAUTH Authentication required."))
+            self._reply(session, error("NOAUTH Authentication required."))
         else:
             self._answer_locally(session, spec, args)
 
@@ -125,9 +125,11 @@
         """Answer the operator's oldest open RECORD with the recorder's result."""
         assert isinstance(result, m.Recorded)
         session = self._sessions.get(result.client)
-        if session is not None and session.recording:
+        if session is not None and session.recorder_replies:
             text = result.text.encode("utf-8", "replace")
-            session.recording.popleft().answer = encode(Simple(text)) if result.done else error("ERR " + result.text)
+            session.recorder_replies.popleft().answer = (
+                encode(Simple(text)) if result.done else error("ERR " + result.text)
+            )
             self._flush(session)
 
     def _request_layout(self, session: Session, name: bytes, args: list[bytes]) -> None:
@@ -135,25 +137,25 @@
         word = "rows" if name == b"FLEET" else args[1][:16].decode("utf-8", "replace").lower() if args[1:] else "status"
         expected_args = 3 if word == "propose" else 2 - (name == b"FLEET" or len(args) == 1)
         if word not in ("rows", "status", "propose", "back", "resume") or len(args) != expected_args:
-            self._say(session, error("ERR expected FLEET, or LAYOUT with STATUS, PROPOSE TEXT, BACK or RESUME"))
+            self._reply(session, error("ERR expected FLEET, or LAYOUT with STATUS, PROPOSE TEXT, BACK or RESUME"))
             return
         self._request_of_fleet(session, word, args[2] if word == "propose" else b"")
 
     def _request_of_fleet(self, session: Session, word: str, text: bytes) -> None:
         """Send a request to the fleet's node, which answers later."""
         if not self._gate.on:
-            self._say(session, error("ERR no fleet in the settings"))
+            self._reply(session, error("ERR no fleet in the settings"))
             return
-        session.errands.append(Place())
-        session.places.append(session.errands[-1])
-        self._out.append(m.Errand(session.client, word, text))
+        session.fleet_replies.append(PendingReply())
+        session.pending_replies.append(session.fleet_replies[-1])
+        self._out.append(m.FleetCommand(session.client, word, text))
 
-    def _on_replied(self, reply: m.AnyInput) -> None:
+    def _on_fleet_replied(self, reply: m.AnyInput) -> None:
         """Answer the operator's oldest open request to the fleet's node; replies come in the order of requests."""
-        assert isinstance(reply, m.Replied)
+        assert isinstance(reply, m.FleetReplied)
         session = self._sessions.get(reply.client)
-        if session is not None and session.errands:
-            session.errands.popleft().answer = encode(reply.text.encode("utf-8", "replace"))
+        if session is not None and session.fleet_replies:
+            session.fleet_replies.popleft().answer = encode(reply.text.encode("utf-8", "replace"))
             self._flush(session)
 
     def _admin_value(self, name: bytes) -> Value:
@@ -166,8 +168,10 @@
         if name == b"BANKS":
             rows = []
             for number, group in enumerate(self._groups):
-                requests = [ask for ask in self._asks.values() if ask.group == number and ask.place.answer is None]
-                pending = [ask for ask in requests if ask.started and not ask.open]
+                requests = [
+                    ask for ask in self._requests.values() if ask.group == number and ask.pending_reply.answer is None
+                ]
+                pending = [ask for ask in requests if ask.started and not ask.open_attempts]
                 longest_pending_us = max((now - ask.arrived_us for ask in pending), default=0)
                 newest_us = group.positions.newest_us()
                 rows.append(
@@ -177,7 +181,7 @@
                             "primary": group.primary or "unknown",
                             "history": group.positions.current or "",
                             "elections": group.elections,
-                            "open": len(requests),
+                            "open_attempts": len(requests),
                             "held": len(pending),
                             "longest_held_ms": longest_pending_us // 1_000,
                             "sample_age_ms": (now - newest_us) // 1_000 if newest_us >= 0 else -1,
@@ -210,7 +214,7 @@
                             "name": session.name,
                             "user": session.user,
                             "age_ms": (now - session.since_us) // 1_000,
-                            "owed": len(session.places),
+                            "owed": len(session.pending_replies),
                             "waiting": len(session.waiting),
                             "multi": -1 if session.queued is None else len(session.queued),
                             "watching": len(session.watching),
@@ -219,7 +223,7 @@
                     for session in list(self._sessions.values())[:MAX_SHOWN_SESSIONS]
                 )
             )
-        self._on_inspected(m.Inspected())
+        self._on_refresh_requested(m.RefreshRequested())
         return Simple(b"OK")
 
     def _info(self) -> dict[str, dict[str, object]]:
@@ -231,7 +235,7 @@
             boxes[name] = ",".join(f"{key}={value}" for key, value in fields.items())
         paths: dict[str, object] = {}
         for row in self.path_rows():
-            name = f"{row.pop('box')}/{row.pop('place')}"
+            name = f"{row.pop('box')}/{row.pop('pending_reply')}"
             paths[name] = ",".join(f"{key}={value}" for key, value in row.items())
         banks: dict[str, object] = {
             self.settings.banks[number].name: f"primary={group.primary or 'unknown'},elections={group.elections}"
@@ -239,7 +243,7 @@
         }
         return {
             "server": {**server_section(self._started_us, self._now), "oatlink_code": self._program_form or "unknown"},
-            "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._asks)},
+            "clients": {"connected_clients": len(self._sessions), "open_requests": len(self._requests)},
             "stats": {f"requests_{name}": count for name, count in self.counts.items()},
             "replication": {"role": "master", "connected_slaves": 0},
             "banks": banks,
--- a/oatlink/core/paths.py
+++ b/oatlink/core/paths.py
@@ -104,7 +104,7 @@
         delay_us = self._gate.dial(name, self._now) if dial else 0
         if delay_us:
             self._schedule_path_check(self._now + delay_us, name, dial)
-            self._out.append(m.Seek())
+            self._out.append(m.QueryFleet())
             return
         for address in state.paths.start_due(race, self._now):
             if dial == REPORT:
@@ -116,9 +116,9 @@
         if race.queue:
             self._schedule_path_check(race.next_start_us, name, dial)
 
-    def _on_wanted(self, message: m.AnyInput) -> None:
+    def _on_connection_wanted(self, message: m.AnyInput) -> None:
         """A link wants one more connection."""
-        assert isinstance(message, m.Wanted)
+        assert isinstance(message, m.ConnectionWanted)
         state = self._boxes.get(message.box)
         if state is None:
             self._out.append(m.NoPath(message.box, message.dial, "refused"))
@@ -253,7 +253,7 @@
             paths.record_failure(index, "silent", self._now)
             self._schedule_next_upkeep(state)
             self._out.append(m.Note("address", f"{box}: {address} is silent, others answer: left"))
-            self._out.append(m.Shun(box, address))
+            self._out.append(m.ClosePath(box, address))
         elif next_check_us:
             self._schedule_path_check(next_check_us, box, target)
 
--- a/oatlink/core/redact.py
+++ b/oatlink/core/redact.py
@@ -23,8 +23,8 @@
 
 from oatlink.core import messages as m
 from oatlink.core.classify import Classifier, slots_of
-from oatlink.core.commands import Kind, Spec, find, idempotency_key, slot_of
-from oatlink.core.sessions import Ask, Place, Session
+from oatlink.core.commands import Kind, Spec, find_command, idempotency_key, slot_of
+from oatlink.core.sessions import PendingReply, PendingRequest, Session
 from oatlink.settings.model import Settings
 
 _KEPT_OPTIONS = frozenset(
@@ -75,21 +75,21 @@
         if isinstance(given, m.Reloaded):
             self._settings = given.settings
             return m.Reloaded(without_secrets(given.settings))
-        if isinstance(given, m.Asked) and given.args[0].lower() in (b"auth", b"hello"):
+        if isinstance(given, m.CommandReceived) and given.args[0].lower() in (b"auth", b"hello"):
             args = self._redact_login(given.args)
-            return m.Asked(given.client, args, given.late_us, given.behind, given.waited_us, given.own_us)
+            return m.CommandReceived(given.client, args, given.late_us, given.behind, given.waited_us, given.own_us)
         if not self._drops_values:
             return given
-        if isinstance(given, m.Asked):
+        if isinstance(given, m.CommandReceived):
             args = self.redact_command(given.args)
-            return m.Asked(given.client, args, given.late_us, given.behind, given.waited_us, given.own_us)
+            return m.CommandReceived(given.client, args, given.late_us, given.behind, given.waited_us, given.own_us)
         if isinstance(given, m.Ended):
             return msgspec.structs.replace(given, frames=[_redact_frame(frame) for frame in given.frames])
         return given
 
     def redact_command(self, args: list[bytes]) -> list[bytes]:
         """Keep a command's name, keys, options and the number that counts its keys, and drop the other arguments."""
-        spec = find(args[0])
+        spec = find_command(args[0])
         if spec is None:
             return [b"?"] + [b""] * (len(args) - 1) if len(args[0]) > 32 else [args[0]] + [b""] * (len(args) - 1)
         if spec.kind is Kind.LOCAL:
@@ -138,7 +138,9 @@
         """The value of a record's field that a snapshot may contain (a `snapshot.FieldFilter`)."""
         if not self._drops_values:
             return value
-        if (kind is Ask and field == "payload") or (kind is Place and field == "answer" and value is not None):
+        if (kind is PendingRequest and field == "payload") or (
+            kind is PendingReply and field == "answer" and value is not None
+        ):
             return b""
         if kind is Session and field == "queued" and value is not None:
             return [(self.redact_command(args), writes) for args, writes in value]
--- a/oatlink/core/sessions.py
+++ b/oatlink/core/sessions.py
@@ -1,9 +1,9 @@
-"""A client's session: order of its commands, its transaction, what it has said of itself. No I/O.
+"""A client's session: the order of its commands, its transaction, its name and user. No I/O.
 
-Order. Answers leave in the order of the commands. A command starts at once unless an earlier unfinished one
-of the same client touches the same hash slot and one of the two writes; then it waits for it. Between slots no
-order is promised, as in a cluster; a transaction is one command. So a client reads its own pipelined writes,
-and many members work for one connection.
+Answers are sent in the order of the commands. A command starts at once unless an earlier unfinished command of the same
+client touches the same hash slot and one of the two writes; then it waits for that one. As in a cluster, there is no
+order between slots. A transaction counts as one command. So a client reads its own pipelined writes, and many members
+can work for one connection at the same time.
 """
 
 from collections import deque
@@ -15,152 +15,155 @@
 
 
 @dataclass(slots=True)
-class Place:
-    """A command's place in the row of answers."""
+class PendingReply:
+    """The answer to one command, None until it is known. Sessions keep them in the order of the commands."""
 
     answer: bytes | None = None
-    hangup: bool = False
+    hangup: bool = False  # close the connection after it
 
 
 @dataclass(slots=True)
-class Ask:
-    """A command on its way: what the client wants, where it stands."""
+class PendingRequest:
+    """A command that is being processed: what the client wants, and the state of its attempts."""
 
     id: int
     client: int
-    place: Place
+    pending_reply: PendingReply
     rule: RequestClass
     group: int
     slots: list[int]
-    writes: bool
+    is_write: bool
     payload: bytes
-    replies: int
+    replies: int  # reply frames to expect
     arrived_us: int
     protocol: int
-    transaction: bool = False
-    executes: bool = False  # EXEC
-    watches: bool = False  # WATCH
-    lease: int = 0
-    alone: bool = False
-    wait_replicas: int = 0
-    started: bool = False
-    attempts: int = 0
-    first_us: int = 0  # when the first attempt was handed over
-    may_have_run: bool = False  # by an attempt that has ended
-    runs_from: int = 0  # bytes of the payload before which nothing of it can run; 0: all of them
-    open: dict[int, tuple[int, str, int, str]] = field(default_factory=dict)  # attempt: member, box, when, address
-    version: int = 0  # of the layout that it is made for; 0: none here
-    gated: tuple[str, list[bytes], int] | None = None  # waits for the fleet's word: command, first key, cost
+    is_transaction: bool = False
+    is_exec: bool = False
+    is_watch: bool = False
+    lease: int = 0  # number of the connection reserved for the client; 0: none
+    alone: bool = False  # nothing else may use the connection meanwhile
+    wait_replicas: int = 0  # replicas that must have the write before it is answered
+    started: bool = False  # passed to the Router
+    attempts: int = 0  # sent so far
+    first_sent_us: int = 0  # start of the window for repeats: the first attempt that may have run
+    may_have_run: bool = False  # in an attempt that has ended
+    runs_from: int = 0  # nothing can run before this many bytes of the payload are sent; 0: all of them
+    # Attempt: member, box, when it was sent, address.
+    open_attempts: dict[int, tuple[int, str, int, str]] = field(default_factory=dict)
+    version: int = 0  # of the layout that it is made for; 0: no layout
+    gated: tuple[str, list[bytes], int] | None = None  # waits for a grant of the fleet: command, first key, cost
 
 
 @dataclass(slots=True)
 class Session:
-    """One client connection."""
+    """The state of one client connection."""
 
     client: int
     protocol: int = 2
     name: str = ""
     user: str = ""
     peer: str = ""
-    since_us: int = 0
-    places: deque[Place] = field(default_factory=deque)
-    asks: dict[int, Ask] = field(default_factory=dict)  # that are owed an answer, by number
-    waiting: list[Ask] = field(default_factory=list)
-    busy: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
-    queued: list[tuple[list[bytes], bool]] | None = None  # of the open MULTI: words, whether they write
+    since_us: int = 0  # when the client connected
+    pending_replies: deque[PendingReply] = field(default_factory=deque)
+    requests: dict[int, PendingRequest] = field(default_factory=dict)  # owed an answer, by number
+    waiting: list[PendingRequest] = field(default_factory=list)  # for earlier requests of the same slots
+    unfinished_by_slot: dict[int, list[int]] = field(default_factory=dict)  # slot: unfinished reads, writes
+    queued: list[tuple[list[bytes], bool]] | None = None  # commands since MULTI: arguments, whether it writes
     queued_bytes: int = 0
     queued_slots: list[int] = field(default_factory=list)
-    spoilt: bool = False
-    watching: list[int] = field(default_factory=list)  # slots watched
-    lease: int = 0
-    lease_box: str = ""
-    lease_lost: bool = False
-    answered: int = 0
-    closing: bool = False
-    hung_us: int = -1  # when a command last ended unserved past its aim
-    shed: int = 0  # times refused for the gateway's own load, one after the other
-    admin: bool = False
-    recording: deque[Place] = field(default_factory=deque)  # asked of the recorder, not yet answered
-    pinned: int = 0  # the version that this connection's requests are made for, unless its name says another
-    errands: deque[Place] = field(default_factory=deque)  # asked of the fleet's node, not yet answered
-
-    def may_start(self, ask: Ask) -> bool:
-        """Whether nothing unfinished stands before a new command."""
-        for slot in ask.slots:
-            counts = self.busy.get(slot)
-            if counts is not None and (counts[1] or (ask.writes and counts[0])):
+    transaction_failed: bool = False  # a command since MULTI was refused, so EXEC is too
+    watching: list[int] = field(default_factory=list)  # slots of the watched keys
+    lease: int = 0  # number of the connection reserved for the client; 0: none
+    lease_box: str = ""  # the box that it goes to, once it is known
+    lease_lost: bool = False  # its keys are no longer watched
+    answered: int = 0  # commands
+    closing: bool = False  # no further command is accepted
+    last_unserved_us: int = -1  # when a request last ended unserved past its aim
+    shed_in_a_row: int = 0  # consecutive refusals because of the gateway's load
+    admin: bool = False  # connected by the operators' listener
+    recorder_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the recorder
+    pinned_version: int = 0  # version of this connection's requests, unless its name says another
+    fleet_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the fleet's node
+
+    def may_start(self, request: PendingRequest) -> bool:
+        """Whether no unfinished command must end before a new one may start."""
+        for slot in request.slots:
+            counts = self.unfinished_by_slot.get(slot)
+            if counts is not None and (counts[1] or (request.is_write and counts[0])):
                 return False
         return True
 
-    def enter(self, ask: Ask) -> None:
-        """Count a command as unfinished."""
-        for slot in ask.slots:
-            self.busy.setdefault(slot, [0, 0])[ask.writes] += 1
+    def mark_unfinished(self, request: PendingRequest) -> None:
+        """Count a command as unfinished in its slots."""
+        for slot in request.slots:
+            self.unfinished_by_slot.setdefault(slot, [0, 0])[request.is_write] += 1
 
-    def leave(self, ask: Ask) -> None:
-        """A command has ended."""
-        for slot in ask.slots:
-            counts = self.busy[slot]
-            counts[ask.writes] -= 1
+    def mark_finished(self, request: PendingRequest) -> None:
+        """Count a command as finished in its slots."""
+        for slot in request.slots:
+            counts = self.unfinished_by_slot[slot]
+            counts[request.is_write] -= 1
             if not counts[0] and not counts[1]:
-                del self.busy[slot]
+                del self.unfinished_by_slot[slot]
 
-    def next_to_start(self) -> Iterator[Ask]:
-        """The waiting commands that nothing unfinished before them holds back any longer, taken out."""
+    def take_startable(self) -> Iterator[PendingRequest]:
+        """Remove and return the waiting commands that no unfinished earlier command holds back any longer."""
         if not self.waiting:
             return
-        unfinished = {slot: list(counts) for slot, counts in self.busy.items()}
-        for ask in self.waiting:
-            for slot in ask.slots:
-                unfinished[slot][ask.writes] -= 1
-        still: list[Ask] = []
-        ready: list[Ask] = []
-        for ask in self.waiting:
-            held = any(unfinished[slot][1] or (ask.writes and unfinished[slot][0]) for slot in ask.slots)
-            (still if held else ready).append(ask)
-            for slot in ask.slots:
-                unfinished[slot][ask.writes] += 1
-        self.waiting = still
+        unfinished = {slot: list(counts) for slot, counts in self.unfinished_by_slot.items()}
+        for request in self.waiting:
+            for slot in request.slots:
+                unfinished[slot][request.is_write] -= 1
+        blocked: list[PendingRequest] = []
+        ready: list[PendingRequest] = []
+        for request in self.waiting:
+            is_blocked = any(
+                unfinished[slot][1] or (request.is_write and unfinished[slot][0]) for slot in request.slots
+            )
+            (blocked if is_blocked else ready).append(request)
+            for slot in request.slots:
+                unfinished[slot][request.is_write] += 1
+        self.waiting = blocked
         yield from ready
 
     def take_answers(self) -> tuple[list[bytes], int, bool]:
-        """The answers that may leave now, how many commands they end, and whether the connection ends then."""
-        out: list[bytes] = []
+        """The answers that can be sent now, how many commands they complete, and whether to hang up after them."""
+        answers: list[bytes] = []
         done = 0
-        while self.places and self.places[0].answer is not None:
-            place = self.places.popleft()
-            out.append(place.answer or b"")
+        while self.pending_replies and self.pending_replies[0].answer is not None:
+            reply = self.pending_replies.popleft()
+            answers.append(reply.answer or b"")
             done += 1
-            if place.hangup:
-                self.places.clear()
-                return out, done, True
-        return out, done, False
+            if reply.hangup:
+                self.pending_replies.clear()
+                return answers, done, True
+        return answers, done, False
 
     def forget_transaction(self) -> None:
-        """MULTI has ended."""
-        self.queued, self.queued_bytes, self.spoilt = None, 0, False
+        """Reset the state of the open MULTI."""
+        self.queued, self.queued_bytes, self.transaction_failed = None, 0, False
         self.queued_slots = []
 
 
 def refusal(retry_after_us: int) -> bytes:
-    """The final answer of a refused request: nothing ran, and when to come again (`TRYAGAIN`, cluster spec)."""
+    """The final answer to a refused request: nothing ran, and when to retry (`TRYAGAIN`, cluster specification)."""
     return encode(Error(b"TRYAGAIN refused, nothing was run; retry after %d ms" % -(-retry_after_us // 1000)))
 
 
 def over_quota(retry_after_us: int) -> bytes:
-    """The final answer of a request that its tenant's quota refuses: nothing ran, and when to come again."""
-    back_ms = -(-retry_after_us // 1000)
-    return encode(Error(b"QUOTA over the tenant's rate, nothing was run; retry after %d ms" % back_ms))
+    """The final answer to a request over its tenant's quota: nothing ran, and when to retry."""
+    retry_after_ms = -(-retry_after_us // 1000)
+    return encode(Error(b"QUOTA over the tenant's rate, nothing was run; retry after %d ms" % retry_after_ms))
 
 
 def unserved(version: int, retry_after_us: int) -> bytes:
-    """The final answer of a request whose version is not served here now: nothing ran, and when to come again."""
+    """The final answer to a request whose version is not served here now: nothing ran, and when to retry."""
     text = b"LAYOUT %d is not served here now, nothing was run; retry after %d ms"
     return encode(Error(text % (version, -(-retry_after_us // 1000))))
 
 
 def failure(writes: bool) -> bytes:
-    """The final answer of a failed request."""
+    """The final answer to a failed request. A write may have run."""
     return encode(
         Error(
             b"ERR failed: no final answer from the bank; the command may have run"
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -11,13 +11,13 @@
 from oatlink import interface as api
 from oatlink.core import messages as m
 from oatlink.core.addresses import Paths, Race
-from oatlink.core.classify import Classifier, to_rule
+from oatlink.core.classify import Classifier, router_class
 from oatlink.core.commands import Spec
 from oatlink.core.local import Local
 from oatlink.core.overload import new_admission
 from oatlink.core.positions import Positions
 from oatlink.core.reports import BoxReport
-from oatlink.core.sessions import Ask, Session
+from oatlink.core.sessions import PendingRequest, Session
 from oatlink.fleet.gate import Gate, gate_of
 from oatlink.rules import Router
 from oatlink.settings.model import RequestClass, Settings
@@ -74,13 +74,13 @@
         self._open_dial_count = 0
         self._waiting_dials: deque[tuple[str, int]] = deque()
         self._gate: Gate = gate_of(settings)
-        self._waiting_for_grant: dict[int, Ask] = {}  # by request number: they wait for a quota grant
+        self._waiting_for_grant: dict[int, PendingRequest] = {}  # by request number: they wait for a quota grant
         self._quota_retry_us = 2**62
         self._open_by_version: dict[int, int] = {}  # by layout version: the number of open requests
         self._box_names: dict[int, str] = {}  # by member number
         self._last_member = 0
         self._sessions: dict[int, Session] = {}
-        self._asks: dict[int, Ask] = {}
+        self._requests: dict[int, PendingRequest] = {}
         self._last_request = 0
         self._last_lease = 0
         self._deadlines: list[tuple[int, int]] = []  # time and request number
@@ -117,7 +117,7 @@
     def _route(self, event: api.Event) -> None:
         raise NotImplementedError
 
-    def _on_inspected(self, message: m.AnyInput) -> None:
+    def _on_refresh_requested(self, message: m.AnyInput) -> None:
         raise NotImplementedError
 
     def _apply_report(self, state: BoxState, report: BoxReport, asked_us: int) -> None:
@@ -141,25 +141,25 @@
     def _updated_position(self, state: BoxState) -> api.Report | None:
         raise NotImplementedError
 
-    def _end_lease(self, ask: Ask) -> None:
+    def _end_lease(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _finish(self, ask: Ask, data: bytes) -> None:
+    def _finish(self, ask: PendingRequest, data: bytes) -> None:
         raise NotImplementedError
 
     def _flush(self, session: Session) -> None:
         raise NotImplementedError
 
-    def _say(self, session: Session, data: bytes, hangup: bool = False) -> None:
+    def _reply(self, session: Session, data: bytes, hangup: bool = False) -> None:
         raise NotImplementedError
 
     def _answer_locally(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _request(self, session: Session, spec: Spec, args: list[bytes]) -> None:
+    def _submit(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _ask(
+    def _new_request(
         self,
         session: Session,
         rule: RequestClass,
@@ -167,28 +167,28 @@
         writes: bool,
         payload: bytes,
         replies: int = 1,
-    ) -> Ask:
+    ) -> PendingRequest:
         raise NotImplementedError
 
-    def _enter(self, session: Session, ask: Ask) -> None:
+    def _add_request(self, session: Session, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _start(self, session: Session, ask: Ask) -> None:
+    def _start(self, session: Session, ask: PendingRequest) -> None:
         raise NotImplementedError
 
     def _forget_request(self, request: int) -> None:
         raise NotImplementedError
 
-    def _queue(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
+    def _queue_command(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
         raise NotImplementedError
 
     def _transaction(self, session: Session, spec: Spec, args: list[bytes]) -> None:
         raise NotImplementedError
 
-    def _lose_lease(self, ask: Ask) -> None:
+    def _lose_lease(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _end_unwatched(self, ask: Ask) -> None:
+    def _end_unwatched(self, ask: PendingRequest) -> None:
         raise NotImplementedError
 
     def _release(self, session: Session) -> None:
@@ -207,7 +207,7 @@
     return api.Settings(
         seed=settings.seed,
         zone=settings.hall,
-        classes=tuple(to_rule(rule) for rule in classifier.classes),
+        classes=tuple(router_class(rule) for rule in classifier.classes),
         peers=settings.peers,
         step_us=TIMER_LATENESS_US,
         max_attempts=limits.attempts,
--- a/oatlink/core/statements.py
+++ b/oatlink/core/statements.py
@@ -21,7 +21,7 @@
 from pglast import ast, enums, parse_sql
 from pglast.parser import ParseError
 
-from oatlink.core.commands import Kind, find
+from oatlink.core.commands import Kind, find_command
 
 
 class StatementEffect(IntEnum):
@@ -360,7 +360,7 @@
 
 def command_effect(name: bytes) -> StatementEffect:
     """The effect of a RESP command by the command table. A command that is not in the table is `UNKNOWN`."""
-    spec = find(name)
+    spec = find_command(name)
     return StatementEffect.UNKNOWN if spec is None else _COMMAND_EFFECTS[spec.kind]
 
 
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -1,157 +1,162 @@
-"""MULTI, EXEC, DISCARD, WATCH, UNWATCH, and the connection that a client has for itself while it watches. No I/O."""
+"""MULTI, EXEC, DISCARD, WATCH, UNWATCH, and the connection reserved for a client while it watches keys. No I/O.
+
+The reserved connection is called a lease.
+"""
 
 from oatlink.core import messages as m
 from oatlink.core.classify import PINNED, slots_of
 from oatlink.core.clients import Clients
 from oatlink.core.commands import Spec
-from oatlink.core.sessions import Ask, Session, over_quota, refusal, unserved
+from oatlink.core.sessions import PendingRequest, Session, over_quota, refusal, unserved
 from oatlink.protocols.resp import OK, QUEUED, Null, encode, encode_command, error
 
 
 class Transactions(Clients):
-    """Transactions and leases."""
+    """Handles transactions and leases."""
 
-    def _queue(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
-        """A command between MULTI and EXEC; all of one transaction go to one group."""
+    def _queue_command(self, session: Session, args: list[bytes], writes: bool, slots: list[int]) -> None:
+        """Queue a command between MULTI and EXEC. All commands of a transaction must belong to one group."""
         assert session.queued is not None
         limits = self.settings.limits
         session.queued_bytes += sum(map(len, args))
         if len(session.queued) >= limits.transaction_commands or session.queued_bytes > limits.message_bytes:
-            session.spoilt = True
+            session.transaction_failed = True
             session.queued = []
-            self._say(session, error("ERR transaction too large"))
+            self._reply(session, error("ERR transaction too large"))
             return
         if slots and session.queued_slots and self._classifier.group_of([slots[0], session.queued_slots[0]]) is None:
-            session.spoilt = True
-            self._say(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
+            session.transaction_failed = True
+            self._reply(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
             return
-        session.queued_slots += [one for one in slots if one not in session.queued_slots]
+        session.queued_slots += [slot for slot in slots if slot not in session.queued_slots]
         session.queued.append((args, writes))
-        self._say(session, QUEUED)
+        self._reply(session, QUEUED)
 
     def _transaction(self, session: Session, spec: Spec, args: list[bytes]) -> None:
-        """MULTI, EXEC, DISCARD, WATCH, UNWATCH."""
+        """Handle MULTI, EXEC, DISCARD, WATCH and UNWATCH."""
         if spec.name == "multi":
             if session.queued is not None:
-                self._say(session, error("ERR MULTI calls can not be nested"))
+                self._reply(session, error("ERR MULTI calls can not be nested"))
                 return
             session.queued = []
-            self._say(session, OK)
+            self._reply(session, OK)
         elif spec.name == "watch":
             self._watch(session, spec, args)
         elif spec.name == "unwatch":
             self._release(session)
-            self._say(session, OK)
+            self._reply(session, OK)
         elif session.queued is None:
-            self._say(session, error(f"ERR {spec.name.upper()} without MULTI"))
+            self._reply(session, error(f"ERR {spec.name.upper()} without MULTI"))
         elif spec.name == "discard":
             session.forget_transaction()
             self._release(session)
-            self._say(session, OK)
+            self._reply(session, OK)
         else:
             self._exec(session)
 
     def _exec(self, session: Session) -> None:
-        """The whole transaction as one request: contiguous on one connection, never split."""
-        queued, spoilt, slots = session.queued or [], session.spoilt, session.queued_slots
+        """Send the whole transaction as one request: contiguous on one connection, never split."""
+        queued, has_failed, slots = session.queued or [], session.transaction_failed, session.queued_slots
         session.forget_transaction()
-        if spoilt or self._draining:
+        if has_failed or self._draining:
             self._release(session)
-            self._say(
+            self._reply(
                 session,
                 error("EXECABORT Transaction discarded because of previous errors.")
-                if spoilt
+                if has_failed
                 else refusal(self.settings.limits.retry_after_max_ms * 1_000),
             )
             return
         slots = slots or list(session.watching)
         if not queued and not session.lease:
-            self._say(session, b"*0\r\n")
+            self._reply(session, b"*0\r\n")
             return
-        writes = any(one for _, one in queued)
-        rule = self._classifier.of_transaction(writes, session.user, session.name)
+        writes = any(is_write for _, is_write in queued)
+        rule = self._classifier.class_of_transaction(writes, session.user, session.name)
         if session.lease and not writes:
             rule = PINNED
-        gated, key = 0, queued[0][0][1:2] if queued else []
+        quota_retry_us, key = 0, queued[0][0][1:2] if queued else []
         version = 0
         if self._gate.on and queued:
-            version, away_us = self._choose_version(session, rule, slots)
-            if away_us:
+            version, version_retry_us = self._choose_version(session, rule, slots)
+            if version_retry_us:
                 self._release(session)
-                self._say(session, unserved(version, away_us))
+                self._reply(session, unserved(version, version_retry_us))
                 return
-            gated = self._check_quota(session, rule, "exec", key, len(queued))
-            if gated > 0:
+            quota_retry_us = self._check_quota(session, rule, "exec", key, len(queued))
+            if quota_retry_us > 0:
                 self._release(session)
-                self._say(session, over_quota(gated))
+                self._reply(session, over_quota(quota_retry_us))
                 return
         parts = [
             b"*1\r\n$5\r\nMULTI\r\n",
-            *(encode_command(one) for one, _ in queued),
+            *(encode_command(args) for args, _ in queued),
             b"*1\r\n$4\r\nEXEC\r\n",
         ]
-        ask = self._ask(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
-        ask.transaction = ask.executes = True
-        ask.version = version
-        ask.lease = session.lease
+        request = self._new_request(session, rule, slots, writes, b"".join(parts), len(queued) + 2)
+        request.is_transaction = request.is_exec = True
+        request.version = version
+        request.lease = session.lease
         if not session.lease and rule.wait_replicas:
-            ask.alone = True
-        if gated:
-            self._wait_for_grant(ask, "exec", key, len(queued))
-        self._enter(session, ask)
+            request.alone = True
+        if quota_retry_us:  # `HELD`
+            self._wait_for_grant(request, "exec", key, len(queued))
+        self._add_request(session, request)
 
     def _watch(self, session: Session, spec: Spec, args: list[bytes]) -> None:
-        """WATCH binds a client to a connection of its own at the group's primary until EXEC or UNWATCH."""
+        """Handle WATCH: it reserves a connection to the group's primary for the client until EXEC or UNWATCH."""
         if session.queued is not None:
-            self._say(session, error("ERR WATCH inside MULTI is not allowed"))
+            self._reply(session, error("ERR WATCH inside MULTI is not allowed"))
             return
         slots = slots_of(spec.keys(args))
         if self._classifier.group_of([*slots, *session.watching]) is None:
-            self._say(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
+            self._reply(session, error("CROSSSLOT Keys in request don't hash to the same slot"))
             return
         if self._draining:
-            self._say(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
+            self._reply(session, refusal(self.settings.limits.retry_after_max_ms * 1_000))
             return
-        gated, keys = 0, spec.keys(args)
+        quota_retry_us, keys = 0, spec.keys(args)
         if self._gate.on:
-            gated = self._check_quota(session, PINNED, spec.name, keys, 1)
-            if gated > 0:
-                self._say(session, over_quota(gated))
+            quota_retry_us = self._check_quota(session, PINNED, spec.name, keys, 1)
+            if quota_retry_us > 0:
+                self._reply(session, over_quota(quota_retry_us))
                 return
         if not session.lease:
             self._last_lease += 1
             session.lease, session.lease_box, session.lease_lost = self._last_lease, "", False
-        session.watching += [one for one in slots if one not in session.watching]
-        ask = self._ask(session, PINNED, slots, True, encode_command(args))
-        ask.lease, ask.watches = session.lease, True
-        if gated:
-            self._wait_for_grant(ask, spec.name, keys, 1)
-        self._enter(session, ask)
+        session.watching += [slot for slot in slots if slot not in session.watching]
+        request = self._new_request(session, PINNED, slots, True, encode_command(args))
+        request.lease, request.is_watch = session.lease, True
+        if quota_retry_us:  # `HELD`
+            self._wait_for_grant(request, spec.name, keys, 1)
+        self._add_request(session, request)
 
-    def _end_lease(self, ask: Ask) -> None:
-        session = self._sessions.get(ask.client)
-        if session is not None and ask.lease and session.lease == ask.lease:
+    def _end_lease(self, request: PendingRequest) -> None:
+        """Give up the lease of a request that was refused or has failed."""
+        session = self._sessions.get(request.client)
+        if session is not None and request.lease and session.lease == request.lease:
             session.lease_lost = True
-            if ask.executes:
+            if request.is_exec:
                 self._release(session)
 
-    def _lose_lease(self, ask: Ask) -> None:
-        """A client's own connection has ended: what it watched is no longer watched."""
-        session = self._sessions.get(ask.client)
-        if session is not None and session.lease == ask.lease:
+    def _lose_lease(self, request: PendingRequest) -> None:
+        """Record that a client's reserved connection has ended, and that its keys are no longer watched."""
+        session = self._sessions.get(request.client)
+        if session is not None and session.lease == request.lease:
             session.lease_lost = True
 
-    def _end_unwatched(self, ask: Ask) -> None:
-        """Nothing is watched any more: EXEC answers as if a key had changed, which it may have; WATCH as usual."""
-        null = encode(Null(b"*" if ask.protocol == 2 else b"_"), ask.protocol)
-        session = self._sessions.get(ask.client)
-        if session is not None and ask.executes and session.lease == ask.lease:
+    def _end_unwatched(self, request: PendingRequest) -> None:
+        """Answer a request whose lease is lost: EXEC as if a watched key had changed (it may have), WATCH as usual."""
+        null = encode(Null(b"*" if request.protocol == 2 else b"_"), request.protocol)
+        session = self._sessions.get(request.client)
+        if session is not None and request.is_exec and session.lease == request.lease:
             self._release(session)
         self.counts["served"] += 1
-        self._out.append(m.Counted(ask.rule.name, "served", self._now - ask.arrived_us))
-        self._finish(ask, null if ask.executes else OK)
+        self._out.append(m.Counted(request.rule.name, "served", self._now - request.arrived_us))
+        self._finish(request, null if request.is_exec else OK)
 
     def _release(self, session: Session) -> None:
+        """Release a client's reserved connection, if it has one, and forget its watched keys."""
         if session.lease:
             self._out.append(m.Release(session.lease, session.lease_box))
         session.lease, session.lease_box, session.lease_lost, session.watching = 0, "", False, []
--- a/oatlink/gateway/fleet.py
+++ b/oatlink/gateway/fleet.py
@@ -63,16 +63,16 @@
         if not is_names(head.scope):  # scopes of names belong to a source itself
             self._gateway.notes.note("control", f"{head.scope} is at version {head.epoch}.{head.version}")
 
-    def execute(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+    def execute(self, effect: m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster) -> None:
         """Carry out an effect of the engine that is for the fleet."""
-        if isinstance(effect, m.Seek):
+        if isinstance(effect, m.QueryFleet):
             self.node.seek()
-        elif isinstance(effect, m.Observed):
+        elif isinstance(effect, m.ReportEvidence):
             if effect.kind == "elected":
                 self.node.failed_over(effect.bank)
             else:
                 self.node.saw(effect.box, effect.kind, effect.history, effect.offset)
-        elif isinstance(effect, m.Listing):
+        elif isinstance(effect, m.PublishRoster):
             self.node.listed(members_of(effect.boxes, self._settings))
         else:
             task = asyncio.get_running_loop().create_task(self._run_operator_command(effect))
@@ -80,13 +80,13 @@
             task.add_done_callback(self._tasks.discard)
 
     def _notify(self, news: AnyNews) -> None:
-        self._gateway.feed(m.Told(news))
+        self._gateway.feed(m.FleetNews(news))
 
     def _primary(self, bank: str) -> Primary | None:
         address, links = self._gateway.engine.primary_of(bank), self._gateway.settings.links
         return Primary(address, links.user, links.password) if address else None
 
-    async def _run_operator_command(self, command: m.Errand) -> None:
+    async def _run_operator_command(self, command: m.FleetCommand) -> None:
         async with self._operator_lock:
             if command.word == "rows":
                 text = "\n".join(f"{name}: {value}" for name, value in self.node.rows())
@@ -98,7 +98,7 @@
                     text = str(error)
             else:
                 text = await self.node.word(command.word, command.text)
-            self._gateway.feed(m.Replied(command.client, text))
+            self._gateway.feed(m.FleetReplied(command.client, text))
 
     async def stop(self) -> None:
         """Leave the fleet."""
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -82,7 +82,7 @@
             self._dial_requests.discard(effect)
         elif isinstance(effect, m.NoPath):
             self.no_path(effect)
-        elif isinstance(effect, m.Shun):
+        elif isinstance(effect, m.ClosePath):
             self.close_address(effect.address)
         elif isinstance(effect, m.DropIdle):
             for pool in self._pools.values():
@@ -127,7 +127,7 @@
             self.reports.ended(send, effect.how, self.reports.now(), [], b"")
 
     def close_address(self, address: str) -> None:
-        """Close all connections over an address, as `Shun` asks."""
+        """Close all connections over an address, as `ClosePath` asks."""
         with self.reports.batch():
             for connection in self._connections():
                 if connection.address == address:
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -49,7 +49,7 @@
 
     def wanted(self, dial: int, address: str) -> None:
         """A connection is requested."""
-        self._gateway.feed(m.Wanted(self._name, dial, address))
+        self._gateway.feed(m.ConnectionWanted(self._name, dial, address))
 
     def dialled(self, dial: int, address: str, how: str, asked_us: int, took_us: int, info: bytes = b"") -> None:
         """An attempt to connect has ended."""
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -63,7 +63,9 @@
                     client.unanswered += 1
                     taken_count += 1
                     waiting = gateway.turn_clock.waiting_count
-                    gateway.feed(m.Asked(client.number, args, late_us, waiting, waited_us, turn_us - arrived_us))
+                    gateway.feed(
+                        m.CommandReceived(client.number, args, late_us, waiting, waited_us, turn_us - arrived_us)
+                    )
             if client.is_over:
                 break
             if client.unsent_bytes > max_unsent_bytes and client.last_write is not None:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -39,7 +39,7 @@
 class FleetEffects(Protocol):
     """What a gateway needs of its connection to the fleet (`oatlink.gateway.fleet`)."""
 
-    def execute(self, effect: m.Seek | m.Errand | m.Observed | m.Listing) -> None:
+    def execute(self, effect: m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster) -> None:
         """Carry out an effect of the engine that is for the fleet."""
 
 
@@ -105,7 +105,7 @@
                 self._links[box.name] = Link(box.name, paths, self.settings.links, self._limits, self)
             elif tuple(link.paths.values()) != paths:
                 link.set_paths(paths)
-        self.feed(m.Listed(boxes))
+        self.feed(m.RosterListed(boxes))
         names = {box.name for box in boxes}
         removed_links += [self._links.pop(name) for name in [name for name in self._links if name not in names]]
         # Removed links are closed only after the engine has the new roster: requests that end with a link are sent
@@ -180,7 +180,7 @@
     def _sweep(self) -> None:
         slept = machine_sleep_us()
         if slept - self._slept_us > MIN_SLEPT_US:
-            self.feed(m.Gapped())
+            self.feed(m.ClockStalled())
         self._slept_us = slept
         with self.batch():
             for link in self._links.values():
@@ -253,7 +253,7 @@
             if self._wake_timer is not None:
                 loop.remove_timeout(self._wake_timer)
             self._wake_timer = loop.call_later(max(0.0, (effect.at_us - now_us()) / 1e6), self._wake_timer_fired)
-        elif isinstance(effect, m.Probe | m.Dial | m.Use | m.Discard | m.NoPath | m.Shun | m.DropIdle | m.Release):
+        elif isinstance(effect, m.Probe | m.Dial | m.Use | m.Discard | m.NoPath | m.ClosePath | m.DropIdle | m.Release):
             link = self._links.get(effect.box)
             if link is not None:
                 link.execute(effect)
@@ -267,11 +267,11 @@
         elif isinstance(effect, m.Record):
             is_done, text = self._recording.execute(effect.word, self._now_us)
             self.feed(m.Recorded(effect.client, text, is_done))
-        elif isinstance(effect, m.Seek | m.Errand | m.Observed | m.Listing):
+        elif isinstance(effect, m.QueryFleet | m.FleetCommand | m.ReportEvidence | m.PublishRoster):
             if self.fleet is not None:
                 self.fleet.execute(effect)
-            elif isinstance(effect, m.Errand):
-                self.feed(m.Replied(effect.client, "the fleet has not begun"))
+            elif isinstance(effect, m.FleetCommand):
+                self.feed(m.FleetReplied(effect.client, "the fleet has not begun"))
         elif isinstance(effect, m.Hangup):
             client = self._clients.get(effect.client)
             if client is not None:
@@ -344,7 +344,7 @@
             await read_commands(client, self._limits, self.settings.limits, self)
             await discard_input(client.stream, client.ending)  # what comes behind its last answer
         except ProtocolError as problem:
-            self.feed(m.Broken(client.number, str(problem)))
+            self.feed(m.ProtocolViolated(client.number, str(problem)))
             await discard_input(client.stream, client.ending)  # the answers before the error are still to be written
         except (StreamClosedError, TimeoutError):
             pass
--- a/tests/fleet/test_gated.py
+++ b/tests/fleet/test_gated.py
@@ -28,11 +28,11 @@
 
 
 def count_seeks(rig: Rig) -> int:
-    return sum(isinstance(effect, m.Seek) for effect in rig.other)
+    return sum(isinstance(effect, m.QueryFleet) for effect in rig.other)
 
 
 def grant(rig: Rig, rate: float = 40, burst: float = 10, serial: int = 1, term_us: int = 1_000_000) -> None:
-    rig.give(m.Told(Granted("tenant/t", serial, rate, burst, rig.now + term_us)))
+    rig.give(m.FleetNews(Granted("tenant/t", serial, rate, burst, rig.now + term_us)))
 
 
 def test_a_tenants_first_request_waits_for_a_grant_and_goes_on_with_it() -> None:
@@ -107,7 +107,7 @@
 
 def test_a_node_that_is_alone_has_no_floor() -> None:
     rig = new_rig()
-    rig.give(m.Told(Alone()))
+    rig.give(m.FleetNews(Alone()))
     rig.pass_us(3_000_000)
     rig.ask("GET", PLAIN)
     assert not rig.sent and rig.answers[1][0].startswith(b"-QUOTA")
@@ -121,7 +121,7 @@
     for send in list(rig.sent):
         rig.end(send, [b"$-1\r\n"])
     engine = restore_engine(take_snapshot(rig.engine, rig.now), LIMITED)
-    messages = [m.Asked(1, [b"GET", PLAIN.encode()]) for _ in range(30)]
+    messages = [m.CommandReceived(1, [b"GET", PLAIN.encode()]) for _ in range(30)]
     restored = [engine.handle(message, rig.now) for message in messages]
     assert restored == [rig.engine.handle(message, rig.now) for message in messages]
     assert rig.engine.counts["over_quota"] > 5
@@ -134,7 +134,7 @@
     rig = new_rig(VERSIONED, "x")
     rig.ask("GET", PLAIN)
     assert not rig.sent and rig.answers[1][0].startswith(b"-LAYOUT 0 is not served") and b"retry" in rig.answers[1][0]
-    rig.give(m.Told(SERVED))
+    rig.give(m.FleetNews(SERVED))
     assert rig.ask("GET", PLAIN) is not None
     assert rig.engine.versions_in_use() == (1,)
     rig.end(rig.sent[0], [b"$-1\r\n"])
@@ -143,19 +143,19 @@
 
 def test_a_client_that_names_a_version_not_served_is_refused_with_a_time_to_retry() -> None:
     rig = new_rig(VERSIONED, "x;layout=2")
-    rig.give(m.Told(SERVED))
+    rig.give(m.FleetNews(SERVED))
     rig.ask("GET", PLAIN)
     assert not rig.sent and rig.answers[1][0].startswith(b"-LAYOUT 2")
 
 
 def test_a_connection_stays_with_the_version_that_it_began_with() -> None:
     rig = new_rig(VERSIONED, "x")
-    rig.give(m.Told(SERVED))
+    rig.give(m.FleetNews(SERVED))
     rig.end(rig.ask("GET", PLAIN), [b"$-1\r\n"])  # type: ignore[arg-type]
-    rig.give(m.Told(Served(8, 2**60, (1, 2), 2, (), (("one", (1, 2)), ("two", (1, 2))))))
+    rig.give(m.FleetNews(Served(8, 2**60, (1, 2), 2, (), (("one", (1, 2)), ("two", (1, 2))))))
     assert rig.ask("GET", PLAIN) is not None and rig.engine.versions_in_use() == (1,)
     assert rig.ask("GET", PLAIN, client=2) is not None and sorted(rig.engine.versions_in_use()) == [1, 2]
-    rig.give(m.Told(Served(9, 2**60, (2,), 2, (), (("one", (2,)), ("two", (2,))))))
+    rig.give(m.FleetNews(Served(9, 2**60, (2,), 2, (), (("one", (2,)), ("two", (2,))))))
     rig.answers.clear()
     for send in list(rig.sent)[1:]:
         rig.end(send, [b"$-1\r\n"])
@@ -169,7 +169,7 @@
     rig = new_rig(VERSIONED, "x;layout=2")
     rig.says["p"] = info("primary", 500 if is_applied else 300, run="p")
     marker = ("one", Marker(2, "h1", 400))
-    rig.give(m.Told(Served(8, 2**60, (1, 2), 1, (marker,), (("one", (1, 2)), ("two", (1, 2))))))
+    rig.give(m.FleetNews(Served(8, 2**60, (1, 2), 1, (marker,), (("one", (1, 2)), ("two", (1, 2))))))
     rig.ask("SET", PLAIN, 1)
     if is_applied:
         assert len(rig.sent) == 1
@@ -183,7 +183,7 @@
 def test_a_request_that_waited_past_the_end_of_the_term_is_not_sent() -> None:
     rig = new_rig(VERSIONED, "x")
     rig.list(p="gone")  # without a primary, a write is kept pending
-    rig.give(m.Told(Served(8, rig.now + 100_000, (1,), 1, (), (("one", (1,)), ("two", (1,))))))
+    rig.give(m.FleetNews(Served(8, rig.now + 100_000, (1,), 1, (), (("one", (1,)), ("two", (1,))))))
     rig.says["r"] = info("replica", 100, run="r")
     assert rig.ask("SET", PLAIN, 1) is None and not rig.answers
     rig.pass_us(150_000)
@@ -200,7 +200,7 @@
     rig = new_rig(load_text(f"{TEMPLATE} + {part}", "test"), "x")
     rig.pass_us(1_000_000)
     for number in range(1, 9):
-        rig.give(m.Wanted("p", number))
+        rig.give(m.ConnectionWanted("p", number))
 
     def dial_numbers() -> list[int]:
         return [effect.dial for effect in rig.other if isinstance(effect, m.Dial)]
@@ -208,7 +208,7 @@
     assert not dial_numbers() and count_seeks(rig)  # the floor's bucket is created empty by the first question
     rig.pass_us(1_000_000)
     assert 2 <= len(dial_numbers()) <= 5  # the node's floor is 4 per second
-    rig.give(m.Told(Granted("dials/p", 1, 12.0, 6.0, rig.now + 60_000_000)))
+    rig.give(m.FleetNews(Granted("dials/p", 1, 12.0, 6.0, rig.now + 60_000_000)))
     rig.pass_us(6_000_000)
     assert sorted(dial_numbers()) == list(range(1, 9))
 
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -16,7 +16,7 @@
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
 from oatlink.settings import load_text
-from tests.gateways import Wire, given_to, started
+from tests.gateways import Wire, record_inputs, start_gateway
 from tests.scenes import scene
 
 PATIENCE_S = 20.0
@@ -148,7 +148,7 @@
             f" + {more}",
             "test",
         )
-        gateway, port = started(settings, **links)
+        gateway, port = start_gateway(settings, **links)
         opened = World(gateway, box, port)
         try:
             await until(lambda: not gateway.engine.without_primary)
@@ -268,7 +268,7 @@
 async def test_a_command_whose_client_left_before_its_connection_came_up_is_not_written(
     world: World, words: CommandWords
 ) -> None:
-    ended = given_to(world.gateway, m.Ended)
+    ended = record_inputs(world.gateway, m.Ended)
     await world.close_and_wait(await send_waiting_command(world, *words))
     assert [event.how for event in ended] == ["withdrawn"]  # at once, and not counted as a failure of the box
     world.box.may_greet.set()
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -17,7 +17,7 @@
 from oatlink.router_state import Group, RouterState
 from oatlink.rules import dispatch
 from oatlink.standins.box import Work
-from tests.gateways import Served, Wire, given_to, served
+from tests.gateways import Served, Wire, record_inputs, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, info, sent
 from tests.test_operators import Site
@@ -78,7 +78,7 @@
 @scene(served, 1)
 async def test_an_answer_that_waited_in_the_process_does_not_count_as_the_boxs_time(harness: Served) -> None:
     """The event loop is kept busy after each answer has arrived; the measured time of the box must not grow by that."""
-    ended = given_to(harness.gateway, m.Ended)
+    ended = record_inputs(harness.gateway, m.Ended)
     wire = await harness.wire()
     loop = asyncio.get_running_loop()
     link = harness.gateway._links["box-0-0"]
@@ -153,7 +153,7 @@
         assert rig.sent[-1].box in ("r", "s")
         # The replicas report the same as before; the primary has written since, which this gateway has not seen.
         rig.says["p"] = info("primary", 300, run="p")
-        rig.give(m.Gapped())
+        rig.give(m.ClockStalled())
         before = len(rig.sent)
         rig.ask("GET", KEY)
         rig.pass_us(100_000)
@@ -199,12 +199,12 @@
     asyncio.run(test())
 
 
-def before_each_command(gateway: Gateway, callback: Callable[[m.Asked], None]) -> None:
+def before_each_command(gateway: Gateway, callback: Callable[[m.CommandReceived], None]) -> None:
     """Call a function in the gateway's process before the engine handles each command."""
     handle = gateway.engine.handle
 
     def handle_after_callback(given: m.AnyInput, now_us: int) -> list[m.AnyEffect]:
-        if isinstance(given, m.Asked):
+        if isinstance(given, m.CommandReceived):
             callback(given)
         return handle(given, now_us)
 
@@ -215,7 +215,7 @@
 async def test_a_pipeline_is_not_late_by_its_own_length(harness: Served) -> None:
     late_us: list[int] = []
 
-    def handle_slowly(command: m.Asked) -> None:
+    def handle_slowly(command: m.CommandReceived) -> None:
         late_us.append(max(command.late_us, command.waited_us))
         time.sleep(0.004)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,7 @@
 from oatlink.core.commands import slot_of
 from oatlink.lab.embedded import Embedded
 from oatlink.protocols import resp
-from tests.gateways import Served, Wire, served, started
+from tests.gateways import Served, Wire, served, start_gateway
 from tests.scenes import scene
 
 
@@ -101,7 +101,9 @@
         other_bank = embedded.banks[1]
         other_bank.start([embedded._ports[box.name] for box in other_bank.boxes])
         await other_bank.synced()
-        gateway, port = started(embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100)
+        gateway, port = start_gateway(
+            embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100
+        )
         other_wire = await Wire.open(port)
         slots = gateway.engine._classifier._slots
         invalid_box_key, other_key = (
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,7 +23,7 @@
 from oatlink.lab.embedded import Embedded, port_of, reserve
 from oatlink.protocols import resp
 from oatlink.settings import load
-from tests.gateways import Wire, program, started
+from tests.gateways import Wire, start_gateway, start_program
 from tests.test_engine import KEY, PLAIN, Rig, info, sent
 from tests.test_recording import recorded
 
@@ -39,7 +39,7 @@
     """A stand-in bank and a gateway in front of it, each in a process of its own as in operation."""
 
     def __init__(self, folder: Path) -> None:
-        self.bank, first_line = program("bank")
+        self.bank, first_line = start_program("bank")
         self.boxes = json.loads(first_line)["banks"]["bank-0"]
         self.folder = folder
         self.roster = folder / "roster.json"
@@ -55,7 +55,7 @@
         self.start()
 
     def start(self) -> None:
-        self.gateway, line = program("gateway", str(self.settings))
+        self.gateway, line = start_program("gateway", str(self.settings))
         assert line.startswith("ready 127.0.0.1:") and not line.startswith("ready 127.0.0.1:0\n"), line
         self.address = line.split()[1]
         self.port = int(self.address.rsplit(":")[-1])
@@ -190,7 +190,7 @@
     async def restart_twice() -> None:
         settings = load(str(site.settings))
         for start in range(2):
-            gateway, port = started(settings)
+            gateway, port = start_gateway(settings)
             wire = await Wire.open(port)
             assert ("teller@0" in gateway.engine.router.state.session_positions) is bool(start)
             await wire.ask("CLIENT", "SETNAME", "teller")
@@ -307,7 +307,8 @@
         data = file.read_bytes()
         recording = Recording(data)
         members_count += sum(
-            isinstance(entry.given, m.Asked) and entry.given.args[0] == b"MEMBERS" for entry in recording.entries()
+            isinstance(entry.given, m.CommandReceived) and entry.given.args[0] == b"MEMBERS"
+            for entry in recording.entries()
         )
         recording = Recording(data)
         assert replay(recording.header, recording.entries()).differences == 0
@@ -331,8 +332,8 @@
     rig.end(sent(rig.ask("SET", PLAIN, 0)))
     rig.pass_us(1_000)
     rig.says["r"] = info("primary", 100, "h2", "r", "h1", 101)
-    rig.give(m.Inspected())
-    rig.give(m.Inspected())
+    rig.give(m.RefreshRequested())
+    rig.give(m.RefreshRequested())
     takes = {status.name: status.takes for status in rig.engine.box_statuses()}
     assert takes["r"] == "writes and current reads"
     assert takes["p"] == "nothing: role unknown"  # it still reports that it is the primary
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,7 +15,7 @@
 from oatlink.core.overload import MAX_RETRY_US, Admission
 from oatlink.protocols import resp
 from oatlink.settings.model import RequestClass
-from tests.gateways import Served, given_to, served
+from tests.gateways import Served, record_inputs, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, sent
 
@@ -148,7 +148,7 @@
     rig.text()
     rig.give(_late(PLAIN, 9_000_000))
     assert rig.text().startswith(b"-TRYAGAIN refused, nothing was run; retry after ")
-    assert rig.engine.counts["shed"] == 1 and not rig.engine._asks and not rig.paused
+    assert rig.engine.counts["shed"] == 1 and not rig.engine._requests and not rig.paused
 
 
 def test_a_connection_is_paused_longer_each_time_but_not_for_commands_that_are_too_late() -> None:
@@ -164,17 +164,19 @@
         pauses.append(rig.paused[1] - rig.now)
     assert pauses == [150_000, 300_000, 600_000, 1_000_000]
     rig.paused.clear()
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 900_000))
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 900_000))
     assert rig.engine.counts["shed"] == 5 and not rig.paused
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 100_000))  # it has hardly waited for the process: admitted
-    assert len(rig.engine._asks) == 1 and rig.engine.sessions[1].shed == 0
+    rig.give(
+        m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 100_000)
+    )  # it has hardly waited for the process: admitted
+    assert len(rig.engine._requests) == 1 and rig.engine.sessions[1].shed_in_a_row == 0
 
 
 def test_a_clients_time_runs_while_its_command_waits_for_the_process() -> None:
     rig = Rig()
     rig.ask("GET", KEY, client=2)
     rig.give(_late(KEY, 500_000))
-    ask = next(ask for ask in rig.engine._asks.values() if ask.client == 1)
+    ask = next(ask for ask in rig.engine._requests.values() if ask.client == 1)
     assert ask.arrived_us == rig.now - 500_000
     assert min(when for when, _ in rig.engine._deadlines) < rig.now + 1_500_000
 
@@ -182,9 +184,11 @@
 def test_the_time_of_a_command_begins_when_it_arrived_and_not_when_it_was_read() -> None:
     rig = Rig()
     rig.end(sent(rig.ask("SET", PLAIN, 1)))
-    rig.give(m.Asked(1, [b"GET", KEY.encode()], 0, 0, 500_000))
-    assert next(iter(rig.engine._asks.values())).arrived_us == rig.now - 500_000
-    rig.give(m.Asked(2, [b"GET", KEY.encode()], 0, 0, 700_000))  # past its aim, and a late answer has no worth
+    rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 500_000))
+    assert next(iter(rig.engine._requests.values())).arrived_us == rig.now - 500_000
+    rig.give(
+        m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 700_000)
+    )  # past its aim, and a late answer has no worth
     assert rig.text(2).startswith(b"-TRYAGAIN")
 
 
@@ -200,13 +204,13 @@
             began = time.monotonic()
             assert isinstance(await wire.ask("GET", "a"), resp.Error)
             assert time.monotonic() - began < 1.5  # the shortest deadline, that of price-check
-    inputs = given_to(world.gateway, m.Asked)
+    inputs = record_inputs(world.gateway, m.CommandReceived)
     assert not isinstance(await wire.ask("SET", "a", 2), resp.Error)
     assert 400_000 < inputs[0].waited_us < 900_000 and admission.limit > 0
 
 
-def _late(key: str, late_us: int) -> m.Asked:
-    return m.Asked(1, [b"GET", key.encode()], late_us)
+def _late(key: str, late_us: int) -> m.CommandReceived:
+    return m.CommandReceived(1, [b"GET", key.encode()], late_us)
 
 
 @pytest.mark.parametrize("classes", [(), SETTINGS.classes])
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -6,7 +6,7 @@
 
 from oatlink.core import messages as m
 from oatlink.core.classify import Classifier, slots_of
-from oatlink.core.commands import find, idempotency_key, slot_of
+from oatlink.core.commands import find_command, idempotency_key, slot_of
 from oatlink.core.engine import Engine
 from oatlink.core.recording import Recorder, Recording, replay
 from oatlink.core.redact import Redactor, hash_tag_for
@@ -41,7 +41,7 @@
 
 @given(COMMANDS.map(list))
 def test_a_redacted_command_is_routed_like_the_original(args: list[bytes]) -> None:
-    spec = find(args[0])
+    spec = find_command(args[0])
     assert spec is not None
     redacted = Redactor(HASHED).redact_command(args)
     assert len(redacted) == len(args)
@@ -56,8 +56,8 @@
     redacted = Redactor(HASHED).redact_command([b"SET", b"v:customer-17", b"balance 100"])
     assert b"customer" not in redacted[1] and redacted[1].startswith(b"v:") and redacted[2] == b""
     for args in ([b"AUTH", b"user", b"password"], [b"HELLO", b"3", b"AUTH", b"user", b"password"], [b"AUTH", b"x"]):
-        recorded = Redactor(SETTINGS).redact_input(m.Asked(1, args))
-        assert isinstance(recorded, m.Asked) and not {b"user", b"password", b"x"} & set(recorded.args)
+        recorded = Redactor(SETTINGS).redact_input(m.CommandReceived(1, args))
+        assert isinstance(recorded, m.CommandReceived) and not {b"user", b"password", b"x"} & set(recorded.args)
 
 
 def test_no_password_is_recorded_and_logins_still_replay() -> None:
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -70,7 +70,7 @@
 
 
 def test_a_dial_moves_on_when_a_path_is_refused_and_when_it_says_nothing(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     (first,) = take_dials(rig)
     assert first.address == UNIX and first.timeout_us == 70_000
     finish_dial(rig, first, "refused")
@@ -86,13 +86,13 @@
 
 
 def test_where_every_path_fails_the_waiting_connection_fails_once(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     for _ in range(3):
         (dial,) = take_dials(rig)
         finish_dial(rig, dial, "refused")
     # All three have failed now. `take_dials` has dropped the last effects, so another connection is wanted: only one
     # path is tried for it.
-    rig.give(m.Wanted("p", 2, UNIX))
+    rig.give(m.ConnectionWanted("p", 2, UNIX))
     (retry,) = take_dials(rig)
     finish_dial(rig, retry, "refused")
     assert [effect.how for effect in take_effects(rig, m.NoPath)] == ["refused"]
@@ -111,7 +111,7 @@
 
     rig.engine.router.handle = record_checks  # type: ignore[method-assign]
     rig.engine._boxes["p"].check_pending = True  # as if the Router had asked for a check
-    rig.give(m.Inspected())
+    rig.give(m.RefreshRequested())
     assert [event.outcome for event in checks] == [api.Outcome.SERVED]
     belief = member_status(rig.engine.router, before)
     assert belief is not None and belief.role is Role.PRIMARY
@@ -119,7 +119,7 @@
     assert sent(rig.ask("SET", PLAIN, 1)).address == IPV4
     rig.says["p"] = b""
     rig.engine._boxes["p"].check_pending = True
-    rig.give(m.Inspected())
+    rig.give(m.RefreshRequested())
     assert [event.outcome for event in checks][-1] is api.Outcome.LATE
     assert sum(event.outcome is not api.Outcome.SERVED for event in checks) == 1
 
@@ -127,7 +127,7 @@
 def test_a_silent_probe_is_overtaken_by_the_next_path(rig: Rig) -> None:
     rig.mute.add(UNIX)
     rig.probes.clear()
-    rig.give(m.Inspected())
+    rig.give(m.RefreshRequested())
     assert [probe.address for probe in rig.probes if probe.box == "p"] == [UNIX]
     rig.pass_us(12_000)  # four times the usual probe time, 10 ms at least
     assert [probe.address for probe in rig.probes if probe.box == "p"] == [UNIX, IPV6]
@@ -182,7 +182,9 @@
     rig.mute.add(UNIX)
     rig.other.clear()
     rig.pass_us(60_000)
-    assert [effect.address for effect in take_effects(rig, m.Shun)] == [UNIX] and path_state(rig, UNIX) is State.FAILED
+    assert [effect.address for effect in take_effects(rig, m.ClosePath)] == [UNIX] and path_state(
+        rig, UNIX
+    ) is State.FAILED
     rig.give(m.Ended(send.request, send.attempt, "p", "reset", 60_000, rig.now - 60_000, address=UNIX))
     assert rig.sent[-1].address == IPV6 and rig.engine.without_primary == []
 
@@ -191,11 +193,11 @@
     sent(rig.ask("XADD", KEY, "IDMP", "a", "t1", "*", "f", "v"))
     rig.mute.update((IPV4, IPV6, UNIX))
     rig.pass_us(400_000)
-    assert not any(isinstance(effect, m.Shun) for effect in rig.other)
+    assert not any(isinstance(effect, m.ClosePath) for effect in rig.other)
 
 
 def test_an_address_that_reaches_another_listed_box_carries_nothing(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     finish_dial(rig, dial, report=rig.says["r"])
     assert [effect.address for effect in rig.other if isinstance(effect, m.Discard)] == [UNIX]
@@ -205,7 +207,7 @@
 
 
 def test_an_address_that_reaches_another_bank_carries_nothing(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     finish_dial(rig, dial, report=info("replica", 5, "h9", run="unknown"))
     assert any(isinstance(effect, m.Note) and "a box of two" in effect.text for effect in rig.other)
@@ -213,7 +215,7 @@
 
 
 def test_an_unknown_run_on_one_path_is_another_server_while_the_others_reach_the_old_run(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     member = rig.engine._boxes["p"].member
     finish_dial(rig, dial, report=info("primary", 100, run="new"))
@@ -234,7 +236,7 @@
         m.Box("r", 0, "127.0.0.1:1002", ways=(m.Way(UNIX),)),
         m.Box("q", 1, "127.0.0.1:1004"),
     ]
-    rig.give(m.Listed(tuple(boxes)))
+    rig.give(m.RosterListed(tuple(boxes)))
     assert [path.address for path in rig.engine._boxes["r"].paths.paths] == ["127.0.0.1:1002"]
     assert [path.address for path in rig.engine._boxes["p"].paths.paths] == [IPV4, UNIX]
     with pytest.raises(SettingsError, match=r"paths\[0\]\.address: expected an address of its own"):
@@ -244,10 +246,10 @@
 def test_addresses_that_change_under_a_live_box_leave_it_the_same_box(rig: Rig) -> None:
     member = rig.engine._boxes["p"].member
     others = [m.Box("r", 0, "127.0.0.1:1002"), m.Box("s", 0, "127.0.0.1:1003"), m.Box("q", 1, "127.0.0.1:1004")]
-    rig.give(m.Listed((m.Box("p", 0, IPV6, ways=(m.Way("[::1]:9"),)), *others)))
+    rig.give(m.RosterListed((m.Box("p", 0, IPV6, ways=(m.Way("[::1]:9"),)), *others)))
     assert rig.engine._boxes["p"].member == member
     assert [path.address for path in rig.engine._boxes["p"].paths.paths] == [IPV6, "[::1]:9"]
-    rig.give(m.Listed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # it shares no address with the old entry: another box
+    rig.give(m.RosterListed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # another box: no address in common
     assert rig.engine._boxes["p"].member != member
 
 
@@ -259,12 +261,12 @@
     )
     rig.mute.update(way.address for box in boxes for way in box.ways)
     rig.mute.update(box.address for box in boxes)
-    rig.give(m.Listed(boxes))
+    rig.give(m.RosterListed(boxes))
     open_dials: list[m.Dial] = []
     no_path_count, most_open, dial_count = 0, 0, 0
     for at in range(50):
         for number in range(4):
-            rig.give(m.Wanted(f"b{at}", number + 1))
+            rig.give(m.ConnectionWanted(f"b{at}", number + 1))
     for _ in range(2_000):
         fresh = [effect for effect in rig.other if isinstance(effect, m.Dial)]
         no_path_count += sum(isinstance(effect, m.NoPath) for effect in rig.other)
@@ -284,7 +286,7 @@
 
 
 def test_the_state_of_paths_is_in_a_snapshot(rig: Rig) -> None:
-    rig.give(m.Wanted("p", 1, UNIX))
+    rig.give(m.ConnectionWanted("p", 1, UNIX))
     (dial,) = take_dials(rig)
     sent(rig.ask("SET", PLAIN, 1))
     rig.engine = restore_engine(take_snapshot(rig.engine, rig.now), SETTINGS)
