--- a/oatlink/core/operators.py
+++ b/oatlink/core/operators.py
@@ -181,7 +181,7 @@
                             "primary": group.primary or "unknown",
                             "history": group.positions.current or "",
                             "elections": group.elections,
-                            "open_attempts": len(requests),
+                            "open": len(requests),
                             "held": len(pending),
                             "longest_held_ms": longest_pending_us // 1_000,
                             "sample_age_ms": (now - newest_us) // 1_000 if newest_us >= 0 else -1,
@@ -235,7 +235,7 @@
             boxes[name] = ",".join(f"{key}={value}" for key, value in fields.items())
         paths: dict[str, object] = {}
         for row in self.path_rows():
-            name = f"{row.pop('box')}/{row.pop('pending_reply')}"
+            name = f"{row.pop('box')}/{row.pop('place')}"
             paths[name] = ",".join(f"{key}={value}" for key, value in row.items())
         banks: dict[str, object] = {
             self.settings.banks[number].name: f"primary={group.primary or 'unknown'},elections={group.elections}"
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -14,9 +14,9 @@
 NARROW = SHORT + " + { limits+: { client_pipeline: 2 } }"
 
 
-def first_words(may_answer: bytes) -> list[bytes]:
+def first_words(answers: bytes) -> list[bytes]:
     """The first word of each line."""
-    return [line.split(b" ")[0] for line in may_answer.splitlines()]
+    return [line.split(b" ")[0] for line in answers.splitlines()]
 
 
 # ---- The engine alone ----
@@ -55,8 +55,8 @@
     client.writer.write(b"".join(resp.command("GET", f"k{number}") for number in range(16)))
     other = await site.wire()
     assert await other.ask("PING") == PONG
-    may_answer = [await client.reply() for _ in range(16)]
-    assert [str(answer).count("nothing was run") for answer in may_answer] == [0, 0] + [1] * 14, may_answer
+    answers = [await client.reply() for _ in range(16)]
+    assert [str(answer).count("nothing was run") for answer in answers] == [0, 0] + [1] * 14, answers
 
 
 @scene(open_world, NARROW)
