--- a/oatlink/audit/capture.py
+++ b/oatlink/audit/capture.py
@@ -32,11 +32,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class Event:
     """A fact: `what` is started, stopped, draining, ready or gone; of a gateway killed, ending, halted or resumed."""
 
     at_us: int
-    box: str  # or the gateway
+    target: str  # a box or a gateway
     what: str
 
 
@@ -54,8 +54,8 @@
     """All traffic of one run."""
 
     chunks: dict[tuple[str, int], list[Chunk]] = field(default_factory=lambda: defaultdict(list))
-    notices: list[Notice] = field(default_factory=list)
-    reached: dict[tuple[str, int], str] = field(default_factory=dict)  # the gateway at a client connection's other end
+    events: list[Event] = field(default_factory=list)
+    gateways: dict[tuple[str, int], str] = field(default_factory=dict)  # the gateway at a client connection's other end
     applied: list[Applied] = field(default_factory=list)  # of what a judge wants to know, not all
     bytes_kept: int = 0
 
@@ -64,17 +64,17 @@
         self.chunks[place, connection].append(Chunk(at_us, out, data))
         self.bytes_kept += len(data)
 
-    def reach(self, place: str, connection: int, gateway: str) -> None:
+    def set_gateway(self, place: str, connection: int, gateway: str) -> None:
         """Keep which gateway a client's connection is to; only where that may be killed need it be known."""
-        self.reached[place, connection] = gateway
+        self.gateways[place, connection] = gateway
 
-    def apply(self, at_us: int, box: str, args: list[bytes]) -> None:
+    def add_applied(self, at_us: int, box: str, args: list[bytes]) -> None:
         """Keep that a box has applied a command."""
         self.applied.append(Applied(at_us, box, args))
 
-    def notice(self, at_us: int, box: str, what: str) -> None:
+    def add_event(self, at_us: int, box: str, what: str) -> None:
         """Keep a fact."""
-        self.notices.append(Notice(at_us, box, what))
+        self.events.append(Event(at_us, box, what))
 
 
 @dataclass(slots=True)
--- a/oatlink/audit/ends.py
+++ b/oatlink/audit/ends.py
@@ -20,15 +20,15 @@
         self._ending: dict[str, list[int]] = defaultdict(list)
         self._halts: dict[str, list[tuple[int, int]]] = defaultdict(list)
         since: dict[str, int] = {}
-        for notice in sorted(capture.notices, key=lambda one: one.at_us):
+        for notice in sorted(capture.events, key=lambda one: one.at_us):
             if notice.what == "killed":
-                self._killed[notice.box].append(notice.at_us)
+                self._killed[notice.target].append(notice.at_us)
             elif notice.what == "ending":
-                self._ending[notice.box].append(notice.at_us)
+                self._ending[notice.target].append(notice.at_us)
             elif notice.what == "halted":
-                since.setdefault(notice.box, notice.at_us)
-            elif notice.what == "resumed" and notice.box in since:
-                self._halts[notice.box].append((since.pop(notice.box), notice.at_us))
+                since.setdefault(notice.target, notice.at_us)
+            elif notice.what == "resumed" and notice.target in since:
+                self._halts[notice.target].append((since.pop(notice.target), notice.at_us))
         for gateway, at_us in since.items():
             self._halts[gateway].append((at_us, ended_us))
 
@@ -49,7 +49,7 @@
         return any(opened_us <= at_us <= sent_us + self._slack_us for at_us in self._ending.get(gateway, ()))
 
     def _gateway(self, place: str, connection: int) -> str:
-        return self._capture.reached.get((place, connection), "")
+        return self._capture.gateways.get((place, connection), "")
 
     def _opened(self, place: str, connection: int) -> int:
         chunks = self._capture.chunks.get((place, connection))
--- a/oatlink/audit/evidence.py
+++ b/oatlink/audit/evidence.py
@@ -17,12 +17,12 @@
 from oatlink.audit.capture import Capture, read_line
 
 DATA = frozenset((b"XADD", b"XREVRANGE", b"RPUSH", b"GET", b"SET", b"EXEC"))
-Sighting = tuple[int, str, str, str]
+Observation = tuple[int, str, str, str]
 """When, at which gateway, of which member, what it is taken for: well, doubted, later. Only changes are kept."""
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
+class InjectedFault:
     """Something done to members, and those of their bank that may suffer with them (an election)."""
 
     what: str
@@ -33,38 +33,38 @@
 
 
 @dataclass(slots=True)
-class Known:
+class Detection:
     """One harm: how long the first gateway took to know, and how much later each other one did; missing: never."""
 
     what: str
     members: tuple[str, ...]
     first_ms: float = -1.0
-    later_ms: list[float] = field(default_factory=list)
+    others_later_ms: list[float] = field(default_factory=list)
     never: int = 0
 
 
 @dataclass(slots=True)
-class EvidenceFound:
+class EvidenceResult:
     """The figures of one day."""
 
     checks: int = 0
-    checks_at_harmed: int = 0
+    checks_at_faulty: int = 0
     attempts: int = 0
     failed_attempts: int = 0
-    failed_at_harmed: int = 0
-    known: list[Known] = field(default_factory=list)
-    doubted: int = 0  # healthy members, by a gateway's own eyes: a late answer does that
-    passed_over: list[str] = field(default_factory=list)  # healthy members, on others' words
+    failed_at_faulty: int = 0
+    detections: list[Detection] = field(default_factory=list)
+    healthy_doubted: int = 0  # healthy members, by a gateway's own eyes: a late answer does that
+    healthy_passed_over: list[str] = field(default_factory=list)  # healthy members, on others' words
 
 
-class EvidenceJudge:
+class EvidenceChecker:
     """Judges one day."""
 
     def __init__(
         self,
         capture: Capture,
-        harms: list[Harm],
-        sightings: list[Sighting],
+        harms: list[InjectedFault],
+        sightings: list[Observation],
         banks: dict[str, str],
         gateways: tuple[str, ...],
         settle_us: int = 3_000_000,
@@ -73,22 +73,22 @@
         self._capture, self._harms, self._banks = capture, harms, banks
         self._gateways, self._settle_us = gateways, settle_us
         self._sightings = sorted(sightings)
-        self.found = EvidenceFound()
+        self.found = EvidenceResult()
 
-    def judge(self) -> EvidenceFound:
+    def check(self) -> EvidenceResult:
         """Count."""
         for place, number in sorted(self._capture.chunks):
             if not place.startswith("client"):
                 self._box(place, number)
         for harm in self._harms:
-            self.found.known.append(self._known(harm))
+            self.found.detections.append(self._known(harm))
         for at_us, gateway, member, what in self._sightings:
             if what == "well" or self._harmed(member, at_us):
                 continue
             if what == "later":
-                self.found.passed_over.append(f"{gateway}: {member}")
+                self.found.healthy_passed_over.append(f"{gateway}: {member}")
             else:
-                self.found.doubted += 1
+                self.found.healthy_doubted += 1
         return self.found
 
     def _box(self, box: str, number: int) -> None:
@@ -101,14 +101,14 @@
             name = call.args[0].upper()
             if name == b"INFO":
                 found.checks += 1
-                found.checks_at_harmed += harmed
+                found.checks_at_faulty += harmed
             elif name in DATA:
                 found.attempts += 1
                 if call.replied_us < 0 or call.reply[:1] == b"-":
                     found.failed_attempts += 1
-                    found.failed_at_harmed += harmed
+                    found.failed_at_faulty += harmed
 
-    def _known(self, harm: Harm) -> Known:
+    def _known(self, harm: InjectedFault) -> Detection:
         """When each gateway first took one of the members for less than well."""
         first: dict[str, int] = {}
         before: dict[tuple[str, str], str] = defaultdict(lambda: "well")
@@ -119,11 +119,11 @@
             inside = harm.from_us < at_us <= harm.to_us
             if inside and member in harm.members and what != "well" and before[gateway, member] == "well":
                 first.setdefault(gateway, at_us)
-        known = Known(harm.what, harm.members, never=len(self._gateways) - len(first))
+        known = Detection(harm.what, harm.members, never=len(self._gateways) - len(first))
         if first:
             begin_us = min(first.values())
             known.first_ms = (begin_us - harm.from_us) / 1e3
-            known.later_ms = sorted((at_us - begin_us) / 1e3 for at_us in first.values())[1:]
+            known.others_later_ms = sorted((at_us - begin_us) / 1e3 for at_us in first.values())[1:]
         return known
 
     def _harmed(self, member: str, at_us: int) -> bool:
--- a/oatlink/audit/judge.py
+++ b/oatlink/audit/judge.py
@@ -10,7 +10,7 @@
   a killed gateway still owed is counted as lost (`audit.ends`), and no answer is owed for it.
 - No effect twice: no token twice in the data; none of a refused request at all.
 - Drains: no data command reaches a box later than the grace after the roster told of its drain.
-- Cold: in no window of `fall_us` does the work sent to a box that warms up exceed the factor times its ability.
+- Cold: in no window of `cold_window_us` does the work sent to a box that warms up exceed the factor times its ability.
 - Stale: no read lacks a post that it must see: for a current read all acknowledged before it was sent; for a
   bounded one all acknowledged `staleness_us` before it was sent to the box; for a session's all its own, also those
   that were never acknowledged: a box had applied them before the read was sent, and they were not lost since.
@@ -36,20 +36,20 @@
     """What was promised. Classes by the first letters of the client's place: name, freshness, time, staleness."""
 
     classes: dict[str, tuple[str, int, int]]  # prefix of the place: freshness, deadline in us, staleness in us
-    post_us: int = 3_000_000
+    post_deadline_us: int = 3_000_000
     slack_us: int = 100_000
-    harness_us: int = 0  # how late the ends that were recorded may have run: no time is known better than that
-    grace_us: int = 2_000_000
-    fall_us: int = 2_000_000
-    factor: float = 4.0
-    work_us: int = 0
+    harness_delay_us: int = 0  # how late the ends that were recorded may have run: no time is known better than that
+    drain_grace_us: int = 2_000_000
+    cold_window_us: int = 2_000_000
+    cold_load_factor: float = 4.0
+    command_work_us: int = 0
     cores: int = 1
     cold_share: float = 1.0
-    warm_us: int = 0
+    warmup_us: int = 0
 
 
 @dataclass(slots=True)
-class Verdict:
+class CheckResult:
     """Counts, and for each rule what broke it."""
 
     requests: int = 0
@@ -57,7 +57,7 @@
     refused: int = 0
     failed: int = 0
     unanswered: int = 0
-    lost: int = 0  # with a gateway that was killed
+    lost_with_gateways: int = 0  # with a gateway that was killed
     answered_twice: int = 0
     ran_twice: int = 0
     stale_reads: int = 0
@@ -66,18 +66,18 @@
     bounded_reads: int = 0
     bounded_at_replicas: int = 0
     slowest_served_post_us: int = 0
-    in_time: Counter[str] = field(default_factory=Counter)
-    asked: Counter[str] = field(default_factory=Counter)
-    broken: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
+    in_time_by_kind: Counter[str] = field(default_factory=Counter)
+    requests_by_kind: Counter[str] = field(default_factory=Counter)
+    violations: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken."""
-        return not any(self.broken.values())
+        return not any(self.violations.values())
 
-    def violations(self) -> dict[str, int]:
+    def violation_counts(self) -> dict[str, int]:
         """A count a rule."""
-        return {rule: len(found) for rule, found in self.broken.items()}
+        return {rule: len(found) for rule, found in self.violations.items()}
 
 
 @dataclass(slots=True)
@@ -103,20 +103,20 @@
     return int(first), int(second or 0)
 
 
-class Judge:
+class InvariantChecker:
     """Judges one run."""
 
     def __init__(self, capture: Capture, terms: Terms, ended_us: int) -> None:
         self._capture, self._terms, self._ended_us = capture, terms, ended_us
-        self.verdict = Verdict()
+        self.verdict = CheckResult()
         self._posts: list[_Post] = []
         self._reads: list[tuple[str, Call]] = []
         self._at_boxes: dict[bytes, list[Call]] = defaultdict(list)  # tag of a read: where it went
         self._at_box: dict[str, list[Call]] = defaultdict(list)
         self._post_times: dict[str, list[int]] = {}
-        self._ends = Ends(capture, terms.slack_us + terms.harness_us, ended_us)
+        self._ends = Ends(capture, terms.slack_us + terms.harness_delay_us, ended_us)
 
-    def judge(self, final: dict[bytes, list[bytes]]) -> Verdict:
+    def check(self, final: dict[bytes, list[bytes]]) -> CheckResult:
         """`final`: for each key the tokens that the bank holds at the end, in order."""
         for (place, number), chunks in sorted(self._capture.chunks.items()):
             client = place.startswith("client")
@@ -141,9 +141,9 @@
         verdict, terms = self.verdict, self._terms
         if line.extra:
             verdict.answered_twice += line.extra
-            verdict.broken["one_answer"].append(f"{place}: {line.extra} replies that nothing asked for")
+            verdict.violations["one_answer"].append(f"{place}: {line.extra} replies that nothing asked for")
         if line.broken:
-            verdict.broken["one_answer"].append(f"{place}: bytes outside the protocol")
+            verdict.violations["one_answer"].append(f"{place}: bytes outside the protocol")
         kind = place.split("-")[1]
         freshness, deadline_us, _ = terms.classes[kind]
         due_us = 0
@@ -158,36 +158,36 @@
             if name not in DATA and name != b"EXEC":
                 continue
             writes = name in (b"XADD", b"RPUSH", b"EXEC")
-            limit = terms.post_us if writes else deadline_us
+            limit = terms.post_deadline_us if writes else deadline_us
             label = "post" if writes else kind
             within, queued = queued or [], None
-            due_us = max(due_us, call.sent_us + limit + terms.slack_us + terms.harness_us)
+            due_us = max(due_us, call.sent_us + limit + terms.slack_us + terms.harness_delay_us)
             due_us = self._ends.due(place, number, call.sent_us, due_us)
             if call.replied_us < 0 and self._ended_us < due_us:
                 continue  # the run ended before its time was up
             verdict.requests += 1
-            verdict.asked[label] += 1
+            verdict.requests_by_kind[label] += 1
             if call.replied_us < 0 and self._ends.lost(place, number, call.sent_us, due_us):
-                verdict.lost += 1
+                verdict.lost_with_gateways += 1
                 continue
             if call.replied_us < 0:
                 verdict.unanswered += 1
-                verdict.broken["one_answer"].append(f"{place}: {call.args!r:.80} was never answered")
+                verdict.violations["one_answer"].append(f"{place}: {call.args!r:.80} was never answered")
                 continue
             how = outcome(call.reply)
             took = call.replied_us - call.sent_us
             setattr(verdict, how, getattr(verdict, how) + 1)
             if call.replied_us > due_us:
                 verdict.late += 1
-                verdict.broken["one_answer"].append(f"{place}: {call.args!r:.80} answered after {took} us")
+                verdict.violations["one_answer"].append(f"{place}: {call.args!r:.80} answered after {took} us")
             if how == "served" and took <= 600_000:
-                verdict.in_time[label] += 1
+                verdict.in_time_by_kind[label] += 1
             if name == b"XADD":
                 try:
                     found = _id(call.reply[call.reply.index(b"\r\n") + 2 : -2]) if how == "served" else None
                 except ValueError:
                     # An answer too many before it has shifted the row: what came is another command's.
-                    verdict.broken["one_answer"].append(f"{place}: {call.args!r:.80} got {call.reply[:40]!r}")
+                    verdict.violations["one_answer"].append(f"{place}: {call.args!r:.80} got {call.reply[:40]!r}")
                     continue
                 self._posts.append(_Post(call.args[1], place, call.args[4], call.sent_us, call.replied_us, found, how))
                 if how == "served":
@@ -212,12 +212,14 @@
         for token, count in sorted(counts.items()):
             if count > 1:
                 self.verdict.ran_twice += 1
-                self.verdict.broken["no_effect_twice"].append(f"{token.decode()} is there {count} times")
+                self.verdict.violations["no_effect_twice"].append(f"{token.decode()} is there {count} times")
         for post in self._posts:
             if post.outcome == "refused" and counts[post.token]:
-                self.verdict.broken["no_effect_twice"].append(f"{post.token.decode()} was refused and yet ran")
+                self.verdict.violations["no_effect_twice"].append(f"{post.token.decode()} was refused and yet ran")
             if post.outcome == "served" and not counts[post.token]:
-                self.verdict.broken["nothing_lost"].append(f"{post.token.decode()} was acknowledged and is not there")
+                self.verdict.violations["nothing_lost"].append(
+                    f"{post.token.decode()} was acknowledged and is not there"
+                )
 
     # ---- Freshness ----
 
@@ -257,13 +259,13 @@
             attempts = [one for one in self._at_boxes.get(tag, []) if one.reply == call.reply]
             attempts.sort(key=lambda one: one.replied_us)
             if not attempts:
-                self.verdict.broken["no_stale_read"].append(f"{tag.decode()}: answered with what no box has said")
+                self.verdict.violations["no_stale_read"].append(f"{tag.decode()}: answered with what no box has said")
                 continue
             if freshness == "bounded":
                 self.verdict.bounded_reads += 1
                 self.verdict.bounded_at_replicas += self._was_replica(attempts[0])
                 limit_us = attempts[0].sent_us - self._terms.classes[call.place.split("-")[1]][2]
-                limit_us -= self._terms.harness_us
+                limit_us -= self._terms.harness_delay_us
                 must, since = _must(best.get(key), limit_us)
             elif freshness == "latest":
                 must, since = _must(best.get(key), call.sent_us)
@@ -276,7 +278,7 @@
             if seen < must:
                 self.verdict.stale_reads += 1
                 self.verdict.stalest_us = max(self.verdict.stalest_us, attempts[0].sent_us - since)
-                self.verdict.broken["no_stale_read"].append(
+                self.verdict.violations["no_stale_read"].append(
                     f"{call.place} {tag.decode()} at {attempts[0].place}: saw {seen}, {must} was there "
                     f"{call.sent_us - since} us before"
                 )
@@ -298,40 +300,40 @@
     def _drains(self) -> None:
         until: dict[str, int] = {}
         spans: list[tuple[str, int, int]] = []
-        for notice in sorted(self._capture.notices, key=lambda one: one.at_us):
+        for notice in sorted(self._capture.events, key=lambda one: one.at_us):
             if notice.what in ("draining", "gone"):
-                until.setdefault(notice.box, notice.at_us)
-            elif notice.what == "ready" and notice.box in until:
-                spans.append((notice.box, until.pop(notice.box), notice.at_us))
+                until.setdefault(notice.target, notice.at_us)
+            elif notice.what == "ready" and notice.target in until:
+                spans.append((notice.target, until.pop(notice.target), notice.at_us))
         spans += [(box, since, self._ended_us) for box, since in until.items()]
         for box, since, end in spans:
             for call in self._at_box[box]:
-                if since + self._terms.grace_us + self._terms.harness_us < call.sent_us < end:
-                    self.verdict.broken["drains_kept"].append(
+                if since + self._terms.drain_grace_us + self._terms.harness_delay_us < call.sent_us < end:
+                    self.verdict.violations["drains_kept"].append(
                         f"{box}: {call.args[0].decode()} came {call.sent_us - since} us after its drain was told"
                     )
 
     def _cold(self) -> None:
         terms = self._terms
-        if not terms.warm_us or not terms.work_us:
+        if not terms.warmup_us or not terms.command_work_us:
             return
-        for notice in self._capture.notices:
+        for notice in self._capture.events:
             if notice.what != "started":
                 continue
             times = sorted(
                 one.sent_us
-                for one in self._at_box[notice.box]
-                if notice.at_us <= one.sent_us < notice.at_us + terms.warm_us
+                for one in self._at_box[notice.target]
+                if notice.at_us <= one.sent_us < notice.at_us + terms.warmup_us
             )
             for first, at_us in enumerate(times):
-                last = bisect_left(times, at_us + terms.fall_us)
-                middle = at_us + terms.fall_us / 2 - notice.at_us
-                warmth = min(1.0, terms.cold_share + (1 - terms.cold_share) * middle / terms.warm_us)
-                able = terms.factor * warmth * terms.cores * terms.fall_us
-                if (last - first) * terms.work_us > able:
-                    self.verdict.broken["cold_spared"].append(
-                        f"{notice.box}: {last - first} requests in {terms.fall_us} us, {at_us - notice.at_us} us "
-                        f"after its start, {able / terms.work_us:.0f} allowed"
+                last = bisect_left(times, at_us + terms.cold_window_us)
+                middle = at_us + terms.cold_window_us / 2 - notice.at_us
+                warmth = min(1.0, terms.cold_share + (1 - terms.cold_share) * middle / terms.warmup_us)
+                able = terms.cold_load_factor * warmth * terms.cores * terms.cold_window_us
+                if (last - first) * terms.command_work_us > able:
+                    self.verdict.violations["cold_spared"].append(
+                        f"{notice.target}: {last - first} requests in {terms.cold_window_us} us, "
+                        f"{at_us - notice.at_us} us after its start, {able / terms.command_work_us:.0f} allowed"
                     )
                     break
 
--- a/oatlink/audit/quota.py
+++ b/oatlink/audit/quota.py
@@ -50,7 +50,7 @@
     to_us: int
     cut_off: tuple[str, ...] = ()
 
-    def holds(self, at_us: int) -> bool:
+    def contains(self, at_us: int) -> bool:
         """Whether a time is in it."""
         return self.from_us <= at_us < self.to_us
 
@@ -62,8 +62,8 @@
     tenants: dict[str, Allowance]
     nodes: int
     drift: float = 0.001
-    least_use: float = 0.9
-    back_us: int = 4_000_000
+    min_used_share: float = 0.9
+    recovery_us: int = 4_000_000
     spans: tuple[Span, ...] = ()
     heals: tuple[tuple[int, int], ...] = ()  # when all links were up again, and until when they stayed so
 
@@ -81,60 +81,64 @@
 
 
 @dataclass(slots=True)
-class TenantFound:
+class TenantResult:
     """What came of one tenant's day. Shares are of the rate."""
 
     asked: int = 0
     admitted: int = 0
     overloads: int = 0
     refused: int = 0
-    without_time: int = 0
+    refused_without_retry_time: int = 0
     unknown: int = 0
-    over: Excess = field(default_factory=lambda: Excess(0.0))
-    over_with_overloads: Excess = field(default_factory=lambda: Excess(0.0))
-    used: list[float] = field(default_factory=list)  # a span with all links up each
-    stranded: list[float] = field(default_factory=list)  # there: floors of gateways that nobody wanted them of
-    used_cut: list[float] = field(default_factory=list)  # a span with a minority cut each, by the whole fleet
-    floors: list[float] = field(default_factory=list)  # of its floor's part, a gateway that is cut off each
-    refused_with_room: int = 0  # there
-    back_s: list[float] = field(default_factory=list)  # a heal each
+    excess: Excess = field(default_factory=lambda: Excess(0.0))
+    excess_with_overloads: Excess = field(default_factory=lambda: Excess(0.0))
+    used_shares: list[float] = field(default_factory=list)  # a span with all links up each
+    stranded_floor_shares: list[float] = field(
+        default_factory=list
+    )  # there: floors of gateways that nobody wanted them of
+    used_shares_while_cut: list[float] = field(
+        default_factory=list
+    )  # a span with a minority cut each, by the whole fleet
+    floor_shares: list[float] = field(default_factory=list)  # of its floor's part, a gateway that is cut off each
+    refused_despite_floor: int = 0  # there
+    recovery_s: list[float] = field(default_factory=list)  # a heal each
 
 
 @dataclass(slots=True)
-class QuotaFound:
+class QuotaResult:
     """All tenants, and for each rule what broke it."""
 
-    tenants: dict[str, TenantFound] = field(default_factory=dict)
-    broken: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
+    tenants: dict[str, TenantResult] = field(default_factory=dict)
+    violations: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no bound was broken."""
-        return not any(self.broken.values())
+        return not any(self.violations.values())
 
 
-class QuotaJudge:
+class QuotaChecker:
     """Judges one day."""
 
     def __init__(self, capture: Capture, terms: QuotaTerms) -> None:
         self._capture, self._terms = capture, terms
         self._asked: dict[str, list[Asked]] = defaultdict(list)
-        self.found = QuotaFound()
+        self.found = QuotaResult()
 
-    def judge(self) -> QuotaFound:
+    def check(self) -> QuotaResult:
         """Read the capture and judge each tenant."""
         for (place, number), chunks in sorted(self._capture.chunks.items()):
             parts = place.split("-")
             if parts[0] == "client" and len(parts) > 2 and parts[2] in self._terms.tenants:
                 calls = read_line(place, number, chunks, commands_out=True).calls
-                self._asked[parts[2]] += asked(calls, self._capture.reached.get((place, number), ""))
+                self._asked[parts[2]] += asked(calls, self._capture.gateways.get((place, number), ""))
         for name, allowance in sorted(self._terms.tenants.items()):
             self._tenant(name, allowance)
         return self.found
 
     def _tenant(self, name: str, allowance: Allowance) -> None:
         all_asked = sorted(self._asked[name], key=lambda one: one.answered_us)
-        one = self.found.tenants[name] = TenantFound()
+        one = self.found.tenants[name] = TenantResult()
         one.asked = sum(each.cost for each in all_asked)
         for each in all_asked:
             one.admitted += each.cost if each.how == "admitted" else 0
@@ -142,42 +146,42 @@
             one.unknown += each.cost if each.how == "none" else 0
             if each.how == "quota":
                 one.refused += each.cost
-                one.without_time += each.back_ms < 0
+                one.refused_without_retry_time += each.back_ms < 0
         rate = allowance.rate * (1 + self._terms.drift)
-        one.over = largest_excess(_done(all_asked, ("admitted",)), rate, allowance.burst)
-        one.over_with_overloads = largest_excess(_done(all_asked, ("admitted", "overload")), rate, allowance.burst)
-        if one.over.over > 1e-6:  # the sums of a day's rate and counts are no more exact than that
+        one.excess = largest_excess(_done(all_asked, ("admitted",)), rate, allowance.burst)
+        one.excess_with_overloads = largest_excess(_done(all_asked, ("admitted", "overload")), rate, allowance.burst)
+        if one.excess.amount > 1e-6:  # the sums of a day's rate and counts are no more exact than that
             self._break(
                 "never_over",
-                f"{name}: {one.over.counted:.0f} in {(one.over.to_us - one.over.from_us) / 1e6:.3f} s, "
-                f"{one.over.over:.2f} over",
+                f"{name}: {one.excess.counted:.0f} in {(one.excess.to_us - one.excess.from_us) / 1e6:.3f} s, "
+                f"{one.excess.amount:.2f} over",
             )
-        if one.without_time:
-            self._break("told", f"{name}: {one.without_time} refusals without a time to come back")
+        if one.refused_without_retry_time:
+            self._break("told", f"{name}: {one.refused_without_retry_time} refusals without a time to come back")
         self._use(name, allowance, one, all_asked)
         self._back(name, allowance, one, all_asked)
 
-    def _use(self, name: str, allowance: Allowance, one: TenantFound, all_asked: list[Asked]) -> None:
+    def _use(self, name: str, allowance: Allowance, one: TenantResult, all_asked: list[Asked]) -> None:
         for span in self._terms.spans:
-            within = [each for each in all_asked if span.holds(each.answered_us)]
+            within = [each for each in all_asked if span.contains(each.answered_us)]
             if not any(each.how == "quota" for each in within):
                 continue  # all that was wanted was served
             length_s = (span.to_us - span.from_us) / 1e6
             share = _admitted(within) / (allowance.rate * length_s)
             if not span.cut_off:
-                one.used.append(share)
-                one.stranded.append(self._stranded(allowance, span, within))
-                if share < self._terms.least_use:
+                one.used_shares.append(share)
+                one.stranded_floor_shares.append(self._stranded(allowance, span, within))
+                if share < self._terms.min_used_share:
                     self._break("used", f"{name}: {share:.3f} of its rate for {length_s:.1f} s with all links up")
                 continue
-            one.used_cut.append(share)
+            one.used_shares_while_cut.append(share)
             part = allowance.floor / self._terms.nodes
             for gateway in span.cut_off if part else ():
                 mine = [each for each in within if each.gateway == gateway]
                 if any(each.how == "quota" for each in mine):
-                    one.floors.append(_admitted(mine) / (allowance.rate * part * length_s))
+                    one.floor_shares.append(_admitted(mine) / (allowance.rate * part * length_s))
                 wrong = with_room(mine, allowance.rate * part, allowance.burst * part, span.from_us)
-                one.refused_with_room += wrong
+                one.refused_despite_floor += wrong
                 if wrong:
                     self._break("floor", f"{name}: {gateway}, cut off, refused {wrong} that its floor had room for")
 
@@ -193,7 +197,7 @@
                 refused.add(at)
             elif one.how == "admitted":
                 admitted[at] += one.cost
-        gateways = sorted(set(self._capture.reached.values()))
+        gateways = sorted(set(self._capture.gateways.values()))
         left = sum(
             max(0.0, floor - admitted[second, gateway])
             for second in range(seconds)
@@ -202,25 +206,25 @@
         )
         return left / (allowance.rate * max(1, seconds))
 
-    def _back(self, name: str, allowance: Allowance, one: TenantFound, all_asked: list[Asked]) -> None:
+    def _back(self, name: str, allowance: Allowance, one: TenantResult, all_asked: list[Asked]) -> None:
         """How long after each heal the second begins in which the use is full."""
         times = [each.answered_us for each in all_asked]
         for healed_us, until_us in self._terms.heals:
-            if until_us < healed_us + self._terms.back_us + SLICE_US:
+            if until_us < healed_us + self._terms.recovery_us + SLICE_US:
                 continue  # the next trouble came too early to tell
             at_us = healed_us
             while at_us + SLICE_US <= until_us:
                 slice_ = all_asked[bisect_left(times, at_us) : bisect_left(times, at_us + SLICE_US)]
-                full = _admitted(slice_) >= self._terms.least_use * allowance.rate
+                full = _admitted(slice_) >= self._terms.min_used_share * allowance.rate
                 if full or (slice_ and not any(each.how == "quota" for each in slice_)):
                     break
                 at_us += SLICE_US // 20
-            one.back_s.append((at_us - healed_us) / 1e6)
-            if at_us > healed_us + self._terms.back_us:
-                self._break("back", f"{name}: full use {one.back_s[-1]:.2f} s after the links were up")
+            one.recovery_s.append((at_us - healed_us) / 1e6)
+            if at_us > healed_us + self._terms.recovery_us:
+                self._break("back", f"{name}: full use {one.recovery_s[-1]:.2f} s after the links were up")
 
     def _break(self, rule: str, text: str) -> None:
-        self.found.broken[rule].append(text)
+        self.found.violations[rule].append(text)
 
 
 def with_room(within: list[Asked], rate: float, burst: float, from_us: int) -> int:
--- a/oatlink/audit/versions.py
+++ b/oatlink/audit/versions.py
@@ -37,20 +37,20 @@
 
 
 @dataclass(slots=True)
-class VersionsFound:
+class VersionsResult:
     """Counts, and for each rule what broke it."""
 
     commands: Counter[int] = field(default_factory=Counter)  # at boxes, by layout
     asked: Counter[str] = field(default_factory=Counter)  # by clients, by the third part of their place
     refused: Counter[str] = field(default_factory=Counter)
     changes: dict[int, Change] = field(default_factory=dict)
-    unserved_s: float = 0.0  # the longest time in which clients of no layout were refused and none was served
-    broken: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
+    unpinned_unserved_s: float = 0.0  # the longest time in which clients of no layout were refused and none was served
+    violations: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken."""
-        return not any(self.broken.values())
+        return not any(self.violations.values())
 
 
 class _Shelf:
@@ -89,7 +89,7 @@
         return self._states[place - 1] if place else frozenset()
 
 
-class VersionsJudge:
+class VersionsChecker:
     """Judges one day."""
 
     def __init__(
@@ -105,9 +105,9 @@
         self._due, self._first = due, first
         self._shelves: dict[str, _Shelf] = defaultdict(_Shelf)
         self._unpinned: list[tuple[int, bool]] = []  # when answered, and whether served
-        self.found = VersionsFound()
+        self.found = VersionsResult()
 
-    def judge(self) -> VersionsFound:
+    def check(self) -> VersionsResult:
         """Read the capture."""
         for one in sorted(self._capture.applied, key=lambda one: one.at_us):
             self._shelves[one.box].take(one.at_us, one.args)
@@ -137,7 +137,7 @@
             if refused:
                 self.found.refused[group] += 1
                 if BACK.search(call.reply) is None:
-                    self.found.broken["told"].append(f"{place}: {call.reply[:60]!r}")
+                    self.found.violations["told"].append(f"{place}: {call.reply[:60]!r}")
             elif call.reply[:1] != b"-" and (version := version_of(call)) in self._proposed:
                 change = self.found.changes.setdefault(version, Change())
                 after = (call.replied_us - self._proposed[version]) / 1e6
@@ -155,12 +155,12 @@
             what = f"{box}: {call.args[0].decode()} {call.args[1].decode('utf-8', 'replace')}"
             held = shelf.at(call.sent_us)
             if version != self._first and (version, "expand") not in held:
-                self.found.broken["expanded"].append(f"{what} came, and its layout was not there")
+                self.found.violations["expanded"].append(f"{what} came, and its layout was not there")
             until_us = max(call.sent_us, call.replied_us)
             if (version + 1, "contract") in held or any(
                 one == version and call.sent_us < at_us < until_us for at_us, one in shelf.gone
             ):
-                self.found.broken["not_contracted"].append(f"{what} was out, and its layout was taken away")
+                self.found.violations["not_contracted"].append(f"{what} was out, and its layout was taken away")
         return arrived
 
     def _two_at_most(self, arrived: list[tuple[int, int, str]]) -> None:
@@ -168,13 +168,13 @@
         for _, version, box in sorted(arrived):
             newest = max(newest, version)
             if version < newest - 1:
-                self.found.broken["two_at_most"].append(f"{box}: layout {version} after {newest}")
+                self.found.violations["two_at_most"].append(f"{box}: layout {version} after {newest}")
 
     def _unserved(self) -> None:
         since, refused = -1, False
         for at_us, served in sorted(self._unpinned):
             if served and refused and since >= 0:
-                self.found.unserved_s = max(self.found.unserved_s, (at_us - since) / 1e6)
+                self.found.unpinned_unserved_s = max(self.found.unpinned_unserved_s, (at_us - since) / 1e6)
             since, refused = (at_us, False) if served else (since, True)
 
     def _change(self, version: int, at_us: int) -> None:
@@ -182,7 +182,7 @@
         change.expanded_s = self._last_bank(version, b"expand", at_us)
         change.contracted_s = self._last_bank(version, b"contract", at_us)
         if version in self._due and change.contracted_s < 0:
-            self.found.broken["done"].append(f"layout {version} is not there alone at every bank")
+            self.found.violations["done"].append(f"layout {version} is not there alone at every bank")
 
     def _last_bank(self, version: int, kind: bytes, from_us: int) -> float:
         """When the last bank first applied a step, after the plan; -1 where one has not."""
--- a/oatlink/audit/windows.py
+++ b/oatlink/audit/windows.py
@@ -21,7 +21,7 @@
 class Excess:
     """The worst window: how far it is over the allowance (below 0: nowhere over), and where it is."""
 
-    over: float
+    amount: float
     from_us: int = 0
     to_us: int = 0
     counted: float = 0.0
@@ -60,7 +60,7 @@
             counted += ended[at][1]
             at += 1
         over = counted - burst - rate * (until_us - begin_us) / 1e6
-        if over > worst.over:
+        if over > worst.amount:
             worst = Excess(over, begin_us, until_us, counted)
     return worst
 
--- a/oatlink/lab/day.py
+++ b/oatlink/lab/day.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.judge import OWN_KEYS, Judge, Terms
+from oatlink.audit.judge import OWN_KEYS, InvariantChecker, Terms
 from oatlink.lab.days.clients import Clients, Watch, operate
 from oatlink.lab.days.commands import Commands
 from oatlink.lab.days.final import final
@@ -62,7 +62,7 @@
 
     def _applied(self, box: str, args: list[bytes]) -> None:
         if args[0] == b"XADD" and args[1].startswith(OWN_KEYS):
-            self.world.capture.apply(now_us(), box, args)
+            self.world.capture.add_applied(now_us(), box, args)
 
     async def run(self) -> Report:
         """Play the day and judge it."""
@@ -88,9 +88,9 @@
                 for held in self._reserved:
                     held.close()
                 end()
-        verdict = Judge(world.capture, self.terms(), self.stop_us).judge(found)
+        verdict = InvariantChecker(world.capture, self.terms(), self.stop_us).check(found)
         if any(code for at, code in enumerate(codes) if at not in self.killed()):
-            verdict.broken["one_answer"].append(f"gateways ended with {codes}")
+            verdict.violations["one_answer"].append(f"gateways ended with {codes}")
         elections = sum(one.elections for one in world.embedded.banks)
         return Report(verdict, elections, world.steps, codes, self.watch.worst_ms)
 
@@ -127,14 +127,14 @@
                 "own": ("session", 2_000_000, 0),
                 "post": ("latest", 3_000_000, 0),
             },
-            harness_us=int(self.watch.worst_ms * 1000),
-            grace_us=GRACE_US,
-            fall_us=1_000_000,
-            factor=4.0,
-            work_us=self._work.read_us,
+            harness_delay_us=int(self.watch.worst_ms * 1000),
+            drain_grace_us=GRACE_US,
+            cold_window_us=1_000_000,
+            cold_load_factor=4.0,
+            command_work_us=self._work.read_us,
             cores=self._work.cores,
             cold_share=COLD_SHARE,
-            warm_us=int(WARM_S * 1e6),
+            warmup_us=int(WARM_S * 1e6),
         )
 
 
--- a/oatlink/lab/days/report.py
+++ b/oatlink/lab/days/report.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass, field
 
-from oatlink.audit.judge import Verdict
+from oatlink.audit.judge import CheckResult
 
 
 @dataclass(slots=True)
 class Report:
     """What came of a day."""
 
-    verdict: Verdict
+    verdict: CheckResult
     elections: int = 0
     steps: list[str] = field(default_factory=list)
     gateway_codes: list[int] = field(default_factory=list)
@@ -18,7 +18,7 @@
     @property
     def kept(self) -> bool:
         """Whether every rule was kept."""
-        return self.verdict.kept
+        return self.verdict.passed
 
     def as_json(self) -> dict[str, object]:
         """The documented JSON."""
@@ -30,7 +30,7 @@
             "refused": verdict.refused,
             "failed": verdict.failed,
             "unanswered": verdict.unanswered,
-            "lost_with_gateways": verdict.lost,
+            "lost_with_gateways": verdict.lost_with_gateways,
             "answered_twice": verdict.answered_twice,
             "ran_twice": verdict.ran_twice,
             "stale_reads": verdict.stale_reads,
@@ -39,11 +39,14 @@
             "bounded_reads": verdict.bounded_reads,
             "bounded_at_replicas": round(share, 3),
             "slowest_served_post_us": verdict.slowest_served_post_us,
-            "in_time": {name: round(verdict.in_time[name] / count, 3) for name, count in verdict.asked.items()},
+            "in_time": {
+                name: round(verdict.in_time_by_kind[name] / count, 3)
+                for name, count in verdict.requests_by_kind.items()
+            },
             "elections": self.elections,
             "steps": self.steps,
             "harness_lag_ms": round(self.lag_of_harness_ms, 1),
             "gateway_exit_codes": self.gateway_codes,
-            "violations": verdict.violations(),
-            "examples": {rule: found[:3] for rule, found in verdict.broken.items() if found},
+            "violations": verdict.violation_counts(),
+            "examples": {rule: found[:3] for rule, found in verdict.violations.items() if found},
         }
--- a/oatlink/lab/days/trouble.py
+++ b/oatlink/lab/days/trouble.py
@@ -86,7 +86,7 @@
             elif step.do in PATHS:
                 self._harm(box, step)
             elif step.do in ("crash", "lose_hall"):
-                self._world.capture.notice(now_us(), box.name, "stopped")
+                self._world.capture.add_event(now_us(), box.name, "stopped")
                 box.stop()
             elif step.do in ("start", "return_hall"):
                 self._start(box)
@@ -133,12 +133,12 @@
     def _tell(self, box: Box, state: str) -> None:
         self._world.embedded.states[box.name] = state
         self._world.write_roster()
-        self._world.capture.notice(now_us(), box.name, {"terminating": "draining"}.get(state, state))
+        self._world.capture.add_event(now_us(), box.name, {"terminating": "draining"}.get(state, state))
 
     def _start(self, box: Box) -> None:
         box.faults.die_on_write = False
         if not box.running:
-            self._world.capture.notice(now_us(), box.name, "started")
+            self._world.capture.add_event(now_us(), box.name, "started")
             box.start()
 
     def _undo(self, step: Step, boxes: list[Box]) -> None:
--- a/oatlink/lab/fleet/faults.py
+++ b/oatlink/lab/fleet/faults.py
@@ -74,7 +74,7 @@
                     "sigterm": ("ending", signal.SIGTERM),
                     "sigstop": ("halted", signal.SIGSTOP),
                 }[fault.do]
-                self.world.capture.notice(now_us(), node_name(at), what)
+                self.world.capture.add_event(now_us(), node_name(at), what)
                 process = self.gateways.processes[at]
                 if process.returncode is None:
                     os.kill(process.pid, number)
@@ -98,7 +98,7 @@
                 process = self.gateways.processes[at]
                 if process.returncode is None:
                     os.kill(process.pid, signal.SIGCONT)
-                self.world.capture.notice(now_us(), node_name(at), "resumed")
+                self.world.capture.add_event(now_us(), node_name(at), "resumed")
         elif fault.do in ("cut_out", "cut_in", "split"):
             self.wires.mend(fault.nodes)
         elif fault.do == "slow":
@@ -135,7 +135,7 @@
                     process = self.gateways.processes[at]
                     if process.returncode is None:
                         os.kill(process.pid, signal.SIGCONT)
-                    self.world.capture.notice(now_us(), node_name(at), "resumed")
+                    self.world.capture.add_event(now_us(), node_name(at), "resumed")
 
     # ---- For the judges ----
 
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from oatlink.audit.evidence import EvidenceFound, EvidenceJudge
-from oatlink.audit.quota import Allowance, QuotaFound, QuotaJudge, QuotaTerms
-from oatlink.audit.versions import VersionsFound, VersionsJudge
+from oatlink.audit.evidence import EvidenceChecker, EvidenceResult
+from oatlink.audit.quota import Allowance, QuotaChecker, QuotaResult, QuotaTerms
+from oatlink.audit.versions import VersionsChecker, VersionsResult
 from oatlink.lab.day import Day
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.trouble import Trouble
@@ -76,7 +76,7 @@
 
     def _applied(self, box: str, args: list[bytes]) -> None:
         if args[0] == b"FLUSHALL" or (len(args) > 1 and args[1].startswith(b"layout:")):
-            self.world.capture.apply(now_us(), box, args)
+            self.world.capture.add_applied(now_us(), box, args)
 
     def begin(self) -> list["asyncio.Future[None]"]:
         """Begin all clients; each future ends with its client."""
@@ -125,19 +125,19 @@
             report.evidence = self._evidence()
         return report
 
-    def _evidence(self) -> EvidenceFound:
+    def _evidence(self) -> EvidenceResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
         done = harms(self.trouble, banks, self.asked_until_us)
         names = tuple(node_name(at) for at in range(self.fleet.gateways))
-        return EvidenceJudge(self.world.capture, done, self.watchers.sightings, banks, names).judge()
+        return EvidenceChecker(self.world.capture, done, self.watchers.observations, banks, names).check()
 
-    def _versions(self) -> VersionsFound:
+    def _versions(self) -> VersionsResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
         words = {one.version: one.word for one in self.fleet.changes}  # the last one on each
         due = tuple(version for version, word in words.items() if word != "back")
-        return VersionsJudge(self.world.capture, banks, self.operator.proposed, due).judge()
+        return VersionsChecker(self.world.capture, banks, self.operator.proposed, due).check()
 
-    def _quota(self) -> QuotaFound:
+    def _quota(self) -> QuotaResult:
         scenario = self.fleet
         settle_us = int(2 * scenario.term_s * 1e6)
         spans, heals = self.faults.spans(self.begun_us, self.asked_until_us, settle_us)
@@ -145,11 +145,11 @@
             {name: Allowance(one.rate, one.burst, one.floor) for name, one in scenario.tenants.items()},
             scenario.gateways,
             scenario.drift,
-            back_us=settle_us + int(self.watch.worst_ms * 1000),
+            recovery_us=settle_us + int(self.watch.worst_ms * 1000),
             spans=tuple(spans),
             heals=tuple(heals),
         )
-        return QuotaJudge(self.world.capture, terms).judge()
+        return QuotaChecker(self.world.capture, terms).check()
 
 
 def play_fleet(
--- a/oatlink/lab/fleet/roamers.py
+++ b/oatlink/lab/fleet/roamers.py
@@ -85,7 +85,7 @@
                     continue
                 self._number += 1
                 place = f"{self._base}.{self._number}"
-                world.capture.reach(place, 1, node_name(at))
+                world.capture.set_gateway(place, 1, node_name(at))
                 receiver = asyncio.ensure_future(self._receive(place, stream))
                 try:
                     await self._talk(place, stream, wanted)
--- a/oatlink/lab/fleet/watching.py
+++ b/oatlink/lab/fleet/watching.py
@@ -4,7 +4,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from oatlink.audit.evidence import Harm, Sighting
+from oatlink.audit.evidence import InjectedFault, Observation
 from oatlink.gateway.links import DialError, connect
 from oatlink.lab.days.trouble import Trouble
 from oatlink.lab.days.world import World, now_us
@@ -20,7 +20,7 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._last: dict[tuple[str, str], str] = {}
-        self.sightings: list[Sighting] = []
+        self.observations: list[Observation] = []
 
     async def run(self, at: int) -> None:
         """Look at gateway `at` until cancelled; one that is away is asked again."""
@@ -56,15 +56,15 @@
             key = gateway, member.decode()
             if self._last.setdefault(key, what) != what:
                 self._last[key] = what
-                self.sightings.append((now_us(), *key, what))
+                self.observations.append((now_us(), *key, what))
 
 
-def harms(trouble: Trouble, banks: dict[str, str], end_us: int) -> list[Harm]:
+def harms(trouble: Trouble, banks: dict[str, str], end_us: int) -> list[InjectedFault]:
     """What was done to boxes, from the schedule as it was played."""
     found = []
     for one in trouble.episodes:
         members = tuple(box.name for box in one.boxes)
         primaries = one.step.box.startswith("primary:") or one.step.do in ("hand_over", "lose_hall")
         hit = tuple(sorted({banks[name] for name in members})) if primaries else ()
-        found.append(Harm(one.step.do, members, hit, one.from_us, one.to_us if one.to_us > 0 else end_us))
+        found.append(InjectedFault(one.step.do, members, hit, one.from_us, one.to_us if one.to_us > 0 else end_us))
     return found
--- a/tests/fleet/test_days.py
+++ b/tests/fleet/test_days.py
@@ -50,7 +50,7 @@
     kept(report)
     assert report.quota is not None
     for rule in ("never_over", "floor", "told"):
-        assert not report.quota.broken[rule], report.quota.broken
+        assert not report.quota.violations[rule], report.quota.violations
     for one in report.quota.tenants.values():
         assert one.admitted > 150 and one.refused > 50
 
@@ -59,7 +59,7 @@
     scenario = msgspec.structs.replace(LAYOUTS, faults=(Fault(0.12, "kill9", nodes=(1,), back=0.2),))
     report = play_fleet(scenario, seed=4, seconds=26)  # a sequencer after a killed one waits for that one's terms
     kept(report)
-    assert report.versions is not None and report.versions.kept, report.versions
+    assert report.versions is not None and report.versions.passed, report.versions
     assert report.versions.commands[1] > 50 and report.versions.commands[2] > 50
     assert report.versions.refused["v1"] and report.versions.refused["v2"]  # after its end, and before its begin
 
@@ -68,7 +68,7 @@
     report = play_fleet(msgspec.structs.replace(BUILT_IN["verdicts"], gateways=3), seed=5, seconds=6)
     kept(report)
     assert report.evidence is not None and report.without is not None and report.without.evidence is not None
-    assert not report.evidence.passed_over
+    assert not report.evidence.healthy_passed_over
     assert report.evidence.checks and report.without.evidence.checks
 
 
@@ -84,7 +84,7 @@
     report = play_fleet(scenario, seed=6, seconds=8, command_line=[sys.executable, SABOTAGE, lie])
     found = report.quota or report.versions
     assert found is not None
-    assert rules <= {rule for rule, texts in found.broken.items() if texts}, found.broken
+    assert rules <= {rule for rule, texts in found.violations.items() if texts}, found.violations
     assert not report.kept
 
 
--- a/tests/fleet/test_evidence_judge.py
+++ b/tests/fleet/test_evidence_judge.py
@@ -1,43 +1,45 @@
 """The figures of a day's trouble with boxes: who knew what when, and who was passed over though well."""
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.evidence import EvidenceFound, EvidenceJudge, Harm, Sighting
+from oatlink.audit.evidence import EvidenceChecker, EvidenceResult, InjectedFault, Observation
 from oatlink.protocols.resp import command
 
 MS = 1_000
 BANKS = {"p0": "bank-0", "r0": "bank-0", "p1": "bank-1", "r1": "bank-1"}
 HARMS = [
-    Harm("hang", ("r0",), (), 1_000 * MS, 2_000 * MS),
-    Harm("crash", ("p1",), ("bank-1",), 10_000 * MS, 11_000 * MS),
+    InjectedFault("hang", ("r0",), (), 1_000 * MS, 2_000 * MS),
+    InjectedFault("crash", ("p1",), ("bank-1",), 10_000 * MS, 11_000 * MS),
 ]
 
 
-def judge(*sightings: Sighting, capture: Capture | None = None) -> EvidenceFound:
+def judge(*sightings: Observation, capture: Capture | None = None) -> EvidenceResult:
     given = [(at_ms * MS, gateway, member, what) for at_ms, gateway, member, what in sightings]
-    return EvidenceJudge(capture or Capture(), HARMS, given, BANKS, ("g0", "g1", "g2")).judge()
+    return EvidenceChecker(capture or Capture(), HARMS, given, BANKS, ("g0", "g1", "g2")).check()
 
 
 def test_what_is_stale_is_reckoned_from_the_first_gateways_knowledge() -> None:
     found = judge((1_300, "g1", "r0", "later"), (1_100, "g0", "r0", "doubted"), (1_200, "g0", "r0", "later"))
-    one, other = found.known
-    assert (one.first_ms, one.later_ms, one.never) == (100, [200], 1)
+    one, other = found.detections
+    assert (one.first_ms, one.others_later_ms, one.never) == (100, [200], 1)
     assert (other.first_ms, other.never) == (-1, 3)
 
 
 def test_knowledge_of_before_the_harm_is_none_of_it() -> None:
     found = judge((900, "g0", "r0", "doubted"), (1_050, "g0", "r0", "later"), (1_400, "g1", "r0", "doubted"))
-    assert (found.known[0].first_ms, found.known[0].never) == (400, 2)
+    assert (found.detections[0].first_ms, found.detections[0].never) == (400, 2)
     found = judge((500, "g0", "r0", "doubted"), (800, "g0", "r0", "well"), (1_100, "g0", "r0", "doubted"))
-    assert (found.known[0].first_ms, found.known[0].never) == (100, 2)
+    assert (found.detections[0].first_ms, found.detections[0].never) == (100, 2)
 
 
 def test_only_members_that_nothing_was_done_to_are_passed_over() -> None:
-    assert not judge((1_100, "g0", "r0", "later"), (4_000, "g1", "r0", "later")).passed_over  # it had just come back
-    assert not judge((10_500, "g0", "r1", "later")).passed_over  # its bank elects
-    assert judge((1_100, "g0", "p0", "later")).passed_over == ["g0: p0"]
-    assert judge((5_500, "g0", "r0", "later")).passed_over == ["g0: r0"]
+    assert not judge(
+        (1_100, "g0", "r0", "later"), (4_000, "g1", "r0", "later")
+    ).healthy_passed_over  # it had just come back
+    assert not judge((10_500, "g0", "r1", "later")).healthy_passed_over  # its bank elects
+    assert judge((1_100, "g0", "p0", "later")).healthy_passed_over == ["g0: p0"]
+    assert judge((5_500, "g0", "r0", "later")).healthy_passed_over == ["g0: r0"]
     found = judge((1_100, "g0", "p0", "doubted"))
-    assert not found.passed_over and found.doubted == 1
+    assert not found.healthy_passed_over and found.healthy_doubted == 1
 
 
 def test_checks_and_failed_attempts_are_counted_where_they_came() -> None:
@@ -50,5 +52,5 @@
             capture.add(at_ms * MS + 10, box, number, True, b"$0\r\n\r\n" + reply)
     capture.add(0, "client-view-none-0", 1, True, info)
     found = judge(capture=capture)
-    assert (found.checks, found.checks_at_harmed, found.attempts) == (4, 1, 4)
-    assert (found.failed_attempts, found.failed_at_harmed) == (2, 1)
+    assert (found.checks, found.checks_at_faulty, found.attempts) == (4, 1, 4)
+    assert (found.failed_attempts, found.failed_at_faulty) == (2, 1)
--- a/tests/fleet/test_quota_judge.py
+++ b/tests/fleet/test_quota_judge.py
@@ -5,8 +5,8 @@
 import pytest
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.judge import Judge, Terms
-from oatlink.audit.quota import Allowance, Asked, QuotaFound, QuotaJudge, QuotaTerms, Span, with_room
+from oatlink.audit.judge import InvariantChecker, Terms
+from oatlink.audit.quota import Allowance, Asked, QuotaChecker, QuotaResult, QuotaTerms, Span, with_room
 from oatlink.audit.windows import Done, largest_excess
 from oatlink.protocols.resp import command
 
@@ -30,14 +30,14 @@
         done.append((begin, begin + rng.choice((0, 0, 5_000, 200_000)), float(rng.choice((1, 1, 3)))))
     rate, burst = rng.choice((1.0, 40.0, 300.0)), rng.choice((0.0, 5.0))
     found = largest_excess(done, rate, burst)
-    assert found.over == pytest.approx(all_windows(done, rate, burst), abs=1e-6)
+    assert found.amount == pytest.approx(all_windows(done, rate, burst), abs=1e-6)
     inside = sum(one[2] for one in done if found.from_us <= one[0] and one[1] <= found.to_us)
     assert found.counted == inside
-    assert found.over == pytest.approx(inside - burst - rate * (found.to_us - found.from_us) / SECOND, abs=1e-6)
+    assert found.amount == pytest.approx(inside - burst - rate * (found.to_us - found.from_us) / SECOND, abs=1e-6)
 
 
 def test_nothing_done_is_nowhere_over() -> None:
-    assert largest_excess([], 10.0, 5.0).over == -5.0
+    assert largest_excess([], 10.0, 5.0).amount == -5.0
 
 
 # ---- Days made up: a true bucket at one gateway, clients that want twice its rate ----
@@ -50,7 +50,7 @@
         self.lie, self.capture = lie, Capture()
         self.number, self.level, self.filled_us = 0, BURST, 0
         for gateway in ("g0", "g1"):
-            self.capture.reach(f"client-view-a-{gateway}", 1, gateway)
+            self.capture.set_gateway(f"client-view-a-{gateway}", 1, gateway)
 
     def ask(self, at_us: int, gateway: str, rate: float, cost: int = 1) -> None:
         self.level = min(BURST, self.level + rate * (at_us - self.filled_us) / SECOND)
@@ -74,7 +74,7 @@
         self.capture.add(at_us + 500, place, 1, False, b"".join(replies))
 
 
-def day(lie: str = "", multi: bool = False) -> QuotaFound:
+def day(lie: str = "", multi: bool = False) -> QuotaResult:
     """20 s: all well, from 8 s to 12 s g1 is cut off and has only its floor, then all well again."""
     made = MadeUp(lie)
     cut = MadeUp()
@@ -101,21 +101,21 @@
         nodes=2,
         spans=(Span(SECOND, 8 * SECOND), Span(9 * SECOND, 12 * SECOND, ("g1",)), Span(17 * SECOND, 20 * SECOND)),
         heals=((12 * SECOND, 20 * SECOND),),
-        back_us=4 * SECOND,
+        recovery_us=4 * SECOND,
     )
-    return QuotaJudge(made.capture, terms).judge()
+    return QuotaChecker(made.capture, terms).check()
 
 
 @pytest.mark.parametrize("multi", (False, True))
 def test_a_true_bucket_keeps_every_bound(multi: bool) -> None:
     found = day(multi=multi)
-    assert found.kept, found.broken
+    assert found.passed, found.violations
     one = found.tenants["a"]
     assert one.refused > 1_000 and one.admitted > 1_500
     # The day begins with a full bucket under more demand than its rate: the worst window is right at the bound.
-    assert -3.1 < one.over.over <= 0
-    assert one.stranded == [0, 0]
-    assert len(one.used) == 2 and len(one.floors) == 1 and one.back_s and one.back_s[0] < 1
+    assert -3.1 < one.excess.amount <= 0
+    assert one.stranded_floor_shares == [0, 0]
+    assert len(one.used_shares) == 2 and len(one.floor_shares) == 1 and one.recovery_s and one.recovery_s[0] < 1
 
 
 LIES = [("free", "never_over"), ("cheap_multi", "never_over"), ("no_time", "told"), ("idle", "used")]
@@ -124,20 +124,20 @@
 @pytest.mark.parametrize(("lie", "rule"), [*LIES, ("no_floor", "floor"), ("slow_back", "back")])
 def test_each_broken_bound_is_found_and_no_other(lie: str, rule: str) -> None:
     found = day(lie, multi=lie == "cheap_multi")
-    assert [name for name, texts in found.broken.items() if texts] == [rule], found.broken
+    assert [name for name, texts in found.violations.items() if texts] == [rule], found.violations
 
 
 def test_a_floor_that_nobody_wants_at_its_gateway_is_shown_as_stranded() -> None:
     capture = Capture()
     for number in range(40):
         place = f"client-view-a-{number}"
-        capture.reach(place, 1, f"g{number % 4 == 0:d}")
+        capture.set_gateway(place, 1, f"g{number % 4 == 0:d}")
         capture.add(number * 100_000, place, 1, True, command("GET", "k"))
         reply = b"-QUOTA over, nothing was run; retry after 9 ms\r\n" if number % 4 == 1 else b"$-1\r\n"
         capture.add(number * 100_000 + 1, place, 1, False, reply)
-    terms = QuotaTerms({"a": Allowance(10, 20, 0.8)}, nodes=2, spans=(Span(0, 4 * SECOND),), least_use=0)
+    terms = QuotaTerms({"a": Allowance(10, 20, 0.8)}, nodes=2, spans=(Span(0, 4 * SECOND),), min_used_share=0)
     # g1 had 10 in 4 s of a floor of 4 a second, and refused none.
-    assert QuotaJudge(capture, terms).judge().tenants["a"].stranded == [pytest.approx(6 / 40)]
+    assert QuotaChecker(capture, terms).check().tenants["a"].stranded_floor_shares == [pytest.approx(6 / 40)]
 
 
 def test_what_was_never_answered_or_refused_for_overload_is_not_held_against_a_gateway() -> None:
@@ -147,9 +147,9 @@
         capture.add(1_000, place, 1, True, command("GET", "k"))
         if number % 2:
             capture.add(2_000, place, 1, False, b"-TRYAGAIN refused, nothing was run; retry after 9 ms\r\n")
-    found = QuotaJudge(capture, QuotaTerms({"a": Allowance(1, 20, 0)}, nodes=1)).judge().tenants["a"]
-    assert (found.overloads, found.unknown, found.over.over) == (25, 25, -20)
-    assert found.over_with_overloads.over == pytest.approx(5 - 0.001, abs=0.01)
+    found = QuotaChecker(capture, QuotaTerms({"a": Allowance(1, 20, 0)}, nodes=1)).check().tenants["a"]
+    assert (found.overloads, found.unknown, found.excess.amount) == (25, 25, -20)
+    assert found.excess_with_overloads.amount == pytest.approx(5 - 0.001, abs=0.01)
 
 
 def test_a_floor_refuses_wrongly_only_where_its_bucket_surely_has_room() -> None:
@@ -172,18 +172,20 @@
     """(broken, lost) of one read at a gateway that something was done to."""
     capture = Capture()
     place = "client-check-none-0"
-    capture.reach(place, 1, "g0")
+    capture.set_gateway(place, 1, "g0")
     capture.add(asked_us - 500_000, place, 1, True, command("CLIENT", "SETNAME", "x"))
     capture.add(asked_us - 499_000, place, 1, False, b"+OK\r\n")
     capture.add(asked_us, place, 1, True, command("XREVRANGE", "k", "+", "0-1", "COUNT", 1))
     if answered_us >= 0:
         capture.add(answered_us, place, 1, False, b"-TRYAGAIN refused\r\n")
     if what:
-        capture.notice(notice_us, "g0", what)
+        capture.add_event(notice_us, "g0", what)
     if resumed_us:
-        capture.notice(resumed_us, "g0", "resumed")
-    verdict = Judge(capture, Terms({"check": ("latest", SECOND, 0)}, slack_us=100_000), 60 * SECOND).judge({})
-    return len(verdict.broken["one_answer"]), verdict.lost
+        capture.add_event(resumed_us, "g0", "resumed")
+    verdict = InvariantChecker(capture, Terms({"check": ("latest", SECOND, 0)}, slack_us=100_000), 60 * SECOND).check(
+        {}
+    )
+    return len(verdict.violations["one_answer"]), verdict.lost_with_gateways
 
 
 def test_only_what_a_gateway_owed_in_time_is_lost_with_it() -> None:
--- a/tests/fleet/test_versions_judge.py
+++ b/tests/fleet/test_versions_judge.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.versions import VersionsFound, VersionsJudge
+from oatlink.audit.versions import VersionsChecker, VersionsResult
 from oatlink.protocols.resp import command
 from oatlink.standins.bank import Bank
 
@@ -24,7 +24,7 @@
                 self.apply(at_ms + later, box, "SET", f"layout:2:{kind}", "1")
 
     def apply(self, at_ms: int, box: str, *words: str) -> None:
-        self.capture.apply(at_ms * MS, box, [one.encode() for one in words])
+        self.capture.add_applied(at_ms * MS, box, [one.encode() for one in words])
 
     def ask(self, at_ms: int, box: str, version: int, took_ms: int = 5, reply: bytes = b"*0\r\n") -> None:
         """A read by a client, at a box or at none."""
@@ -40,8 +40,8 @@
         if took_ms >= 0:
             self.capture.add((at_ms + took_ms + 1) * MS, place, 1, False, reply)
 
-    def judge(self, due: tuple[int, ...] = (2,)) -> VersionsFound:
-        return VersionsJudge(self.capture, BANKS, {2: 900 * MS}, due).judge()
+    def judge(self, due: tuple[int, ...] = (2,)) -> VersionsResult:
+        return VersionsChecker(self.capture, BANKS, {2: 900 * MS}, due).check()
 
 
 def good() -> MadeUp:
@@ -56,7 +56,7 @@
 
 def test_a_change_that_keeps_every_rule() -> None:
     found = good().judge()
-    assert found.kept, found.broken
+    assert found.passed, found.violations
     assert (dict(found.commands), found.refused["v2"], found.refused["v1"]) == ({1: 2, 2: 3}, 1, 1)
     change = found.changes[2]
     assert change.expanded_s == pytest.approx(0.15) and change.contracted_s == pytest.approx(2.15)
@@ -108,21 +108,21 @@
     made = good()
     lie(made)  # type: ignore[operator]
     found = made.judge()
-    assert [name for name, texts in found.broken.items() if texts] == [rule], found.broken
+    assert [name for name, texts in found.violations.items() if texts] == [rule], found.violations
 
 
 def test_a_change_that_went_back_is_not_owed() -> None:
     made = good()
     unfinished(made)
-    assert made.judge(due=()).kept
+    assert made.judge(due=()).passed
 
 
 def test_a_command_that_was_never_answered_is_judged_by_when_it_came() -> None:
     made = good()
     made.ask(2_950, "p0", 1, took_ms=-1)
-    assert made.judge().kept
+    assert made.judge().passed
     made.ask(3_050, "p0", 1, took_ms=-1)
-    assert made.judge().broken["not_contracted"]
+    assert made.judge().violations["not_contracted"]
 
 
 def test_a_box_tells_what_its_data_took_and_when_it_began_anew() -> None:
