--- a/oatlink/lab/day.py
+++ b/oatlink/lab/day.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.judge import OWN_KEYS, InvariantChecker, Terms
+from oatlink.audit.invariants import OWN_KEYS, InvariantChecker, Terms
 from oatlink.lab.days.clients import Clients, Watch, operate
 from oatlink.lab.days.commands import Commands
 from oatlink.lab.days.final import final
--- a/oatlink/lab/days/report.py
+++ b/oatlink/lab/days/report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from oatlink.audit.judge import CheckResult
+from oatlink.audit.invariants import CheckResult
 
 
 @dataclass(slots=True)
--- a/tests/fleet/test_quota_judge.py
+++ b/tests/fleet/test_quota_judge.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oatlink.audit.capture import Capture
-from oatlink.audit.judge import InvariantChecker, Terms
+from oatlink.audit.invariants import InvariantChecker, Terms
 from oatlink.audit.quota import Allowance, Asked, QuotaChecker, QuotaResult, QuotaTerms, Span, with_room
 from oatlink.audit.windows import Done, largest_excess
 from oatlink.protocols.resp import command
