--- a/benchmarks/lost_path.py
+++ b/benchmarks/lost_path.py
@@ -75,11 +75,11 @@
     while time.perf_counter() + every < end:
         await asyncio.sleep((1 - SILENT) * every)
         for box in embedded.boxes.values():
-            box.paths["unix"].silent = True
+            box.paths["unix"].holds_replies = True
         silences.append(time.perf_counter())
         await asyncio.sleep(SILENT * every)
         for box in embedded.boxes.values():
-            box.speak("unix")
+            box.release_replies("unix")
 
 
 async def step(row: Row, seconds: float, every: float, folder: Path) -> Row:
--- a/oatlink/lab/day.py
+++ b/oatlink/lab/day.py
@@ -20,7 +20,7 @@
 from oatlink.lab.days.trouble import Trouble
 from oatlink.lab.days.world import COLD_SHARE, GRACE_US, STALENESS_MS, WARM_S, World, now_us
 from oatlink.lab.embedded import Embedded, port_of, reserve
-from oatlink.standins.box import Work
+from oatlink.standins.box import WorkProfile
 
 __all__ = ["SCENARIOS", "Day", "Report", "Scenario", "Step", "load_scenario", "play"]
 
@@ -39,7 +39,7 @@
     ) -> None:
         self._ask_every_s = ask_every_s
         work_us = int(scenario.work_ms * 1000)
-        self._work = Work(work_us, work_us, 4, COLD_SHARE, WARM_S)
+        self._work = WorkProfile(work_us, work_us, 4, COLD_SHARE, WARM_S)
         embedded = Embedded(
             scenario.banks, scenario.members, seed, work=self._work, tap=self._tap, paths=scenario.paths
         )
@@ -72,7 +72,7 @@
             end = await world.embedded.start()
             for box in world.embedded.boxes.values():
                 box._started_s -= WARM_S  # the day begins with a warm fleet
-                box.applied = self._applied
+                box.on_applied = self._applied
             world.write_roster()
             try:
                 await self.before(Path(folder))
--- a/oatlink/lab/days/trouble.py
+++ b/oatlink/lab/days/trouble.py
@@ -110,25 +110,25 @@
             return
         faults = box.paths[step.path]
         if step.do == "silence":
-            faults.silent = not back
+            faults.holds_replies = not back
             if back:
-                box.speak(step.path)
+                box.release_replies(step.path)
         elif step.do == "deafen":
-            faults.deaf = not back
+            faults.reads_nothing = not back
         elif step.do == "lose_answers":
-            faults.loses = not back
-            box.cut(step.path)
+            faults.drops_data_replies = not back
+            box.reset_connections(step.path)
         elif step.do == "slow_path":
-            faults.slow_ms = 0.0 if back else step.value
+            faults.reply_delay_ms = 0.0 if back else step.value
         elif step.do == "reset_requests":
             faults.reset_requests = int(step.value)
         elif step.do == "reset_replies":
             faults.reset_replies = int(step.value)
         elif back and box.running:
-            box.listen(step.path)
+            box.open_listener(step.path)
         elif not back:
-            box.refuse(step.path)
-            box.cut(step.path)
+            box.close_listener(step.path)
+            box.reset_connections(step.path)
 
     def _tell(self, box: Box, state: str) -> None:
         self._world.embedded.states[box.name] = state
--- a/oatlink/lab/embedded.py
+++ b/oatlink/lab/embedded.py
@@ -14,7 +14,7 @@
 from oatlink.protocols.resp import CommandReader, ProtocolError, bulk, encode, error
 from oatlink.settings import Settings, load_text
 from oatlink.standins.bank import Bank
-from oatlink.standins.box import Box, Tap, Work
+from oatlink.standins.box import Box, Tap, WorkProfile
 
 HALLS = ("ebene-a", "ebene-b", "cybercity-c")
 CLASSES = """[
@@ -56,7 +56,7 @@
         members: int,
         seed: int,
         *,
-        work: Work | None = None,
+        work: WorkProfile | None = None,
         tap: Tap | None = None,
         detect_s: tuple[float, float] = (0.6, 1.0),
         paths: bool = False,
@@ -80,13 +80,13 @@
         self._folder = tempfile.mkdtemp(prefix="oatlink-") if paths else ""
         if paths:
             for box in self.boxes.values():
-                box.ways["unix"] = f"unix:{self._folder}/{box.name}"
+                box.addresses["unix"] = f"unix:{self._folder}/{box.name}"
                 try:
                     held = reserve(socket.AF_INET6)
                 except OSError:
                     continue
                 self._reserved[f"{box.name}/ipv6"] = held
-                box.ways["ipv6"] = f"[::1]:{port_of(held)}"
+                box.addresses["ipv6"] = f"[::1]:{port_of(held)}"
         self._control: list[Callable[[], None]] = []
 
     @property
@@ -99,7 +99,7 @@
         for bank in self.banks:
             bank.start([self._ports[box.name] for box in bank.boxes])
         for bank in self.banks:
-            await bank.synced()
+            await bank.wait_until_synced()
         return self.stop
 
     def stop(self) -> None:
@@ -125,7 +125,7 @@
                     "address": f"127.0.0.1:{self._ports[box.name]}",
                     "hall": HALLS[number % len(HALLS)],
                     "state": self.states.get(box.name, "ready"),
-                    "paths": [{"address": one} for one in box.ways.values()],
+                    "paths": [{"address": one} for one in box.addresses.values()],
                 }
                 for number, box in enumerate(bank.boxes)
                 if self.states.get(box.name) != "gone"
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -53,7 +53,7 @@
         self.trouble = Trouble(self.world, self.clients)
         self.begun_us = self.asked_until_us = 0
         for box in self.world.embedded.boxes.values():
-            box.applied = self._applied
+            box.on_applied = self._applied
 
     def make_gateways(self, command_line: list[str] | None, record_to: str) -> Gateways:
         """See `Day.make_gateways`."""
--- a/oatlink/standins/bank.py
+++ b/oatlink/standins/bank.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from oatlink.standins.box import Box, Tap, Work
+from oatlink.standins.box import Box, Tap, WorkProfile
 
 
 class Bank:
@@ -15,7 +15,7 @@
         members: list[str],
         *,
         seed: int = 1,
-        work: Work | None = None,
+        work: WorkProfile | None = None,
         tap: Tap | None = None,
         window_ms: int = 2_000,
         detect_s: tuple[float, float] = (0.6, 1.0),
@@ -49,7 +49,7 @@
         """The member that takes writes now, if one does."""
         return next((one for one in self.boxes if one.running and one.is_primary and not one.faults.hang), None)
 
-    async def synced(self, limit_s: float = 5.0) -> None:
+    async def wait_until_synced(self, limit_s: float = 5.0) -> None:
         """Until every replica is linked and has all that the primary has. Raises `TimeoutError`."""
         async with asyncio.timeout(limit_s):
             while True:
--- a/oatlink/standins/box.py
+++ b/oatlink/standins/box.py
@@ -5,7 +5,7 @@
 an RDB file, and the window for repeats of `XADD ... IDMP` is set for the whole box, in milliseconds.
 
 The log is truthful: an offset is raised only after the command that it counts has been applied, so a box never
-claims an offset whose writes it does not hold. Work, cores, coldness, lag and every fault are set from outside.
+claims an offset whose writes it does not hold. WorkProfile, cores, coldness, lag and every fault are set from outside.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 )
 Tap = Callable[[str, int, str, bytes], None]
 """Told of every byte on a box's sockets: box, connection, `in` or `out`, data."""
-Applied = Callable[[str, list[bytes]], None]
+AppliedCallback = Callable[[str, list[bytes]], None]
 """Told of every change that a box's data have taken, at once: box, command; FLUSHALL where all was let go to sync."""
 
 
@@ -63,16 +63,17 @@
 class PathFaults:
     """What is wrong with one of a box's addresses while the others live."""
 
-    silent: bool = False  # what comes is done, but no answer leaves until it speaks again
-    deaf: bool = False  # connections are taken, and nothing is read from them
-    slow_ms: float = 0.0  # an answer leaves so much later
-    loses: bool = False  # INFO and the greeting are answered, all else is done and its connection says no more
+    holds_replies: bool = False  # what comes is done, but no answer leaves until it speaks again
+    reads_nothing: bool = False  # connections are taken, and nothing is read from them
+    reply_delay_ms: float = 0.0  # an answer leaves so much later
+    # INFO and the handshake are answered; any other command is executed, and its connection sends nothing more.
+    drops_data_replies: bool = False
     reset_requests: int = 0  # so many next commands reset their connection before anything is done
     reset_replies: int = 0  # so many next replies break off in the middle, with a reset
 
 
 @dataclass(slots=True)
-class Work:
+class WorkProfile:
     """What a command costs and what the box can do; zero work is answered at once."""
 
     read_us: int = 0
@@ -86,11 +87,11 @@
 class Follower:
     """A replica as its primary sees it."""
 
-    peer: "Peer"
+    connection: "Connection"
     acked: int = 0
 
 
-class Peer:
+class Connection:
     """A connection to the box."""
 
     def __init__(self, number: int, stream: IOStream, path: str) -> None:
@@ -131,13 +132,19 @@
     """One stand-in server on loopback."""
 
     def __init__(
-        self, name: str, *, seed: int = 1, work: Work | None = None, window_ms: int = 2_000, tap: Tap | None = None
+        self,
+        name: str,
+        *,
+        seed: int = 1,
+        work: WorkProfile | None = None,
+        window_ms: int = 2_000,
+        tap: Tap | None = None,
     ) -> None:
         self.name = name
-        self.work = work or Work()
+        self.work = work or WorkProfile()
         self.faults = Faults()
         self.tap = tap
-        self.applied: Applied | None = None
+        self.on_applied: AppliedCallback | None = None
         self.store = Store(window_ms)
         self.port = 0
         self.offset = 0
@@ -150,9 +157,9 @@
         self.replid = self._id()
         self.run_id = self._id()
         self.log = Log()
-        self._peers: dict[int, Peer] = {}
-        self._last_peer = 0
-        self.ways: dict[str, str] = {}  # further addresses by name, as settings write them
+        self._connections: dict[int, Connection] = {}
+        self._last_connection = 0
+        self.addresses: dict[str, str] = {}  # further addresses by name, as settings write them
         self.paths: dict[str, PathFaults] = {"": PathFaults()}  # by name; the first address has none
         self._listeners: dict[str, tuple[socket.socket, Callable[[], None]]] = {}
         self._follow: asyncio.Task[None] | None = None
@@ -172,8 +179,8 @@
         first = bind_sockets(port or self.port, "127.0.0.1", family=socket.AF_INET)[0]
         self.port = first.getsockname()[1]
         self._listen("", first)
-        for name in self.ways:
-            self.listen(name)
+        for name in self.addresses:
+            self.open_listener(name)
         self.running, self.run_id = True, self._id()
         self._started_s = time.monotonic()
         self._free_at = [0.0] * self.work.cores
@@ -187,11 +194,11 @@
             return
         self.running = False
         for name in list(self._listeners):
-            self.refuse(name)
+            self.close_listener(name)
         if self._follow is not None:
             self._follow.cancel()
-        for peer in list(self._peers.values()):
-            self._end(peer, reset=True)
+        for connection in list(self._connections.values()):
+            self._end(connection, reset=True)
         for task in list(self._tasks):
             task.cancel()
         self._waiters.clear()
@@ -202,9 +209,9 @@
         remove = add_accept_handler(sock, lambda one, _: self._accept(one, name))
         self._listeners[name] = (sock, remove)
 
-    def listen(self, name: str) -> None:
-        """Take connections at one of `ways`."""
-        address = self.ways[name]
+    def open_listener(self, name: str) -> None:
+        """Take connections at one of `addresses`."""
+        address = self.addresses[name]
         self.paths.setdefault(name, PathFaults())
         if address.startswith("unix:"):
             self._listen(name, bind_unix_socket(address[5:], mode=0o600))
@@ -212,23 +219,23 @@
             host, _, port = address.rpartition(":")
             self._listen(name, bind_sockets(int(port), host.strip("[]"))[0])
 
-    def refuse(self, name: str) -> None:
+    def close_listener(self, name: str) -> None:
         """Take no connections at an address any more; the file of a Unix socket stays, as after a crash."""
         sock, remove = self._listeners.pop(name)
         remove()
         sock.close()
 
-    def cut(self, name: str) -> None:
+    def reset_connections(self, name: str) -> None:
         """Reset all connections over an address."""
-        for peer in [one for one in self._peers.values() if one.path == name]:
-            self._end(peer, reset=True)
+        for connection in [one for one in self._connections.values() if one.path == name]:
+            self._end(connection, reset=True)
 
-    def speak(self, name: str) -> None:
+    def release_replies(self, name: str) -> None:
         """A silent path delivers what was held."""
-        self.paths[name].silent = False
-        for peer in [one for one in self._peers.values() if one.path == name]:
-            held, peer.held = peer.held, []
-            self._write(peer, b"".join(held))
+        self.paths[name].holds_replies = False
+        for connection in [one for one in self._connections.values() if one.path == name]:
+            held, connection.held = connection.held, []
+            self._write(connection, b"".join(held))
 
     def capacity(self) -> float:
         """Commands a second that it can do now, by the work of a read."""
@@ -246,9 +253,9 @@
     def follow(self, primary: "Box | tuple[str, int]") -> None:
         """Become a replica (REPLICAOF). A write after this is refused."""
         self.primary = primary
-        for peer in list(self._peers.values()):
-            if peer.follower is not None:
-                self._end(peer, reset=True)
+        for connection in list(self._connections.values()):
+            if connection.follower is not None:
+                self._end(connection, reset=True)
         for _, _, future in self._waiters:
             if not future.done():
                 future.set_exception(ConnectionError("UNBLOCKED"))
@@ -396,27 +403,27 @@
             self._ship(data)
 
     def _ship(self, data: bytes) -> None:
-        for peer in list(self._peers.values()):
-            if peer.follower is not None:
-                self._write(peer, data)
+        for connection in list(self._connections.values()):
+            if connection.follower is not None:
+                self._write(connection, data)
 
-    def _psync(self, peer: Peer, args: list[bytes]) -> None:
+    def _psync(self, connection: Connection, args: list[bytes]) -> None:
         """Partial where the history is shared and the bytes are still kept, else full."""
         replid, offset = args[1].decode("latin1"), int(args[2])
-        peer.follower = Follower(peer)
+        connection.follower = Follower(connection)
         shared = replid == self.replid or (replid == self.replid2 and offset <= self.second_offset)
         tail = self.log.since(offset - 1) if shared and offset > 0 else None
         if tail is not None:
-            self._write(peer, f"+CONTINUE {self.replid}\r\n".encode() + tail)
-            peer.follower.acked = offset - 1
+            self._write(connection, f"+CONTINUE {self.replid}\r\n".encode() + tail)
+            connection.follower.acked = offset - 1
             return
         payload = b"".join(map(encode_command, self.store.dump()))
-        self._write(peer, f"+FULLRESYNC {self.replid} {self.offset}\r\n${len(payload)}\r\n".encode() + payload)
+        self._write(connection, f"+FULLRESYNC {self.replid} {self.offset}\r\n${len(payload)}\r\n".encode() + payload)
 
-    async def _wait(self, peer: Peer, wanted: int, limit_ms: int) -> bytes:
+    async def _wait(self, connection: Connection, wanted: int, limit_ms: int) -> bytes:
         """WAIT: how many replicas have acknowledged this connection's writes, waiting for that many."""
         target = self.offset
-        if self._acked(target) < wanted and any(one.follower for one in self._peers.values()):
+        if self._acked(target) < wanted and any(one.follower for one in self._connections.values()):
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append((target, wanted, future))
             self._propagate([[b"REPLCONF", b"GETACK", b"*"]])
@@ -430,12 +437,12 @@
         return encode(self._acked(target))
 
     def _acked(self, target: int) -> int:
-        return sum(1 for one in self._peers.values() if one.follower is not None and one.follower.acked >= target)
+        return sum(1 for one in self._connections.values() if one.follower is not None and one.follower.acked >= target)
 
-    def _on_ack(self, peer: Peer, offset: int) -> None:
-        if peer.follower is None:
+    def _on_ack(self, connection: Connection, offset: int) -> None:
+        if connection.follower is None:
             return
-        peer.follower.acked = max(peer.follower.acked, offset)
+        connection.follower.acked = max(connection.follower.acked, offset)
         for entry in list(self._waiters):
             target, wanted, future = entry
             if self._acked(target) >= wanted or future.done():
@@ -446,101 +453,101 @@
     # ---- Connections ----
 
     def _accept(self, sock: socket.socket, path: str) -> None:
-        self._last_peer += 1
+        self._last_connection += 1
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        peer = Peer(self._last_peer, IOStream(sock, max_buffer_size=1 << 30), path)
-        self._peers[peer.number] = peer
-        self._spawn(self._serve(peer))
+        connection = Connection(self._last_connection, IOStream(sock, max_buffer_size=1 << 30), path)
+        self._connections[connection.number] = connection
+        self._spawn(self._serve(connection))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _end(self, peer: Peer, reset: bool = False) -> None:
-        self._peers.pop(peer.number, None)
-        if not peer.stream.closed():
+    def _end(self, connection: Connection, reset: bool = False) -> None:
+        self._connections.pop(connection.number, None)
+        if not connection.stream.closed():
             if reset:
                 with contextlib.suppress(OSError):
-                    peer.stream.socket.setsockopt(
+                    connection.stream.socket.setsockopt(
                         socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00"
                     )
-            peer.stream.close()
+            connection.stream.close()
 
-    def _write(self, peer: Peer, data: bytes) -> None:
-        if peer.stream.closed() or not data:
+    def _write(self, connection: Connection, data: bytes) -> None:
+        if connection.stream.closed() or not data:
             return
-        path = self.paths[peer.path]
-        if path.silent or peer.mute:
-            peer.held.append(data)
+        path = self.paths[connection.path]
+        if path.holds_replies or connection.mute:
+            connection.held.append(data)
             return
-        if path.slow_ms and not peer.stream.closed():
-            asyncio.get_running_loop().call_later(path.slow_ms / 1000, self._deliver, peer, data)
+        if path.reply_delay_ms and not connection.stream.closed():
+            asyncio.get_running_loop().call_later(path.reply_delay_ms / 1000, self._deliver, connection, data)
             return
-        self._deliver(peer, data)
+        self._deliver(connection, data)
 
-    def _deliver(self, peer: Peer, data: bytes) -> None:
-        if peer.stream.closed():
+    def _deliver(self, connection: Connection, data: bytes) -> None:
+        if connection.stream.closed():
             return
-        path = self.paths[peer.path]
-        if (self.faults.cut_replies or path.reset_replies) and peer.follower is None:
+        path = self.paths[connection.path]
+        if (self.faults.cut_replies or path.reset_replies) and connection.follower is None:
             if path.reset_replies:
                 path.reset_replies -= 1
             else:
                 self.faults.cut_replies -= 1
             data = data[: len(data) // 2]
-            self._told(peer, "out", data)
+            self._told(connection, "out", data)
             with contextlib.suppress(StreamClosedError):
-                peer.stream.write(data).add_done_callback(_swallow)
-            self._end(peer)
+                connection.stream.write(data).add_done_callback(_swallow)
+            self._end(connection)
             return
-        self._told(peer, "out", data)
+        self._told(connection, "out", data)
         with contextlib.suppress(StreamClosedError):
-            peer.stream.write(data).add_done_callback(_swallow)
+            connection.stream.write(data).add_done_callback(_swallow)
 
-    def _told(self, peer: Peer, way: str, data: bytes) -> None:
+    def _told(self, connection: Connection, way: str, data: bytes) -> None:
         if self.tap is not None:
-            self.tap(self.name, peer.number, way, data)
+            self.tap(self.name, connection.number, way, data)
 
-    async def _serve(self, peer: Peer) -> None:
+    async def _serve(self, connection: Connection) -> None:
         reader = CommandReader()
         try:
             while True:
-                while self.paths[peer.path].deaf:
+                while self.paths[connection.path].reads_nothing:
                     await asyncio.sleep(0.01)
-                data = await peer.stream.read_bytes(65_536, partial=True)
-                self._told(peer, "in", data)
+                data = await connection.stream.read_bytes(65_536, partial=True)
+                self._told(connection, "in", data)
                 reader.feed(data)
                 while (args := reader.take()) is not None:
-                    path = self.paths[peer.path]
+                    path = self.paths[connection.path]
                     asks = args[0].upper() in (b"INFO", b"HELLO", b"AUTH")
                     if path.reset_requests and not asks:
                         path.reset_requests -= 1
-                        self._end(peer, reset=True)
+                        self._end(connection, reset=True)
                         return
-                    peer.mute = peer.mute or (path.loses and not asks)
-                    peer.turns.append(args)
-                if not peer.working and not self._at_once(peer):
-                    peer.working = True
-                    self._spawn(self._work(peer))
+                    connection.mute = connection.mute or (path.drops_data_replies and not asks)
+                    connection.turns.append(args)
+                if not connection.working and not self._at_once(connection):
+                    connection.working = True
+                    self._spawn(self._work(connection))
         except ProtocolError as problem:
-            self._write(peer, error(str(problem)))
-            self._end(peer)
+            self._write(connection, error(str(problem)))
+            self._end(connection)
         except StreamClosedError:
-            self._end(peer)
+            self._end(connection)
 
-    def _at_once(self, peer: Peer) -> bool:
+    def _at_once(self, connection: Connection) -> bool:
         """Answer what needs no time; whether that was all."""
         out: list[bytes] = []
-        while peer.turns and not self.faults.hang and not self._costs(peer.turns[0]):
-            args = peer.turns.popleft()
-            reply = self._execute(peer, args)
+        while connection.turns and not self.faults.hang and not self._costs(connection.turns[0]):
+            args = connection.turns.popleft()
+            reply = self._execute(connection, args)
             if reply is None:
                 return True
             out.append(reply)
-        self._write(peer, b"".join(out))
-        return not peer.turns
+        self._write(connection, b"".join(out))
+        return not connection.turns
 
     def _costs(self, args: list[bytes]) -> bool:
         name = args[0].lower()
@@ -549,31 +556,31 @@
         work = self.work.read_us if name in READS else self.work.write_us if name in self.store.handlers else 0
         return work > 0
 
-    async def _work(self, peer: Peer) -> None:
+    async def _work(self, connection: Connection) -> None:
         """Answer a connection's commands in order, each after its work on a free core."""
         try:
-            while peer.turns and peer.number in self._peers:
+            while connection.turns and connection.number in self._connections:
                 if self.faults.hang:
                     await asyncio.sleep(0.02)
                     continue
-                args = peer.turns[0]
+                args = connection.turns[0]
                 name = args[0].lower()
-                if name == b"wait" and peer.queued is None:
-                    peer.turns.popleft()
-                    self._write(peer, await self._wait(peer, int(args[1]), int(args[2])))
+                if name == b"wait" and connection.queued is None:
+                    connection.turns.popleft()
+                    self._write(connection, await self._wait(connection, int(args[1]), int(args[2])))
                     continue
                 work = self.work.read_us if name in READS else self.work.write_us if self._costs(args) else 0
-                if work and peer.queued is None:
+                if work and connection.queued is None:
                     await self._busy(work * self.faults.slow / self._warmth() / 1e6)
                     if self.faults.hang:
                         continue
-                peer.turns.popleft()
-                reply = self._execute(peer, args)
+                connection.turns.popleft()
+                reply = self._execute(connection, args)
                 if reply is None:
                     return
-                self._write(peer, reply)
+                self._write(connection, reply)
         finally:
-            peer.working = False
+            connection.working = False
 
     async def _busy(self, seconds: float) -> None:
         at = min(range(len(self._free_at)), key=self._free_at.__getitem__)
@@ -583,31 +590,31 @@
 
     # ---- Commands ----
 
-    def _execute(self, peer: Peer, args: list[bytes]) -> bytes | None:
+    def _execute(self, connection: Connection, args: list[bytes]) -> bytes | None:
         """One command's reply; None where the box has died of it."""
         name = args[0].lower()
-        if peer.queued is not None and name not in (b"exec", b"discard", b"multi", b"reset", b"quit", b"watch"):
+        if connection.queued is not None and name not in (b"exec", b"discard", b"multi", b"reset", b"quit", b"watch"):
             if name not in READS and name in self.store.handlers and not self.is_primary:
-                peer.spoilt = True
+                connection.spoilt = True
                 return READONLY
-            peer.spoilt = peer.spoilt or name not in self.store.handlers
-            peer.queued.append(args)
+            connection.spoilt = connection.spoilt or name not in self.store.handlers
+            connection.queued.append(args)
             return QUEUED if name in self.store.handlers else error("ERR unknown command")
         special = getattr(self, f"_do_{name.decode('ascii', 'replace')}", None)
         if special is not None:
-            reply = special(peer, args)
+            reply = special(connection, args)
             assert reply is None or isinstance(reply, bytes)
             return reply
         if name not in READS and not self.is_primary and name in self.store.handlers:
             return READONLY
-        return self._run(peer, args)
+        return self._run(connection, args)
 
-    def _run(self, peer: Peer, args: list[bytes]) -> bytes | None:
-        reply, spread = self.store.execute(args, _ms(), peer.protocol)
+    def _run(self, connection: Connection, args: list[bytes]) -> bytes | None:
+        reply, spread = self.store.execute(args, _ms(), connection.protocol)
         self.executed += 1
         self._took(spread)
         if spread and self.faults.die_on_write:
-            # Applied and counted, never shipped: the writes that nobody else has.
+            # AppliedCallback and counted, never shipped: the writes that nobody else has.
             self.faults.die_on_write = False
             for one in spread:
                 data = encode_command(one)
@@ -619,84 +626,84 @@
         return reply
 
     def _took(self, changes: list[list[bytes]]) -> None:
-        if self.applied is not None:
+        if self.on_applied is not None:
             for args in changes:
-                self.applied(self.name, args)
+                self.on_applied(self.name, args)
 
-    def _do_exec(self, peer: Peer, args: list[bytes]) -> bytes | None:
-        queued, spoilt, watched = peer.queued, peer.spoilt, peer.watched
-        peer.queued, peer.spoilt, peer.watched = None, False, {}
+    def _do_exec(self, connection: Connection, args: list[bytes]) -> bytes | None:
+        queued, spoilt, watched = connection.queued, connection.spoilt, connection.watched
+        connection.queued, connection.spoilt, connection.watched = None, False, {}
         if queued is None:
             return error("ERR EXEC without MULTI")
         if spoilt:
             return error("EXECABORT Transaction discarded because of previous errors.")
         if any(self.store.touched.get(key, 0) != count for key, count in watched.items()):
-            return encode(Null(b"*" if peer.protocol == 2 else b"_"), peer.protocol)
+            return encode(Null(b"*" if connection.protocol == 2 else b"_"), connection.protocol)
         replies = []
         for one in queued:
-            reply = self._run(peer, one)
+            reply = self._run(connection, one)
             if reply is None:
                 return None
             replies.append(reply)
         return b"*%d\r\n" % len(replies) + b"".join(replies)
 
-    def _do_multi(self, peer: Peer, args: list[bytes]) -> bytes:
-        if peer.queued is not None:
+    def _do_multi(self, connection: Connection, args: list[bytes]) -> bytes:
+        if connection.queued is not None:
             return error("ERR MULTI calls can not be nested")
-        peer.queued = []
+        connection.queued = []
         return OK
 
-    def _do_discard(self, peer: Peer, args: list[bytes]) -> bytes:
-        if peer.queued is None:
+    def _do_discard(self, connection: Connection, args: list[bytes]) -> bytes:
+        if connection.queued is None:
             return error("ERR DISCARD without MULTI")
-        peer.queued, peer.spoilt, peer.watched = None, False, {}
+        connection.queued, connection.spoilt, connection.watched = None, False, {}
         return OK
 
-    def _do_watch(self, peer: Peer, args: list[bytes]) -> bytes:
-        if peer.queued is not None:
+    def _do_watch(self, connection: Connection, args: list[bytes]) -> bytes:
+        if connection.queued is not None:
             return error("ERR WATCH inside MULTI is not allowed")
         for key in args[1:]:
-            peer.watched.setdefault(key, self.store.touched.get(key, 0))
+            connection.watched.setdefault(key, self.store.touched.get(key, 0))
         return OK
 
-    def _do_unwatch(self, peer: Peer, args: list[bytes]) -> bytes:
-        peer.watched = {}
+    def _do_unwatch(self, connection: Connection, args: list[bytes]) -> bytes:
+        connection.watched = {}
         return OK
 
-    def _do_ping(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_ping(self, connection: Connection, args: list[bytes]) -> bytes:
         return bulk(args[1]) if len(args) > 1 else b"+PONG\r\n"
 
-    def _do_echo(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_echo(self, connection: Connection, args: list[bytes]) -> bytes:
         return bulk(args[1])
 
-    def _do_select(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_select(self, connection: Connection, args: list[bytes]) -> bytes:
         return OK
 
-    def _do_client(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_client(self, connection: Connection, args: list[bytes]) -> bytes:
         return OK
 
-    def _do_hello(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_hello(self, connection: Connection, args: list[bytes]) -> bytes:
         if len(args) > 1:
             if args[1] not in (b"2", b"3"):
                 return error("NOPROTO unsupported protocol version")
-            peer.protocol = int(args[1])
+            connection.protocol = int(args[1])
         role = b"master" if self.is_primary else b"replica"
         return encode(
             Map(
                 (
                     (b"server", b"redis"),
                     (b"version", b"7.4.0"),
-                    (b"proto", peer.protocol),
-                    (b"id", peer.number),
+                    (b"proto", connection.protocol),
+                    (b"id", connection.number),
                     (b"mode", b"standalone"),
                     (b"role", role),
                     (b"modules", Array(())),
                 )
             ),
-            peer.protocol,
+            connection.protocol,
         )
 
-    def _do_info(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_info(self, connection: Connection, args: list[bytes]) -> bytes:
         wanted = [one.lower() for one in args[1:]] or [b"server", b"replication"]
         parts = []
         if {b"server", b"all", b"everything", b"default"} & set(wanted):
@@ -710,7 +717,7 @@
         return bulk("\r\n".join(parts).encode())
 
     def _replication(self) -> str:
-        followers = [one for one in self._peers.values() if one.follower is not None]
+        followers = [one for one in self._connections.values() if one.follower is not None]
         lines = ["# Replication", f"role:{'master' if self.is_primary else 'slave'}"]
         if not self.is_primary:
             host, port = ("127.0.0.1", self.primary.port) if isinstance(self.primary, Box) else self.primary or ("", 0)
@@ -736,19 +743,19 @@
         ]
         return "\r\n".join(lines) + "\r\n"
 
-    def _do_role(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_role(self, connection: Connection, args: list[bytes]) -> bytes:
         if self.is_primary:
             rows = tuple(
                 Array((b"127.0.0.1", b"0", b"%d" % one.follower.acked))
-                for one in self._peers.values()
+                for one in self._connections.values()
                 if one.follower is not None
             )
-            return encode(Array((b"master", self.offset, Array(rows))), peer.protocol)
+            return encode(Array((b"master", self.offset, Array(rows))), connection.protocol)
         port = self.primary.port if isinstance(self.primary, Box) else self.primary[1] if self.primary else 0
         state = b"connected" if self.link_up else b"connect"
-        return encode(Array((b"slave", b"127.0.0.1", port, state, self.offset)), peer.protocol)
+        return encode(Array((b"slave", b"127.0.0.1", port, state, self.offset)), connection.protocol)
 
-    def _do_replicaof(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_replicaof(self, connection: Connection, args: list[bytes]) -> bytes:
         if args[1].lower() == b"no":
             if not self.is_primary:
                 self.promote()
@@ -756,21 +763,21 @@
         self.follow((args[1].decode(), int(args[2])))
         return OK
 
-    def _do_replconf(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_replconf(self, connection: Connection, args: list[bytes]) -> bytes:
         if args[1].lower() == b"ack":
-            self._on_ack(peer, int(args[2]))
+            self._on_ack(connection, int(args[2]))
             return b""
         return OK
 
-    def _do_psync(self, peer: Peer, args: list[bytes]) -> bytes:
-        self._psync(peer, args)
+    def _do_psync(self, connection: Connection, args: list[bytes]) -> bytes:
+        self._psync(connection, args)
         return b""
 
-    def _do_quit(self, peer: Peer, args: list[bytes]) -> bytes:
+    def _do_quit(self, connection: Connection, args: list[bytes]) -> bytes:
         return OK
 
-    def _do_reset(self, peer: Peer, args: list[bytes]) -> bytes:
-        peer.queued, peer.spoilt, peer.watched, peer.protocol = None, False, {}, 2
+    def _do_reset(self, connection: Connection, args: list[bytes]) -> bytes:
+        connection.queued, connection.spoilt, connection.watched, connection.protocol = None, False, {}, 2
         return b"+RESET\r\n"
 
 
--- a/tests/fleet/test_versions_judge.py
+++ b/tests/fleet/test_versions_judge.py
@@ -131,21 +131,21 @@
     async def run() -> None:
         bank = Bank("bank", ["one", "two"])
         for box in bank.boxes:
-            box.applied = lambda name, args: seen.append((name, args[0]))
+            box.on_applied = lambda name, args: seen.append((name, args[0]))
         bank.start()
         try:
-            await bank.synced()
+            await bank.wait_until_synced()
             one, two = bank.boxes
-            peer = one._peers[min(one._peers)]
-            one._run(peer, [b"SET", b"layout:2:expand", b"1"])
+            connection = one._connections[min(one._connections)]
+            one._run(connection, [b"SET", b"layout:2:expand", b"1"])
             assert seen[-1] == ("one", b"SET") and ("two", b"SET") not in seen  # the log is on its way
-            one._run(peer, [b"GET", b"layout:2:expand"])
-            await bank.synced()
+            one._run(connection, [b"GET", b"layout:2:expand"])
+            await bank.wait_until_synced()
             assert seen.count(("two", b"SET")) == 1 and ("one", b"GET") not in seen
             # A history that the replica does not share: all is let go, and taken anew.
             one.replid, one.replid2 = "f" * 40, ""
             two.follow(one)
-            await bank.synced()
+            await bank.wait_until_synced()
             assert seen[-2:] == [("two", b"FLUSHALL"), ("two", b"SET")]
         finally:
             bank.stop()
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -16,7 +16,7 @@
 from oatlink.lab.embedded import Embedded
 from oatlink.protocols import resp
 from oatlink.settings import Settings
-from oatlink.standins.box import Box, Work
+from oatlink.standins.box import Box, WorkProfile
 
 
 class Wire:
@@ -98,7 +98,7 @@
     members: int,
     *,
     paths: bool = False,
-    work: Work | None = None,
+    work: WorkProfile | None = None,
     before: Callable[[Embedded], None] = lambda _: None,
     links: dict[str, int] | None = None,
 ) -> AsyncIterator[Served]:
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -16,7 +16,7 @@
 from oatlink.gateway.server import Gateway
 from oatlink.protocols import resp
 from oatlink.rules import placing
-from oatlink.standins.box import Work
+from oatlink.standins.box import WorkProfile
 from tests.gateways import Served, Wire, given_to, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, info, sent
@@ -243,7 +243,7 @@
     assert len(asked) == 4_640 and changes >= 10
 
 
-@scene(served, 1, work=Work(read_us=150_000, cores=256))
+@scene(served, 1, work=WorkProfile(read_us=150_000, cores=256))
 async def test_what_the_stream_read_ahead_is_not_late(one: Served) -> None:
     late: list[int] = []
     at_each_command(one.gateway, lambda given: late.append(max(given.late_us, given.waited_us)))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -100,7 +100,7 @@
         embedded._ports["box-0-0"] = server.sockets[0].getsockname()[1]
         end_ports = embedded.banks[1]
         end_ports.start([embedded._ports[box.name] for box in end_ports.boxes])
-        await end_ports.synced()
+        await end_ports.wait_until_synced()
         gateway, port = started(embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100)
         good = await Wire.open(port)
         slots = gateway.engine._classifier._slots
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -52,9 +52,9 @@
 async def test_requests_go_over_the_unix_socket_and_past_one_whose_file_is_stale(one: Reached) -> None:
     assert await one.client.ask("SET", "k", 1) == resp.Simple(b"OK") and one.over() == {"unix"}
     box = one.primary
-    box.refuse("unix")  # the file stays
-    box.cut("unix")
-    assert Path(box.ways["unix"][5:]).exists()
+    box.close_listener("unix")  # the file stays
+    box.reset_connections("unix")
+    assert Path(box.addresses["unix"][5:]).exists()
     for number in range(20):
         answer, took = await one.timed("SET", "k", number)
         assert answer == resp.Simple(b"OK") and took < 1.0
@@ -66,7 +66,7 @@
     def deaf(embedded: Embedded) -> None:
         for box in embedded.boxes.values():
             if path in box.paths:
-                box.paths[path].deaf = True
+                box.paths[path].reads_nothing = True
 
     async def test() -> None:
         async with reached(deaf) as one:
@@ -83,13 +83,13 @@
     box = one.primary
     for number in range(4):
         await one.client.ask("XADD", "nav:1", "IDMP", "p", f"w{number}", "*", "n", number)
-    box.paths["unix"].silent = True
+    box.paths["unix"].holds_replies = True
     before = entries(box, "nav:1")
     answer, took = await one.timed("XADD", "nav:1", "IDMP", "p", "k1", "*", "n", 1)
     assert isinstance(answer, bytes) and took < 1.5
     # It ran by the silent path, and came again by another: the key made it one entry.
     assert entries(box, "nav:1") == before + 1 and box.executed > 0
-    box.speak("unix")
+    box.release_replies("unix")
     await asyncio.sleep(0.05)
     answer, took = await one.timed("XADD", "nav:1", "IDMP", "p", "k2", "*", "n", 2)
     assert isinstance(answer, bytes) and took < 1.5 and entries(box, "nav:1") == before + 2
@@ -100,7 +100,7 @@
 async def test_a_write_without_a_key_whose_path_falls_silent_fails_and_ran_at_most_once(one: Reached) -> None:
     box = one.primary
     await one.client.ask("RPUSH", "l", "first")
-    box.paths["unix"].silent = True
+    box.paths["unix"].holds_replies = True
     answer, took = await one.timed("RPUSH", "l", "second")
     assert isinstance(answer, resp.Error) and answer.text.startswith(b"ERR failed") and took < 2.5
     assert box.store.data[b"l"] == [b"first", b"second"]
@@ -111,8 +111,8 @@
 @scene(reached)
 async def test_a_path_that_answers_probes_and_loses_requests_is_left(one: Reached) -> None:
     await one.client.ask("SET", "k", 0)
-    one.primary.paths["unix"].loses = True
-    one.primary.cut("unix")
+    one.primary.paths["unix"].drops_data_replies = True
+    one.primary.reset_connections("unix")
     took = []
     for _ in range(6):
         answer, seconds = await one.timed("XREVRANGE", "nav:1", "+", "-", "COUNT", 1)
@@ -128,21 +128,21 @@
     ran = box.executed
     for name in ("", "ipv6"):
         if name in box.paths:
-            box.paths[name].deaf = True
+            box.paths[name].reads_nothing = True
     box.paths["unix"].reset_replies = 1
-    box.paths["unix"].deaf = False
+    box.paths["unix"].reads_nothing = False
 
     async def close_the_door() -> None:
         while box.paths["unix"].reset_replies:
             await asyncio.sleep(0.001)
-        box.paths["unix"].deaf = True
+        box.paths["unix"].reads_nothing = True
 
     door = asyncio.ensure_future(close_the_door())
     answer, took = await one.timed("XADD", "nav:1", "IDMP", "p", "k1", "*", "n", 1)
     await door
     assert isinstance(answer, resp.Error) and 1.0 < took < 4.0
     for name in box.paths:
-        box.paths[name].deaf = False
+        box.paths[name].reads_nothing = False
     await asyncio.sleep(0.5)
     # Whatever was on the way then: after its window the key proves nothing, so nothing comes after it.
     assert entries(box, "nav:1") == 2 and box.executed == ran + 1
@@ -152,14 +152,14 @@
 async def test_a_path_that_comes_back_as_the_others_go_is_found_at_once(one: Reached) -> None:
     box = one.primary
     await one.client.ask("SET", "k", 0)
-    box.refuse("unix")
-    box.cut("unix")
+    box.close_listener("unix")
+    box.reset_connections("unix")
     assert await one.client.ask("SET", "k", 1) == resp.Simple(b"OK")
     await asyncio.sleep(0.4)
-    box.listen("unix")
+    box.open_listener("unix")
     for name in [name for name in box.paths if name != "unix" and name in box._listeners]:
-        box.refuse(name)
-        box.cut(name)
+        box.close_listener(name)
+        box.reset_connections(name)
     answer, took = await one.timed("SET", "k", 2)
     assert answer == resp.Simple(b"OK") and took < 2.5 and one.over() == {"unix"}
 
@@ -169,11 +169,11 @@
     box = one.primary
     await one.client.ask("SET", "k", 0)
     ran = box.executed
-    box.paths["unix"].deaf = True  # takes what its buffers hold
+    box.paths["unix"].reads_nothing = True  # takes what its buffers hold
     await asyncio.sleep(0.05)
     asked = asyncio.ensure_future(one.timed("APPEND", "big", "x" * 8_000_000))
     await asyncio.sleep(0.2)
-    box.cut("unix")
+    box.reset_connections("unix")
     answer, took = await asked
     # No key, and yet sent again: a box runs what it has whole, and this it never had.
     assert answer == 8_000_000 and took < 2.9 and box.executed == ran + 1
@@ -184,14 +184,14 @@
     box = one.primary
     await one.client.ask("SET", "k", 0)
     for name in list(box._listeners):
-        box.refuse(name)
-        box.cut(name)
+        box.close_listener(name)
+        box.reset_connections(name)
     answer, took = await one.timed("SET", "k", 1)
     assert isinstance(answer, resp.Error) and took < 4.0
     assert one.embedded.banks[0].elections == 0 and one.gateway.engine._groups[0].elections == 0
-    for name in ("", *box.ways):
+    for name in ("", *box.addresses):
         if name:
-            box.listen(name)
+            box.open_listener(name)
     deadline = time.monotonic() + 8
     while isinstance(answer, resp.Error) and time.monotonic() < deadline:
         answer = await one.client.ask("SET", "k", 2)
@@ -224,7 +224,7 @@
     async def test() -> tuple[str, str, str]:
         embedded = Embedded(1, 2, 1, paths=True)
         end = await embedded.start()
-        embedded.boxes["box-0-0"].refuse("unix")
+        embedded.boxes["box-0-0"].close_listener("unix")
         file = tmp_path / "gate.jsonnet"
         file.write_text(embedded.template(0, more="{ admin_listen: '127.0.0.1:0' }"))
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -9,7 +9,7 @@
 from oatlink.lab.embedded import Embedded
 from oatlink.protocols import resp
 from oatlink.standins.bank import Bank
-from oatlink.standins.box import Box, Work
+from oatlink.standins.box import Box, WorkProfile
 from oatlink.standins.store import Store
 from tests.gateways import Wire
 from tests.scenes import scene
@@ -20,7 +20,7 @@
     """A running bank of three synchronised boxes; the first one, `x`, is the primary."""
     bank = Bank("b", ["x", "y", "z"], seed=1, detect_s=(0.1, 0.2), elect_s=(0.05, 0.1))
     bank.start()
-    await bank.synced()
+    await bank.wait_until_synced()
     try:
         yield bank
     finally:
@@ -49,7 +49,7 @@
         await asyncio.sleep(0.02)
     assert y.offset < x.offset
     y.faults.lag_ms = 0
-    await bank.synced()
+    await bank.wait_until_synced()
     assert {count_writes(box) for box in bank.boxes} == {9}
 
 
@@ -82,7 +82,7 @@
     x = bank.boxes[0]
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", "kept")
-    await bank.synced()
+    await bank.wait_until_synced()
     x.faults.die_on_write = True
     with pytest.raises(ConnectionError):
         await wire.ask("RPUSH", "l", "lost")
@@ -94,7 +94,7 @@
     assert elected is not None and elected is not x and elected.offset < diverged_offset
     assert elected.replid2 == x.replid and elected.second_offset == elected.offset + 1
     x.start()
-    await bank.synced()
+    await bank.wait_until_synced()
     assert x.store.data[b"l"] == [b"kept"] and x.offset == elected.offset and not x.is_primary
 
 
@@ -103,12 +103,12 @@
     x, y, _ = bank.boxes
     wire = await Wire.open(x.port)
     await wire.ask("RPUSH", "l", 1)
-    await bank.synced()
+    await bank.wait_until_synced()
     store = y.store.data
     y.stop()
     await wire.ask("RPUSH", "l", 2)
     y.start()
-    await bank.synced()
+    await bank.wait_until_synced()
     # A full resynchronisation would have replaced the data object.
     assert y.store.data is store and count_writes(y) == 2
 
@@ -135,14 +135,14 @@
         await wire.ask("RPUSH", "l", number)
     new_primary = await bank.hand_over()
     assert new_primary is not None and count_writes(new_primary) == 50 and new_primary.is_primary and not x.is_primary
-    await bank.synced()
+    await bank.wait_until_synced()
 
 
 @scene(replicated_bank)
 async def test_repeats_inside_the_window_are_dropped_on_the_next_primary_too(bank: Bank) -> None:
     wire = await Wire.open(bank.boxes[0].port)
     first = await wire.ask("XADD", "s", "IDMP", "p", "k", "*", "f", "v")
-    await bank.synced()
+    await bank.wait_until_synced()
     new_primary = await bank.hand_over()
     assert new_primary is not None
     other = await Wire.open(new_primary.port)
@@ -159,7 +159,7 @@
 
 
 def test_work_takes_time_and_a_cold_box_has_less_capacity() -> None:
-    box = Box("x", work=Work(read_us=10_000, cores=2, cold_share=0.25, warm_s=100.0))
+    box = Box("x", work=WorkProfile(read_us=10_000, cores=2, cold_share=0.25, warm_s=100.0))
 
     async def test() -> None:
         box.start()
