--- a/oatlink/audit/__init__.py
+++ b/oatlink/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Judges the five rules from what crossed the sockets; never imports the core."""
+"""Checks what a run promised from the bytes on the sockets alone; must not import `oatlink.core`."""
--- a/oatlink/audit/capture.py
+++ b/oatlink/audit/capture.py
@@ -1,7 +1,8 @@
-"""What crossed the sockets, with times, and the facts of the world that the judge needs. No I/O.
+"""Recorded traffic with times, and the external events that the checkers need to know. No I/O.
 
-A capture names a place (a client or a box), a connection there, a direction seen from that place, and bytes.
-Notices are what was done to the world at a time: a box started, the roster told of a drain, a gateway killed.
+A capture identifies bytes by place (a client or a box), connection at that place, and direction as seen from the
+place. Events are what was done to the system at a time: a box was started, the roster announced a drain, a gateway
+was killed.
 """
 
 from collections import defaultdict
@@ -12,7 +13,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """One command on one connection and what came back; times in microseconds, -1 for never."""
+    """One command on one connection and its reply; times in microseconds, -1 where there was no reply."""
 
     place: str
     connection: int
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """Bytes at a time; `out` means written by the place's own end."""
+    """Bytes at a time; `out` means that the place itself wrote them."""
 
     at_us: int
     out: bool
@@ -33,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A fact: `what` is started, stopped, draining, ready or gone; of a gateway killed, ending, halted or resumed."""
+    """What was done to a box or a gateway.
+
+    `what` is started, stopped, draining, ready or gone for a box, and killed, ending, halted or resumed for a gateway.
+    """
 
     at_us: int
     target: str  # a box or a gateway
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A command that a box's data have taken, at a primary or from its log; FLUSHALL: all was let go."""
+    """A command that changed a box's data, at a primary or from its log; FLUSHALL: all data were dropped."""
 
     at_us: int
     box: str
@@ -55,61 +59,62 @@
 
     chunks: dict[tuple[str, int], list[Chunk]] = field(default_factory=lambda: defaultdict(list))
     events: list[Event] = field(default_factory=list)
-    gateways: dict[tuple[str, int], str] = field(default_factory=dict)  # the gateway at a client connection's other end
-    applied: list[Applied] = field(default_factory=list)  # of what a judge wants to know, not all
+    gateways: dict[tuple[str, int], str] = field(default_factory=dict)  # by client connection: the gateway it is to
+    applied: list[Applied] = field(default_factory=list)  # only the commands that a checker needs
     bytes_kept: int = 0
 
     def add(self, at_us: int, place: str, connection: int, out: bool, data: bytes) -> None:
-        """Keep bytes."""
+        """Record bytes."""
         self.chunks[place, connection].append(Chunk(at_us, out, data))
         self.bytes_kept += len(data)
 
     def set_gateway(self, place: str, connection: int, gateway: str) -> None:
-        """Keep which gateway a client's connection is to; only where that may be killed need it be known."""
+        """Record which gateway a client's connection is to; only needed where that gateway may be killed."""
         self.gateways[place, connection] = gateway
 
     def add_applied(self, at_us: int, box: str, args: list[bytes]) -> None:
-        """Keep that a box has applied a command."""
+        """Record that a box has applied a command."""
         self.applied.append(Applied(at_us, box, args))
 
-    def add_event(self, at_us: int, box: str, what: str) -> None:
-        """Keep a fact."""
-        self.events.append(Event(at_us, box, what))
+    def add_event(self, at_us: int, target: str, what: str) -> None:
+        """Record an event."""
+        self.events.append(Event(at_us, target, what))
 
 
 @dataclass(slots=True)
-class Line:
-    """One connection read back: its calls in order, and replies that nothing asked for."""
+class ParsedConnection:
+    """One connection's calls in order, and its replies that belong to no call."""
 
     calls: list[Call]
-    extra: int = 0
-    broken: bool = False
-    replication: bool = False
+    unexpected_replies: int = 0
+    has_protocol_error: bool = False
+    is_replication: bool = False
 
 
-def read_line(place: str, number: int, chunks: list[Chunk], commands_out: bool) -> Line:
-    """The calls of one connection. `commands_out`: this end wrote the commands (a client), else it read them."""
+def parse_connection(place: str, number: int, chunks: list[Chunk], commands_out: bool) -> ParsedConnection:
+    """The calls of one connection. `commands_out`: the place wrote the commands (a client), else it read them."""
     commands, replies = CommandReader(), ReplyReader()
-    line = Line([])
-    answered = 0
+    parsed = ParsedConnection([])
+    reply_count = 0
     for chunk in chunks:
         try:
             if chunk.out is commands_out:
                 commands.feed(chunk.data)
                 while (args := commands.take()) is not None:
-                    line.calls.append(Call(place, number, args, chunk.at_us))
+                    parsed.calls.append(Call(place, number, args, chunk.at_us))
                     if args[0].upper() == b"PSYNC":
-                        line.replication = True
-                        return line
+                        parsed.is_replication = True
+                        return parsed
             else:
                 replies.feed(chunk.data)
                 while (frame := replies.take()) is not None:
-                    if answered < len(line.calls):
-                        line.calls[answered].reply, line.calls[answered].replied_us = frame, chunk.at_us
-                        answered += 1
+                    if reply_count < len(parsed.calls):
+                        call = parsed.calls[reply_count]
+                        call.reply, call.replied_us = frame, chunk.at_us
+                        reply_count += 1
                     else:
-                        line.extra += 1
+                        parsed.unexpected_replies += 1
         except ProtocolError:
-            line.broken = True
-            return line
-    return line
+            parsed.has_protocol_error = True
+            return parsed
+    return parsed
--- a/oatlink/audit/evidence.py
+++ b/oatlink/audit/evidence.py
@@ -1,51 +1,52 @@
-"""What a day's trouble with boxes cost, and how soon each gateway knew: from captures and what operators saw. No I/O.
+"""What a scenario's faults at boxes cost, and how soon each gateway noticed them. No I/O.
 
-Two days with the same trouble, with and without the fleet's verdicts, are compared by these figures. At the boxes:
-*checks* (INFO that reached a box) and *failed attempts* (data commands that got no answer, or an error). An attempt at
-an address that takes no connection leaves no trace at a box and is not in either.
+The figures come from captures and from what operators observed. Two runs with the same faults, with and without
+health reports between gateways, are compared by them. At the boxes these are counted: *checks* (INFO that reached a
+box) and *failed attempts* (data commands that got no answer, or an error). An attempt at an address that accepts no
+connection leaves no trace at a box and is in neither count.
 
-A gateway *knows* of a harm from the first time that an operator saw it doubt the member, while it lasted; what is
-*stale* at the others is reckoned from the first gateway's knowledge, whoever had it. A *healthy* member is one that
-nothing was done to, in a bank whose primary was left alone, until `settle_us` after. To put it later on others' words
-is to pass it over.
+A gateway *notices* a fault when an operator first observes that it doubts the member, while the fault lasts. The
+delay of the other gateways is counted from the first one's observation, whichever gateway that is. A *healthy* member
+is one that no fault was injected into, in a bank whose primary was left alone, until `settle_us` after. It is *passed
+over* where a gateway uses it later because other gateways reported it.
 """
 
 from bisect import bisect_right
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from oatlink.audit.capture import Capture, read_line
+from oatlink.audit.capture import Capture, parse_connection
 
 DATA = frozenset((b"XADD", b"XREVRANGE", b"RPUSH", b"GET", b"SET", b"EXEC"))
 Observation = tuple[int, str, str, str]
-"""When, at which gateway, of which member, what it is taken for: well, doubted, later. Only changes are kept."""
+"""Time, gateway, member, and what the gateway takes it for: well, doubted, later. Only changes are recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """Something done to members, and those of their bank that may suffer with them (an election)."""
+    """A fault injected into members, with the banks whose other members may suffer from it (an election)."""
 
     what: str
     members: tuple[str, ...]
-    banks: tuple[str, ...]  # whose primary it was done to
+    banks: tuple[str, ...]  # those whose primary has the fault
     from_us: int
     to_us: int
 
 
 @dataclass(slots=True)
 class Detection:
-    """One harm: how long the first gateway took to know, and how much later each other one did; missing: never."""
+    """How long the first gateway took to notice one fault, and how much later each other one did."""
 
     what: str
     members: tuple[str, ...]
     first_ms: float = -1.0
     others_later_ms: list[float] = field(default_factory=list)
-    never: int = 0
+    never: int = 0  # gateways that did not notice it
 
 
 @dataclass(slots=True)
 class EvidenceResult:
-    """The figures of one day."""
+    """The figures of one run."""
 
     checks: int = 0
     checks_at_faulty: int = 0
@@ -53,82 +54,82 @@
     failed_attempts: int = 0
     failed_at_faulty: int = 0
     detections: list[Detection] = field(default_factory=list)
-    healthy_doubted: int = 0  # healthy members, by a gateway's own eyes: a late answer does that
-    healthy_passed_over: list[str] = field(default_factory=list)  # healthy members, on others' words
+    healthy_doubted: int = 0  # by a gateway's own observation: a late answer is enough for that
+    healthy_passed_over: list[str] = field(default_factory=list)  # because of other gateways' reports
 
 
 class EvidenceChecker:
-    """Judges one day."""
+    """Evaluates one run."""
 
     def __init__(
         self,
         capture: Capture,
-        harms: list[InjectedFault],
-        sightings: list[Observation],
+        faults: list[InjectedFault],
+        observations: list[Observation],
         banks: dict[str, str],
         gateways: tuple[str, ...],
         settle_us: int = 3_000_000,
     ) -> None:
-        """`banks`: by member."""
-        self._capture, self._harms, self._banks = capture, harms, banks
+        """`banks`: the bank of each member."""
+        self._capture, self._faults, self._banks = capture, faults, banks
         self._gateways, self._settle_us = gateways, settle_us
-        self._sightings = sorted(sightings)
-        self.found = EvidenceResult()
+        self._observations = sorted(observations)
+        self.result = EvidenceResult()
 
     def check(self) -> EvidenceResult:
-        """Count."""
+        """Compute the figures."""
         for place, number in sorted(self._capture.chunks):
             if not place.startswith("client"):
-                self._box(place, number)
-        for harm in self._harms:
-            self.found.detections.append(self._known(harm))
-        for at_us, gateway, member, what in self._sightings:
-            if what == "well" or self._harmed(member, at_us):
+                self._count_calls(place, number)
+        for fault in self._faults:
+            self.result.detections.append(self._detection(fault))
+        for at_us, gateway, member, what in self._observations:
+            if what == "well" or self._is_affected(member, at_us):
                 continue
             if what == "later":
-                self.found.healthy_passed_over.append(f"{gateway}: {member}")
+                self.result.healthy_passed_over.append(f"{gateway}: {member}")
             else:
-                self.found.healthy_doubted += 1
-        return self.found
+                self.result.healthy_doubted += 1
+        return self.result
 
-    def _box(self, box: str, number: int) -> None:
-        line = read_line(box, number, self._capture.chunks[box, number], commands_out=False)
-        if line.replication:
+    def _count_calls(self, box: str, number: int) -> None:
+        parsed = parse_connection(box, number, self._capture.chunks[box, number], commands_out=False)
+        if parsed.is_replication:
             return
-        found = self.found
-        for call in line.calls:
-            harmed = any(box in harm.members and harm.from_us <= call.sent_us < harm.to_us for harm in self._harms)
+        result = self.result
+        for call in parsed.calls:
+            is_faulty = any(box in each.members and each.from_us <= call.sent_us < each.to_us for each in self._faults)
             name = call.args[0].upper()
             if name == b"INFO":
-                found.checks += 1
-                found.checks_at_faulty += harmed
+                result.checks += 1
+                result.checks_at_faulty += is_faulty
             elif name in DATA:
-                found.attempts += 1
+                result.attempts += 1
                 if call.replied_us < 0 or call.reply[:1] == b"-":
-                    found.failed_attempts += 1
-                    found.failed_at_faulty += harmed
+                    result.failed_attempts += 1
+                    result.failed_at_faulty += is_faulty
 
-    def _known(self, harm: InjectedFault) -> Detection:
-        """When each gateway first took one of the members for less than well."""
-        first: dict[str, int] = {}
+    def _detection(self, fault: InjectedFault) -> Detection:
+        """When each gateway first took one of the fault's members for less than well."""
+        noticed_us: dict[str, int] = {}
         before: dict[tuple[str, str], str] = defaultdict(lambda: "well")
-        times = [one[0] for one in self._sightings]
-        for _, gateway, member, what in self._sightings[: bisect_right(times, harm.from_us)]:
+        times = [each[0] for each in self._observations]
+        for _, gateway, member, what in self._observations[: bisect_right(times, fault.from_us)]:
             before[gateway, member] = what
-        for at_us, gateway, member, what in self._sightings:
-            inside = harm.from_us < at_us <= harm.to_us
-            if inside and member in harm.members and what != "well" and before[gateway, member] == "well":
-                first.setdefault(gateway, at_us)
-        known = Detection(harm.what, harm.members, never=len(self._gateways) - len(first))
-        if first:
-            begin_us = min(first.values())
-            known.first_ms = (begin_us - harm.from_us) / 1e3
-            known.others_later_ms = sorted((at_us - begin_us) / 1e3 for at_us in first.values())[1:]
-        return known
-
-    def _harmed(self, member: str, at_us: int) -> bool:
+        for at_us, gateway, member, what in self._observations:
+            is_during = fault.from_us < at_us <= fault.to_us
+            if is_during and member in fault.members and what != "well" and before[gateway, member] == "well":
+                noticed_us.setdefault(gateway, at_us)
+        detection = Detection(fault.what, fault.members, never=len(self._gateways) - len(noticed_us))
+        if noticed_us:
+            first_us = min(noticed_us.values())
+            detection.first_ms = (first_us - fault.from_us) / 1e3
+            detection.others_later_ms = sorted((at_us - first_us) / 1e3 for at_us in noticed_us.values())[1:]
+        return detection
+
+    def _is_affected(self, member: str, at_us: int) -> bool:
         return any(
-            (member in harm.members or self._banks[member] in harm.banks)
-            and harm.from_us <= at_us < harm.to_us + self._settle_us
-            for harm in self._harms
+            (member in fault.members or self._banks[member] in fault.banks)
+            and fault.from_us <= at_us < fault.to_us + self._settle_us
+            for fault in self._faults
         )
--- a/oatlink/audit/quota.py
+++ b/oatlink/audit/quota.py
@@ -1,20 +1,21 @@
-"""The judge of quotas: from what clients sent and got alone, knowing nothing of grants or homes. No I/O.
+"""Checks quotas from what clients sent and received alone, without knowledge of grants or limit coordinators. No I/O.
 
-A client's place is `client-KIND-TENANT-...`. Its commands that reach for data count one each, a MULTI as many as
-stand in it. What was *admitted* is known by its final answer:
+A client's place is `client-KIND-TENANT-...`. Its data commands count one each, a MULTI as many as it queues. Whether
+a command was *admitted* is known from its final answer:
 
 - `-QUOTA`: refused, and the text must say `retry after N ms`.
-- `-TRYAGAIN`: refused for another reason (overload, a drain), before or after the quota was paid; a client cannot
-  tell. It counts as admitted in `over_with_overloads`, which is shown, and not in `over`, which must not be above 0.
-- `-EXECABORT`: nothing of it was let through.
-- Any other answer, an error included: admitted, somewhere between the sending and the answer.
-- None: not known; it does not count.
-
-Judged for each tenant: **never over** in any window (`audit.windows`); **used** to 0.9 while all links are up;
-**floor**: a gateway that is cut off refuses nothing while its part of the floor surely has room; **back** to full use
-in time after a heal; **told**: no refusal without a time. What was not wanted cannot be used: a span without any
-refusal is not judged. How much of its floor a gateway served is shown and not judged: its bucket holds a request or
-two, and what runs over while its few clients wait to come back is lost to them.
+- `-TRYAGAIN`: refused for another reason (overload, a drain), before or after the quota was charged; a client cannot
+  tell. It counts as admitted in `excess_with_overloads`, which is reported only, and not in `excess`, which must not
+  be above 0.
+- `-EXECABORT`: nothing of it was admitted.
+- Any other answer, an error included: admitted, at a moment between the request and the answer.
+- None: unknown; it does not count.
+
+Checked for each tenant: **never over** in any window (`audit.windows`); **used**: at least 0.9 of the rate while all
+links are up; **floor**: a gateway that is cut off refuses nothing while its part of the floor surely has capacity;
+**back**: full use is reached again in time after a heal; **told**: no refusal without a time. What was not requested
+cannot be used, so a span without any refusal is not checked. How much of its floor a gateway served is reported and
+not checked: its bucket holds a request or two, and what overflows while its few clients wait to retry is lost to them.
 """
 
 import re
@@ -23,19 +24,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from oatlink.audit.capture import Call, Capture, read_line
+from oatlink.audit.capture import Call, Capture, parse_connection
 from oatlink.audit.windows import Done, Excess, largest_excess
 
 DATA = frozenset((b"XADD", b"XREVRANGE", b"RPUSH", b"GET", b"SET"))
 RULES = ("never_over", "used", "floor", "back", "told")
-BACK = re.compile(rb"retry after (\d+) ms")
-SURELY = 0.5  # requests: how much surer than by a hair it must be that a floor had room
-SLICE_US = 1_000_000  # in which use is looked at after a heal
+RETRY = re.compile(rb"retry after (\d+) ms")
+# A refusal counts as wrong only where the floor had this much more than the request needed, as times are inexact.
+CERTAIN_MARGIN_REQUESTS = 0.5
+SLICE_US = 1_000_000  # the window in which use is measured after a heal
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """What one tenant may have: requests a second, at once, and the floor's share of both."""
+    """What one tenant may use: requests per second, requests at once, and the floor's share of both."""
 
     rate: float
     burst: float
@@ -44,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A stretch of the day. `cut_off`: gateways that reach no majority all the while; empty: all links are up."""
+    """A part of the run. `cut_off`: gateways that reach no majority throughout it; empty: all links are up."""
 
     from_us: int
     to_us: int
     cut_off: tuple[str, ...] = ()
 
     def contains(self, at_us: int) -> bool:
-        """Whether a time is in it."""
+        """Whether a time is in the span."""
         return self.from_us <= at_us < self.to_us
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTerms:
-    """What was promised: allowances by tenant, and how long things may take."""
+    """What the run promises: allowances by tenant, and how long recovery may take."""
 
     tenants: dict[str, Allowance]
     nodes: int
@@ -65,24 +67,27 @@
     min_used_share: float = 0.9
     recovery_us: int = 4_000_000
     spans: tuple[Span, ...] = ()
-    heals: tuple[tuple[int, int], ...] = ()  # when all links were up again, and until when they stayed so
+    heals: tuple[tuple[int, int], ...] = ()  # when all links were up again, and until when they stayed up
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """One command, or one MULTI, and how it ended: admitted, overload, quota, none."""
+class RequestOutcome:
+    """One command, or one MULTI, and how it ended: admitted, overload, quota, none.
+
+    `none` is for what was not admitted or has no answer.
+    """
 
     gateway: str
-    asked_us: int
+    requested_us: int
     answered_us: int
     cost: int
     how: str
-    back_ms: int = -1
+    retry_ms: int = -1  # the time that a quota refusal names
 
 
 @dataclass(slots=True)
 class TenantResult:
-    """What came of one tenant's day. Shares are of the rate."""
+    """The figures of one tenant. Shares are of the rate, where nothing else is said."""
 
     asked: int = 0
     admitted: int = 0
@@ -92,162 +97,175 @@
     unknown: int = 0
     excess: Excess = field(default_factory=lambda: Excess(0.0))
     excess_with_overloads: Excess = field(default_factory=lambda: Excess(0.0))
-    used_shares: list[float] = field(default_factory=list)  # a span with all links up each
+    used_shares: list[float] = field(default_factory=list)  # one for each span with all links up
     stranded_floor_shares: list[float] = field(
         default_factory=list
-    )  # there: floors of gateways that nobody wanted them of
+    )  # in these spans: floors at gateways without demand
     used_shares_while_cut: list[float] = field(
         default_factory=list
-    )  # a span with a minority cut each, by the whole fleet
-    floor_shares: list[float] = field(default_factory=list)  # of its floor's part, a gateway that is cut off each
-    refused_despite_floor: int = 0  # there
-    recovery_s: list[float] = field(default_factory=list)  # a heal each
+    )  # by the whole fleet, one for each span with a minority cut off
+    floor_shares: list[float] = field(default_factory=list)  # of its part of the floor, one for each cut-off gateway
+    refused_despite_floor: int = 0  # at cut-off gateways
+    recovery_s: list[float] = field(default_factory=list)  # one for each heal
 
 
 @dataclass(slots=True)
 class QuotaResult:
-    """All tenants, and for each rule what broke it."""
+    """The figures of all tenants, and the violations of each rule."""
 
     tenants: dict[str, TenantResult] = field(default_factory=dict)
     violations: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
 
     @property
     def passed(self) -> bool:
-        """Whether no bound was broken."""
+        """Whether no rule was violated."""
         return not any(self.violations.values())
 
 
 class QuotaChecker:
-    """Judges one day."""
+    """Checks one run."""
 
     def __init__(self, capture: Capture, terms: QuotaTerms) -> None:
         self._capture, self._terms = capture, terms
-        self._asked: dict[str, list[Asked]] = defaultdict(list)
-        self.found = QuotaResult()
+        self._outcomes: dict[str, list[RequestOutcome]] = defaultdict(list)
+        self.result = QuotaResult()
 
     def check(self) -> QuotaResult:
-        """Read the capture and judge each tenant."""
+        """Read the capture and check each tenant."""
         for (place, number), chunks in sorted(self._capture.chunks.items()):
             parts = place.split("-")
             if parts[0] == "client" and len(parts) > 2 and parts[2] in self._terms.tenants:
-                calls = read_line(place, number, chunks, commands_out=True).calls
-                self._asked[parts[2]] += asked(calls, self._capture.gateways.get((place, number), ""))
+                calls = parse_connection(place, number, chunks, commands_out=True).calls
+                self._outcomes[parts[2]] += request_outcomes(calls, self._capture.gateways.get((place, number), ""))
         for name, allowance in sorted(self._terms.tenants.items()):
-            self._tenant(name, allowance)
-        return self.found
-
-    def _tenant(self, name: str, allowance: Allowance) -> None:
-        all_asked = sorted(self._asked[name], key=lambda one: one.answered_us)
-        one = self.found.tenants[name] = TenantResult()
-        one.asked = sum(each.cost for each in all_asked)
-        for each in all_asked:
-            one.admitted += each.cost if each.how == "admitted" else 0
-            one.overloads += each.cost if each.how == "overload" else 0
-            one.unknown += each.cost if each.how == "none" else 0
+            self._check_tenant(name, allowance)
+        return self.result
+
+    def _check_tenant(self, name: str, allowance: Allowance) -> None:
+        outcomes = sorted(self._outcomes[name], key=lambda each: each.answered_us)
+        tenant = self.result.tenants[name] = TenantResult()
+        tenant.asked = sum(each.cost for each in outcomes)
+        for each in outcomes:
+            tenant.admitted += each.cost if each.how == "admitted" else 0
+            tenant.overloads += each.cost if each.how == "overload" else 0
+            tenant.unknown += each.cost if each.how == "none" else 0
             if each.how == "quota":
-                one.refused += each.cost
-                one.refused_without_retry_time += each.back_ms < 0
+                tenant.refused += each.cost
+                tenant.refused_without_retry_time += each.retry_ms < 0
         rate = allowance.rate * (1 + self._terms.drift)
-        one.excess = largest_excess(_done(all_asked, ("admitted",)), rate, allowance.burst)
-        one.excess_with_overloads = largest_excess(_done(all_asked, ("admitted", "overload")), rate, allowance.burst)
-        if one.excess.amount > 1e-6:  # the sums of a day's rate and counts are no more exact than that
-            self._break(
+        tenant.excess = largest_excess(_done(outcomes, ("admitted",)), rate, allowance.burst)
+        tenant.excess_with_overloads = largest_excess(_done(outcomes, ("admitted", "overload")), rate, allowance.burst)
+        if tenant.excess.amount > 1e-6:  # floating-point sums over a whole run are no more exact than that
+            length_s = (tenant.excess.to_us - tenant.excess.from_us) / 1e6
+            self._add_violation(
                 "never_over",
-                f"{name}: {one.excess.counted:.0f} in {(one.excess.to_us - one.excess.from_us) / 1e6:.3f} s, "
-                f"{one.excess.amount:.2f} over",
+                f"{name}: {tenant.excess.counted:.0f} in {length_s:.3f} s, {tenant.excess.amount:.2f} over",
             )
-        if one.refused_without_retry_time:
-            self._break("told", f"{name}: {one.refused_without_retry_time} refusals without a time to come back")
-        self._use(name, allowance, one, all_asked)
-        self._back(name, allowance, one, all_asked)
+        if tenant.refused_without_retry_time:
+            self._add_violation("told", f"{name}: {tenant.refused_without_retry_time} refusals without a time to retry")
+        self._check_use(name, allowance, tenant, outcomes)
+        self._check_recovery(name, allowance, tenant, outcomes)
 
-    def _use(self, name: str, allowance: Allowance, one: TenantResult, all_asked: list[Asked]) -> None:
+    def _check_use(self, name: str, allowance: Allowance, tenant: TenantResult, outcomes: list[RequestOutcome]) -> None:
         for span in self._terms.spans:
-            within = [each for each in all_asked if span.contains(each.answered_us)]
-            if not any(each.how == "quota" for each in within):
-                continue  # all that was wanted was served
+            in_span = [each for each in outcomes if span.contains(each.answered_us)]
+            if not any(each.how == "quota" for each in in_span):
+                continue  # all that was requested was served
             length_s = (span.to_us - span.from_us) / 1e6
-            share = _admitted(within) / (allowance.rate * length_s)
+            share = _admitted(in_span) / (allowance.rate * length_s)
             if not span.cut_off:
-                one.used_shares.append(share)
-                one.stranded_floor_shares.append(self._stranded(allowance, span, within))
+                tenant.used_shares.append(share)
+                tenant.stranded_floor_shares.append(self._stranded_floor_share(allowance, span, in_span))
                 if share < self._terms.min_used_share:
-                    self._break("used", f"{name}: {share:.3f} of its rate for {length_s:.1f} s with all links up")
+                    self._add_violation(
+                        "used", f"{name}: {share:.3f} of its rate for {length_s:.1f} s with all links up"
+                    )
                 continue
-            one.used_shares_while_cut.append(share)
+            tenant.used_shares_while_cut.append(share)
             part = allowance.floor / self._terms.nodes
             for gateway in span.cut_off if part else ():
-                mine = [each for each in within if each.gateway == gateway]
-                if any(each.how == "quota" for each in mine):
-                    one.floor_shares.append(_admitted(mine) / (allowance.rate * part * length_s))
-                wrong = with_room(mine, allowance.rate * part, allowance.burst * part, span.from_us)
-                one.refused_despite_floor += wrong
+                at_gateway = [each for each in in_span if each.gateway == gateway]
+                if any(each.how == "quota" for each in at_gateway):
+                    tenant.floor_shares.append(_admitted(at_gateway) / (allowance.rate * part * length_s))
+                wrong = refused_despite_capacity(
+                    at_gateway, allowance.rate * part, allowance.burst * part, span.from_us
+                )
+                tenant.refused_despite_floor += wrong
                 if wrong:
-                    self._break("floor", f"{name}: {gateway}, cut off, refused {wrong} that its floor had room for")
+                    self._add_violation(
+                        "floor", f"{name}: {gateway}, cut off, refused {wrong} that its floor had capacity for"
+                    )
 
-    def _stranded(self, allowance: Allowance, span: Span, within: list[Asked]) -> float:
-        """The share of the rate that was floors, where in a second a gateway was asked for less and refused none."""
+    def _stranded_floor_share(self, allowance: Allowance, span: Span, in_span: list[RequestOutcome]) -> float:
+        """The share of the rate that stayed unused as floors at gateways with too little demand.
+
+        Counted by second: what a gateway that refused nothing in a second admitted less than its floor.
+        """
         floor = allowance.rate * allowance.floor / self._terms.nodes
         seconds = (span.to_us - span.from_us) // SLICE_US
         admitted: Counter[tuple[int, str]] = Counter()
         refused = set()
-        for one in within:
-            at = (one.answered_us - span.from_us) // SLICE_US, one.gateway
-            if one.how == "quota":
-                refused.add(at)
-            elif one.how == "admitted":
-                admitted[at] += one.cost
+        for each in in_span:
+            key = (each.answered_us - span.from_us) // SLICE_US, each.gateway
+            if each.how == "quota":
+                refused.add(key)
+            elif each.how == "admitted":
+                admitted[key] += each.cost
         gateways = sorted(set(self._capture.gateways.values()))
-        left = sum(
+        unused = sum(
             max(0.0, floor - admitted[second, gateway])
             for second in range(seconds)
             for gateway in gateways
             if (second, gateway) not in refused
         )
-        return left / (allowance.rate * max(1, seconds))
+        return unused / (allowance.rate * max(1, seconds))
 
-    def _back(self, name: str, allowance: Allowance, one: TenantResult, all_asked: list[Asked]) -> None:
-        """How long after each heal the second begins in which the use is full."""
-        times = [each.answered_us for each in all_asked]
+    def _check_recovery(
+        self, name: str, allowance: Allowance, tenant: TenantResult, outcomes: list[RequestOutcome]
+    ) -> None:
+        """Measure how long after each heal the first second with full use begins."""
+        times = [each.answered_us for each in outcomes]
         for healed_us, until_us in self._terms.heals:
             if until_us < healed_us + self._terms.recovery_us + SLICE_US:
-                continue  # the next trouble came too early to tell
+                continue  # the next fault came too early to tell
             at_us = healed_us
             while at_us + SLICE_US <= until_us:
-                slice_ = all_asked[bisect_left(times, at_us) : bisect_left(times, at_us + SLICE_US)]
-                full = _admitted(slice_) >= self._terms.min_used_share * allowance.rate
-                if full or (slice_ and not any(each.how == "quota" for each in slice_)):
+                in_slice = outcomes[bisect_left(times, at_us) : bisect_left(times, at_us + SLICE_US)]
+                is_full = _admitted(in_slice) >= self._terms.min_used_share * allowance.rate
+                if is_full or (in_slice and not any(each.how == "quota" for each in in_slice)):
                     break
                 at_us += SLICE_US // 20
-            one.recovery_s.append((at_us - healed_us) / 1e6)
+            tenant.recovery_s.append((at_us - healed_us) / 1e6)
             if at_us > healed_us + self._terms.recovery_us:
-                self._break("back", f"{name}: full use {one.recovery_s[-1]:.2f} s after the links were up")
+                self._add_violation("back", f"{name}: full use {tenant.recovery_s[-1]:.2f} s after the links were up")
 
-    def _break(self, rule: str, text: str) -> None:
-        self.found.violations[rule].append(text)
+    def _add_violation(self, rule: str, text: str) -> None:
+        self.result.violations[rule].append(text)
 
 
-def with_room(within: list[Asked], rate: float, burst: float, from_us: int) -> int:
-    """How many were refused while a bucket, empty at the begin and filled at `rate`, surely had room for them.
+def refused_despite_capacity(outcomes: list[RequestOutcome], rate: float, burst: float, from_us: int) -> int:
+    """How many were refused while a bucket, empty at the start and filled at `rate`, surely had enough for them.
 
-    What may have been admitted before a refusal is taken out before it; a bucket never holds less than nothing.
+    What may have been admitted before a refusal is taken from the bucket first; its level never falls below zero.
     """
     level, filled_us, wrong = 0.0, from_us, 0
-    order = [(one.asked_us, 0, one) if one.how == "admitted" else (one.answered_us, 1, one) for one in within]
-    for _, _, one in sorted(order, key=lambda each: each[:2]):
-        at_us = max(filled_us, one.asked_us)
+    order = [
+        (each.requested_us, 0, each) if each.how == "admitted" else (each.answered_us, 1, each) for each in outcomes
+    ]
+    for _, _, each in sorted(order, key=lambda entry: entry[:2]):
+        at_us = max(filled_us, each.requested_us)
         level = min(burst, level + rate * (at_us - filled_us) / 1e6)
         filled_us = at_us
-        if one.how in ("admitted", "overload"):
-            level = max(0.0, level - one.cost)
-        elif one.how == "quota" and level >= one.cost + SURELY:
+        if each.how in ("admitted", "overload"):
+            level = max(0.0, level - each.cost)
+        elif each.how == "quota" and level >= each.cost + CERTAIN_MARGIN_REQUESTS:
             wrong += 1
     return wrong
 
 
-def asked(calls: Iterable[Call], gateway: str) -> list[Asked]:
-    """What of one connection's calls counts for a quota, and how each ended."""
-    found: list[Asked] = []
+def request_outcomes(calls: Iterable[Call], gateway: str) -> list[RequestOutcome]:
+    """Those calls of one connection that count for a quota, and how each ended."""
+    outcomes: list[RequestOutcome] = []
     queued: list[Call] | None = None
     for call in calls:
         name = call.args[0].upper()
@@ -257,32 +275,32 @@
             queued = None
         elif name == b"EXEC" and queued is not None:
             if queued:
-                found.append(_asked(call, gateway, queued[0].sent_us, len(queued)))
+                outcomes.append(_request_outcome(call, gateway, queued[0].sent_us, len(queued)))
             queued = None
         elif queued is not None:
             queued.append(call)
         elif name in DATA:
-            found.append(_asked(call, gateway, call.sent_us, 1))
-    return found
+            outcomes.append(_request_outcome(call, gateway, call.sent_us, 1))
+    return outcomes
 
 
-def _asked(call: Call, gateway: str, sent_us: int, cost: int) -> Asked:
+def _request_outcome(call: Call, gateway: str, sent_us: int, cost: int) -> RequestOutcome:
     if call.replied_us < 0:
-        return Asked(gateway, sent_us, -1, cost, "none")
+        return RequestOutcome(gateway, sent_us, -1, cost, "none")
     if call.reply.startswith(b"-QUOTA"):
-        back = BACK.search(call.reply)
-        return Asked(gateway, sent_us, call.replied_us, cost, "quota", int(back[1]) if back else -1)
+        retry = RETRY.search(call.reply)
+        return RequestOutcome(gateway, sent_us, call.replied_us, cost, "quota", int(retry[1]) if retry else -1)
     how = "admitted"
     if call.reply.startswith(b"-TRYAGAIN"):
         how = "overload"
     elif call.reply.startswith(b"-EXECABORT"):
         how = "none"
-    return Asked(gateway, sent_us, call.replied_us, cost, how)
+    return RequestOutcome(gateway, sent_us, call.replied_us, cost, how)
 
 
-def _done(all_asked: Iterable[Asked], hows: tuple[str, ...]) -> list[Done]:
-    return [(one.asked_us, one.answered_us, float(one.cost)) for one in all_asked if one.how in hows]
+def _done(outcomes: Iterable[RequestOutcome], hows: tuple[str, ...]) -> list[Done]:
+    return [(each.requested_us, each.answered_us, float(each.cost)) for each in outcomes if each.how in hows]
 
 
-def _admitted(within: Iterable[Asked]) -> int:
-    return sum(one.cost for one in within if one.how == "admitted")
+def _admitted(outcomes: Iterable[RequestOutcome]) -> int:
+    return sum(each.cost for each in outcomes if each.how == "admitted")
--- a/oatlink/audit/windows.py
+++ b/oatlink/audit/windows.py
@@ -1,25 +1,27 @@
-"""The window of time in which most was done beyond what an allowance lets through. No I/O.
-
-Each thing that was done lies somewhere between two times that are known. A window surely holds it where both are in
-it, so what is counted here is never too much, however late the recording ends ran. A bucket of `burst`, filled at
-`rate`, lets through at most burst + rate x W in every window of length W, the shortest included. The largest excess
-over that is at a window that begins where one thing begins and ends where one ends; all of them are looked at.
-
-Times go by in order. Each begin is a place in a row, with the weight of what began there and has ended by now, less
-what the rate gives until the next begin: the excess of the window from a begin to now is the sum of the row from
-there on, and the best of all is kept by a tree over the row. Work is O(n log n) in what was done.
+"""The time window in which the admitted amount exceeds an allowance by the most. No I/O.
+
+Each item happened at an unknown moment between two known times. A window surely contains an item where it contains
+both times, so the count of a window is never too high, however late the recording ran. A token bucket of size
+`burst`, filled at `rate`, admits at most burst + rate x W in every window of length W, the shortest included. The
+largest excess over that is found in a window that begins at the earliest time of one item and ends at the latest time
+of one; all such windows are examined.
+
+The sweep visits end times in order. The row has one slot for each begin time. Its number is the weight of the items
+that began there and have ended by now, less what the rate admits until the next begin time. The excess of the window
+from a begin time to now is the sum of the row from that slot on, and a tree over the row gives the largest such sum.
+The work is O(n log n) in the number of items.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 Done = tuple[int, int, float]
-"""What was done: no earlier than, no later than (both in microseconds), how much of it."""
+"""One item: its earliest time, its latest time (both in microseconds), and its weight."""
 
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """The worst window: how far it is over the allowance (below 0: nowhere over), and where it is."""
+    """The worst window: how far it exceeds the allowance (below 0: no window does), and where it is."""
 
     amount: float
     from_us: int = 0
@@ -28,74 +30,74 @@
 
 
 def largest_excess(done: Sequence[Done], rate: float, burst: float) -> Excess:
-    """The window with the largest excess; `rate` a second. With nothing done, nothing is over: -burst."""
+    """The window with the largest excess; `rate` is per second. Without items the excess is -burst."""
     if not done:
         return Excess(-burst)
-    begins = sorted({one[0] for one in done})
-    places = {at_us: place for place, at_us in enumerate(begins)}
-    row = _Row(len(begins))
-    a_us = rate / 1e6
-    best, until_us, active = -float("inf"), 0, 0
-    for _, end_us, begin_us, weight in sorted((one[1], one[1], one[0], one[2]) for one in done):
-        while active < len(begins) and begins[active] <= end_us:
-            if active:
-                row.add(active - 1, -a_us * (begins[active] - begins[active - 1]))
-            row.open(active)
-            active += 1
-        row.add(places[begin_us], weight)
-        over = row.best() - a_us * (end_us - begins[active - 1]) - burst
-        if over > best:
-            best, until_us = over, end_us
-    return _found(done, begins, rate, burst, until_us)
-
-
-def _found(done: Sequence[Done], begins: list[int], rate: float, burst: float, until_us: int) -> Excess:
-    """The best window that ends at this time."""
-    ended = sorted(((one[0], one[2]) for one in done if one[1] <= until_us), reverse=True)
-    at, counted, worst = 0, 0.0, Excess(-float("inf"))
+    begins = sorted({earliest_us for earliest_us, _, _ in done})
+    slots = {at_us: slot for slot, at_us in enumerate(begins)}
+    row = _SuffixSums(len(begins))
+    rate_per_us = rate / 1e6
+    largest, until_us, open_count = -float("inf"), 0, 0
+    for _, end_us, begin_us, weight in sorted((item[1], item[1], item[0], item[2]) for item in done):
+        while open_count < len(begins) and begins[open_count] <= end_us:
+            if open_count:
+                row.add(open_count - 1, -rate_per_us * (begins[open_count] - begins[open_count - 1]))
+            row.open(open_count)
+            open_count += 1
+        row.add(slots[begin_us], weight)
+        amount = row.largest() - rate_per_us * (end_us - begins[open_count - 1]) - burst
+        if amount > largest:
+            largest, until_us = amount, end_us
+    return _worst_window(done, begins, rate, burst, until_us)
+
+
+def _worst_window(done: Sequence[Done], begins: list[int], rate: float, burst: float, until_us: int) -> Excess:
+    """The worst window that ends at this time."""
+    ended = sorted(((item[0], item[2]) for item in done if item[1] <= until_us), reverse=True)
+    index, counted, worst = 0, 0.0, Excess(-float("inf"))
     for begin_us in reversed(begins):
         if begin_us > until_us:
             continue
-        while at < len(ended) and ended[at][0] >= begin_us:
-            counted += ended[at][1]
-            at += 1
-        over = counted - burst - rate * (until_us - begin_us) / 1e6
-        if over > worst.amount:
-            worst = Excess(over, begin_us, until_us, counted)
+        while index < len(ended) and ended[index][0] >= begin_us:
+            counted += ended[index][1]
+            index += 1
+        amount = counted - burst - rate * (until_us - begin_us) / 1e6
+        if amount > worst.amount:
+            worst = Excess(amount, begin_us, until_us, counted)
     return worst
 
 
-class _Row:
-    """Numbers in a row: change one, ask for the largest sum from any open place to the end."""
+class _SuffixSums:
+    """A row of numbers that can be changed, with the largest sum from any open slot to the end."""
 
     def __init__(self, size: int) -> None:
-        self._half = 1
-        while self._half < size:
-            self._half *= 2
-        self._sums = [0.0] * (2 * self._half)
-        self._bests = [-float("inf")] * (2 * self._half)
-
-    def open(self, place: int) -> None:
-        """A place from which a sum may begin."""
-        at = self._half + place
-        self._bests[at] = self._sums[at]
-        self._raise(at)
-
-    def add(self, place: int, amount: float) -> None:
-        """Change the number of an open place."""
-        at = self._half + place
-        self._sums[at] += amount
-        self._bests[at] = self._sums[at]
-        self._raise(at)
-
-    def best(self) -> float:
+        self._leaf_count = 1
+        while self._leaf_count < size:
+            self._leaf_count *= 2
+        self._sums = [0.0] * (2 * self._leaf_count)
+        self._largest_suffixes = [-float("inf")] * (2 * self._leaf_count)
+
+    def open(self, slot: int) -> None:
+        """Allow sums to begin at a slot."""
+        node = self._leaf_count + slot
+        self._largest_suffixes[node] = self._sums[node]
+        self._update_ancestors(node)
+
+    def add(self, slot: int, amount: float) -> None:
+        """Add to the number of an open slot."""
+        node = self._leaf_count + slot
+        self._sums[node] += amount
+        self._largest_suffixes[node] = self._sums[node]
+        self._update_ancestors(node)
+
+    def largest(self) -> float:
         """The largest sum."""
-        return self._bests[1]
-
-    def _raise(self, at: int) -> None:
-        sums, bests = self._sums, self._bests
-        while at > 1:
-            at //= 2
-            left, right = 2 * at, 2 * at + 1
-            sums[at] = sums[left] + sums[right]
-            bests[at] = max(bests[right], bests[left] + sums[right])
+        return self._largest_suffixes[1]
+
+    def _update_ancestors(self, node: int) -> None:
+        sums, largest = self._sums, self._largest_suffixes
+        while node > 1:
+            node //= 2
+            left, right = 2 * node, 2 * node + 1
+            sums[node] = sums[left] + sums[right]
+            largest[node] = max(largest[right], largest[left] + sums[right])
--- a/oatlink/standins/__init__.py
+++ b/oatlink/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Servers of ours, made from public specifications; never import the core."""
+"""Stand-in database servers, made from public specifications; must not import `oatlink.core`."""
