--- a/oatlink/standins/bank.py
+++ b/oatlink/standins/bank.py
@@ -1,4 +1,4 @@
-"""A bank of stand-ins: one primary, its replicas, and the failover that the servers' own keepers would do."""
+"""A bank of stand-ins: one primary, its replicas, and the failover that the servers' own monitors would do."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 
 class Bank:
-    """Members of one group. `keep` watches the primary; the most advanced replica takes over."""
+    """The members of one group. A monitor watches the primary and has the most advanced replica take over."""
 
     def __init__(
         self,
@@ -22,67 +22,70 @@
         elect_s: tuple[float, float] = (0.2, 0.5),
     ) -> None:
         self.name = name
-        self.boxes = [Box(one, seed=seed, work=work, tap=tap, window_ms=window_ms) for one in members]
+        self.boxes = [Box(member, seed=seed, work=work, tap=tap, window_ms=window_ms) for member in members]
         self.elections = 0
         self._random = random.Random(f"{seed}/{name}")
         self._detect_s, self._elect_s = detect_s, elect_s
-        self._keeper: asyncio.Task[None] | None = None
-        self._busy = False
+        self._monitor_task: asyncio.Task[None] | None = None
+        self._is_handing_over = False
 
     def start(self, ports: list[int] | None = None) -> None:
         """Start all members; the first one is primary."""
-        for at, box in enumerate(self.boxes):
-            if at:
+        for index, box in enumerate(self.boxes):
+            if index:
                 box.primary = self.boxes[0]
-            box.start(ports[at] if ports else 0)
-        self._keeper = asyncio.ensure_future(self._keep())
+            box.start(ports[index] if ports else 0)
+        self._monitor_task = asyncio.ensure_future(self._monitor())
 
     def stop(self) -> None:
         """Stop all members."""
-        if self._keeper is not None:
-            self._keeper.cancel()
+        if self._monitor_task is not None:
+            self._monitor_task.cancel()
         for box in self.boxes:
             box.stop()
 
     @property
     def primary(self) -> Box | None:
-        """The member that takes writes now, if one does."""
-        return next((one for one in self.boxes if one.running and one.is_primary and not one.faults.hang), None)
+        """The member that accepts writes now, if any."""
+        return next((box for box in self.boxes if box.running and box.is_primary and not box.faults.hang), None)
 
     async def wait_until_synced(self, limit_s: float = 5.0) -> None:
-        """Until every replica is linked and has all that the primary has. Raises `TimeoutError`."""
+        """Wait until every replica is linked and has all that the primary has. Raises `TimeoutError`."""
         async with asyncio.timeout(limit_s):
             while True:
                 primary = self.primary
                 if primary is not None and all(
-                    one.link_up and one.offset == primary.offset and one.replid == primary.replid
-                    for one in self.boxes
-                    if one is not primary and one.running
+                    box.link_up and box.offset == primary.offset and box.replid == primary.replid
+                    for box in self.boxes
+                    if box is not primary and box.running
                 ):
                     return
                 await asyncio.sleep(0.01)
 
-    async def _keep(self) -> None:
+    async def _monitor(self) -> None:
         while True:
             await asyncio.sleep(0.02)
-            if self.primary is not None or self._busy:
+            if self.primary is not None or self._is_handing_over:
                 continue
             await asyncio.sleep(self._random.uniform(*self._detect_s))
             if self.primary is not None:
                 continue
-            # The old primary is fenced at this moment: one that only hung refuses writes when it wakes.
-            old = [one for one in self.boxes if one.is_primary]
+            # The old primary is fenced from now on: if it only hung, it refuses writes when it resumes.
+            old = [box for box in self.boxes if box.is_primary]
             await asyncio.sleep(self._random.uniform(*self._elect_s))
             self.elect(old)
 
     def elect(self, old: list[Box]) -> Box | None:
-        """Promote the replica that has most of the current history; all others follow it."""
-        lines = {one.replid for one in old} | {one.replid2 for one in old}
-        ready = [one for one in self.boxes if one.running and not one.faults.hang and one not in old]
-        ready = [one for one in ready if one.replid in lines] or ready
-        if not ready:
+        """Promote the most advanced replica of the current history; all others follow it.
+
+        Where no replica has that history, the most advanced one of all is promoted.
+        """
+        histories = {box.replid for box in old} | {box.replid2 for box in old}
+        candidates = [box for box in self.boxes if box.running and not box.faults.hang and box not in old]
+        candidates = [box for box in candidates if box.replid in histories] or candidates
+        if not candidates:
             return None
-        return self._promote(max(ready, key=lambda one: one.offset))
+        return self._promote(max(candidates, key=lambda box: box.offset))
 
     def _promote(self, chosen: Box) -> Box:
         """Make a replica primary; all others follow it."""
@@ -94,17 +97,20 @@
         return chosen
 
     async def hand_over(self, limit_s: float = 2.0) -> Box | None:
-        """A planned change (FAILOVER): the primary takes no more writes, a replica catches up and takes over."""
+        """A planned failover (FAILOVER): the primary accepts no more writes, a replica catches up and takes over.
+
+        Returns the new primary, or None where no replica could take over.
+        """
         old = self.primary
         if old is None:
             return None
-        self._busy = True
+        self._is_handing_over = True
         try:
-            candidates = [one for one in self.boxes if one is not old and one.running and one.link_up]
+            candidates = [box for box in self.boxes if box is not old and box.running and box.link_up]
             if not candidates:
                 return None
-            chosen = max(candidates, key=lambda one: one.offset)
-            old.primary = chosen  # refuses writes from here on, and still ships what it has
+            chosen = max(candidates, key=lambda box: box.offset)
+            old.primary = chosen  # refuses writes from now on, and still replicates what it has
             async with asyncio.timeout(limit_s):
                 while chosen.offset < old.offset:
                     await asyncio.sleep(0.005)
@@ -112,5 +118,5 @@
             old.primary = None
             return None
         finally:
-            self._busy = False
+            self._is_handing_over = False
         return self._promote(chosen)
