--- a/oatlink/audit/invariants.py
+++ b/oatlink/audit/invariants.py
@@ -125,9 +125,9 @@
     def check(self, final: dict[bytes, list[bytes]]) -> CheckResult:
         """Check all rules. `final`: for each key the tokens in the bank's data at the end, in order."""
         for (place, number), chunks in sorted(self._capture.chunks.items()):
-            client = place.startswith("client")
-            parsed = parse_connection(place, number, chunks, commands_out=client)
-            if client:
+            is_client = place.startswith("client")
+            parsed = parse_connection(place, number, chunks, commands_out=is_client)
+            if is_client:
                 self._check_client(place, number, parsed)
             elif not parsed.is_replication:
                 for call in parsed.calls:
--- a/oatlink/audit/quota.py
+++ b/oatlink/audit/quota.py
@@ -97,14 +97,14 @@
     unknown: int = 0
     excess: Excess = field(default_factory=lambda: Excess(0.0))
     excess_with_overloads: Excess = field(default_factory=lambda: Excess(0.0))
-    used_shares: list[float] = field(default_factory=list)  # one for each span with all links up
-    stranded_floor_shares: list[float] = field(
-        default_factory=list
-    )  # in these spans: floors at gateways without demand
-    used_shares_while_cut: list[float] = field(
-        default_factory=list
-    )  # by the whole fleet, one for each span with a minority cut off
-    floor_shares: list[float] = field(default_factory=list)  # of its part of the floor, one for each cut-off gateway
+    # One for each span with all links up.
+    used_shares: list[float] = field(default_factory=list)
+    # One for each span with all links up: floors at gateways without demand.
+    stranded_floor_shares: list[float] = field(default_factory=list)
+    # One for each span with a minority cut off, by the whole fleet.
+    used_shares_while_cut: list[float] = field(default_factory=list)
+    # One for each cut-off gateway that refused requests, of its part of the floor.
+    floor_shares: list[float] = field(default_factory=list)
     refused_despite_floor: int = 0  # at cut-off gateways
     recovery_s: list[float] = field(default_factory=list)  # one for each heal
 
--- a/oatlink/audit/versions.py
+++ b/oatlink/audit/versions.py
@@ -115,9 +115,9 @@
             self._steps[applied.box].add(applied.at_us, applied.args)
         arrived: list[tuple[int, int, str]] = []
         for (place, number), chunks in sorted(self._capture.chunks.items()):
-            client = place.startswith("client")
-            parsed = parse_connection(place, number, chunks, commands_out=client)
-            if client:
+            is_client = place.startswith("client")
+            parsed = parse_connection(place, number, chunks, commands_out=is_client)
+            if is_client:
                 self._check_client(place, parsed.calls)
             elif not parsed.is_replication:
                 arrived += self._check_box(place, parsed.calls)
@@ -133,10 +133,10 @@
             if call.args[0].upper() not in DATA or call.replied_us < 0:
                 continue
             self.result.asked[group] += 1
-            refused = call.reply[:1] == b"-" and b"nothing was run" in call.reply
-            if group == "none" and (refused or call.reply[:1] != b"-"):
-                self._unpinned.append((call.replied_us, not refused))
-            if refused:
+            is_refused = call.reply[:1] == b"-" and b"nothing was run" in call.reply
+            if group == "none" and (is_refused or call.reply[:1] != b"-"):
+                self._unpinned.append((call.replied_us, not is_refused))
+            if is_refused:
                 self.result.refused[group] += 1
                 if RETRY.search(call.reply) is None:
                     self.result.violations["told"].append(f"{place}: {call.reply[:60]!r}")
--- a/tests/fleet/test_versions_judge.py
+++ b/tests/fleet/test_versions_judge.py
@@ -1,4 +1,4 @@
-"""The layout checker: it passes a change-up change that keeps every rule and finds each way to violate one."""
+"""The layout checker: it passes a made-up change that keeps every rule and finds each way to violate one."""
 
 import asyncio
 from collections.abc import Callable
