--- a/oatlink/lab/days/trouble.py
+++ b/oatlink/lab/days/trouble.py
@@ -86,7 +86,7 @@
             elif step.do in PATHS:
                 self._harm(box, step)
             elif step.do in ("crash", "lose_hall"):
-                self._world.capture.notice(now_us(), box.name, "stopped")
+                self._world.capture.add_event(now_us(), box.name, "stopped")
                 box.stop()
             elif step.do in ("start", "return_hall"):
                 self._start(box)
@@ -110,35 +110,35 @@
             return
         faults = box.paths[step.path]
         if step.do == "silence":
-            faults.silent = not back
+            faults.holds_replies = not back
             if back:
-                box.speak(step.path)
+                box.release_replies(step.path)
         elif step.do == "deafen":
-            faults.deaf = not back
+            faults.reads_nothing = not back
         elif step.do == "lose_answers":
-            faults.loses = not back
-            box.cut(step.path)
+            faults.drops_data_replies = not back
+            box.reset_connections(step.path)
         elif step.do == "slow_path":
-            faults.slow_ms = 0.0 if back else step.value
+            faults.reply_delay_ms = 0.0 if back else step.value
         elif step.do == "reset_requests":
             faults.reset_requests = int(step.value)
         elif step.do == "reset_replies":
             faults.reset_replies = int(step.value)
         elif back and box.running:
-            box.listen(step.path)
+            box.open_listener(step.path)
         elif not back:
-            box.refuse(step.path)
-            box.cut(step.path)
+            box.close_listener(step.path)
+            box.reset_connections(step.path)
 
     def _tell(self, box: Box, state: str) -> None:
         self._world.embedded.states[box.name] = state
         self._world.write_roster()
-        self._world.capture.notice(now_us(), box.name, {"terminating": "draining"}.get(state, state))
+        self._world.capture.add_event(now_us(), box.name, {"terminating": "draining"}.get(state, state))
 
     def _start(self, box: Box) -> None:
         box.faults.die_on_write = False
         if not box.running:
-            self._world.capture.notice(now_us(), box.name, "started")
+            self._world.capture.add_event(now_us(), box.name, "started")
             box.start()
 
     def _undo(self, step: Step, boxes: list[Box]) -> None:
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -16,7 +16,7 @@
 from oatlink.protocols import resp
 from oatlink.router_state import Group, RouterState
 from oatlink.rules import dispatch
-from oatlink.standins.box import Work
+from oatlink.standins.box import WorkProfile
 from tests.gateways import Served, Wire, record_inputs, served
 from tests.scenes import scene
 from tests.test_engine import KEY, PLAIN, SETTINGS, Rig, info, sent
@@ -245,7 +245,7 @@
     assert len(client_numbers) == 4_640 and changes >= 10
 
 
-@scene(served, 1, work=Work(read_us=150_000, cores=256))
+@scene(served, 1, work=WorkProfile(read_us=150_000, cores=256))
 async def test_commands_that_the_stream_read_ahead_are_not_late(harness: Served) -> None:
     late_us: list[int] = []
     before_each_command(harness.gateway, lambda command: late_us.append(max(command.late_us, command.waited_us)))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -100,7 +100,7 @@
         embedded._ports["box-0-0"] = server.sockets[0].getsockname()[1]
         other_bank = embedded.banks[1]
         other_bank.start([embedded._ports[box.name] for box in other_bank.boxes])
-        await other_bank.synced()
+        await other_bank.wait_until_synced()
         gateway, port = start_gateway(
             embedded.settings(0, log_level="error"), connect_timeout_ms=100, probe_timeout_ms=100
         )
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -54,9 +54,9 @@
 async def test_requests_go_over_the_unix_socket_and_past_one_whose_file_is_stale(world: MultiPathWorld) -> None:
     assert await world.client.ask("SET", "k", 1) == resp.Simple(b"OK") and world.connection_kinds() == {"unix"}
     box = world.primary
-    box.refuse("unix")  # the socket's file remains
-    box.cut("unix")
-    assert Path(box.ways["unix"][5:]).exists()
+    box.close_listener("unix")  # the socket's file remains
+    box.reset_connections("unix")
+    assert Path(box.addresses["unix"][5:]).exists()
     for number in range(20):
         answer, took = await world.ask_timed("SET", "k", number)
         assert answer == resp.Simple(b"OK") and took < 1.0
@@ -65,13 +65,13 @@
 
 @pytest.mark.parametrize("path", ["unix", "ipv6"])
 def test_a_path_that_accepts_connections_and_never_answers_delays_no_request(path: str) -> None:
-    def deaf(embedded: Embedded) -> None:
+    def reads_nothing(embedded: Embedded) -> None:
         for box in embedded.boxes.values():
             if path in box.paths:
-                box.paths[path].deaf = True
+                box.paths[path].reads_nothing = True
 
     async def test() -> None:
-        async with open_multi_path(deaf) as world:
+        async with open_multi_path(reads_nothing) as world:
             for number in range(20):
                 answer, took = await world.ask_timed("SET", "k", number)
                 assert answer == resp.Simple(b"OK") and took < 1.0, number
@@ -85,13 +85,13 @@
     box = world.primary
     for number in range(4):
         await world.client.ask("XADD", "nav:1", "IDMP", "p", f"w{number}", "*", "n", number)
-    box.paths["unix"].silent = True
+    box.paths["unix"].holds_replies = True
     before = entry_count(box, "nav:1")
     answer, took = await world.ask_timed("XADD", "nav:1", "IDMP", "p", "k1", "*", "n", 1)
     assert isinstance(answer, bytes) and took < 1.5
     # It ran over the silent path and was repeated over another one: the key made it one entry.
     assert entry_count(box, "nav:1") == before + 1 and box.executed > 0
-    box.speak("unix")
+    box.release_replies("unix")
     await asyncio.sleep(0.05)
     answer, took = await world.ask_timed("XADD", "nav:1", "IDMP", "p", "k2", "*", "n", 2)
     assert isinstance(answer, bytes) and took < 1.5 and entry_count(box, "nav:1") == before + 2
@@ -102,7 +102,7 @@
 async def test_a_write_without_a_key_whose_path_falls_silent_fails_and_ran_at_most_once(world: MultiPathWorld) -> None:
     box = world.primary
     await world.client.ask("RPUSH", "l", "first")
-    box.paths["unix"].silent = True
+    box.paths["unix"].holds_replies = True
     answer, took = await world.ask_timed("RPUSH", "l", "second")
     assert isinstance(answer, resp.Error) and answer.text.startswith(b"ERR failed") and took < 2.5
     assert box.store.data[b"l"] == [b"first", b"second"]
@@ -113,8 +113,8 @@
 @scene(open_multi_path)
 async def test_a_path_that_answers_probes_and_loses_requests_is_left(world: MultiPathWorld) -> None:
     await world.client.ask("SET", "k", 0)
-    world.primary.paths["unix"].loses = True
-    world.primary.cut("unix")
+    world.primary.paths["unix"].drops_data_replies = True
+    world.primary.reset_connections("unix")
     times_s = []
     for _ in range(6):
         answer, took = await world.ask_timed("XREVRANGE", "nav:1", "+", "-", "COUNT", 1)
@@ -130,21 +130,21 @@
     executed_before = box.executed
     for name in ("", "ipv6"):
         if name in box.paths:
-            box.paths[name].deaf = True
+            box.paths[name].reads_nothing = True
     box.paths["unix"].reset_replies = 1
-    box.paths["unix"].deaf = False
+    box.paths["unix"].reads_nothing = False
 
     async def deafen_after_reset() -> None:
         while box.paths["unix"].reset_replies:
             await asyncio.sleep(0.001)
-        box.paths["unix"].deaf = True
+        box.paths["unix"].reads_nothing = True
 
     deafening = asyncio.ensure_future(deafen_after_reset())
     answer, took = await world.ask_timed("XADD", "nav:1", "IDMP", "p", "k1", "*", "n", 1)
     await deafening
     assert isinstance(answer, resp.Error) and 1.0 < took < 4.0
     for name in box.paths:
-        box.paths[name].deaf = False
+        box.paths[name].reads_nothing = False
     await asyncio.sleep(0.5)
     # After its window the key no longer prevents a duplicate, so nothing may be sent after it.
     assert entry_count(box, "nav:1") == 2 and box.executed == executed_before + 1
@@ -154,14 +154,14 @@
 async def test_a_path_that_comes_back_as_the_others_go_is_found_at_once(world: MultiPathWorld) -> None:
     box = world.primary
     await world.client.ask("SET", "k", 0)
-    box.refuse("unix")
-    box.cut("unix")
+    box.close_listener("unix")
+    box.reset_connections("unix")
     assert await world.client.ask("SET", "k", 1) == resp.Simple(b"OK")
     await asyncio.sleep(0.4)
-    box.listen("unix")
+    box.open_listener("unix")
     for name in [name for name in box.paths if name != "unix" and name in box._listeners]:
-        box.refuse(name)
-        box.cut(name)
+        box.close_listener(name)
+        box.reset_connections(name)
     answer, took = await world.ask_timed("SET", "k", 2)
     assert answer == resp.Simple(b"OK") and took < 2.5 and world.connection_kinds() == {"unix"}
 
@@ -173,11 +173,11 @@
     box = world.primary
     await world.client.ask("SET", "k", 0)
     executed_before = box.executed
-    box.paths["unix"].deaf = True  # the socket accepts only what its buffers hold
+    box.paths["unix"].reads_nothing = True  # the socket accepts only what its buffers hold
     await asyncio.sleep(0.05)
     pending = asyncio.ensure_future(world.ask_timed("APPEND", "big", "x" * 8_000_000))
     await asyncio.sleep(0.2)
-    box.cut("unix")
+    box.reset_connections("unix")
     answer, took = await pending
     # It is repeated although it has no key: a box runs complete commands only, and this one never was.
     assert answer == 8_000_000 and took < 2.9 and box.executed == executed_before + 1
@@ -188,14 +188,14 @@
     box = world.primary
     await world.client.ask("SET", "k", 0)
     for name in list(box._listeners):
-        box.refuse(name)
-        box.cut(name)
+        box.close_listener(name)
+        box.reset_connections(name)
     answer, took = await world.ask_timed("SET", "k", 1)
     assert isinstance(answer, resp.Error) and took < 4.0
     assert world.embedded.banks[0].elections == 0 and world.gateway.engine._groups[0].elections == 0
-    for name in ("", *box.ways):
+    for name in ("", *box.addresses):
         if name:
-            box.listen(name)
+            box.open_listener(name)
     deadline_s = time.monotonic() + 8
     while isinstance(answer, resp.Error) and time.monotonic() < deadline_s:
         answer = await world.client.ask("SET", "k", 2)
@@ -228,7 +228,7 @@
     async def test() -> tuple[str, str, str]:
         embedded = Embedded(1, 2, 1, paths=True)
         stop = await embedded.start()
-        embedded.boxes["box-0-0"].refuse("unix")
+        embedded.boxes["box-0-0"].close_listener("unix")
         file = tmp_path / "gate.jsonnet"
         file.write_text(embedded.template(0, more="{ admin_listen: '127.0.0.1:0' }"))
 
