--- a/oatlink/lab/fleetsim/judges.py
+++ b/oatlink/lab/fleetsim/checkers.py
@@ -3,9 +3,9 @@
 from typing import TYPE_CHECKING, Any
 
 from oatlink.fleet.gate import Granted, Seen, Served
-from oatlink.lab.fleetsim.judge_limits import Leases, Limits
-from oatlink.lab.fleetsim.judge_registers import Registers
-from oatlink.lab.fleetsim.judge_verdicts import Verdicts
+from oatlink.lab.fleetsim.limits_checker import Leases, Limits
+from oatlink.lab.fleetsim.registers_checker import Registers
+from oatlink.lab.fleetsim.verdicts_checker import Verdicts
 
 if TYPE_CHECKING:
     from oatlink.lab.fleetsim.process import Process
--- a/oatlink/lab/fleetsim/acts.py
+++ b/oatlink/lab/fleetsim/fault_actions.py
@@ -9,7 +9,7 @@
 from oatlink.fleet.limits.shards import SHARDS
 from oatlink.lab.fleetsim.faults import Fault
 from oatlink.lab.fleetsim.links import EVERYBODY
-from oatlink.lab.fleetsim.sights import ILL
+from oatlink.lab.fleetsim.observations import ILL
 
 if TYPE_CHECKING:
     from oatlink.lab.fleetsim.process import Process
--- a/oatlink/lab/fleetsim/faults.py
+++ b/oatlink/lab/fleetsim/faults.py
@@ -11,7 +11,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, array_like=True):
-    """`at_us` is true time, `us` how long it lasts; `node`, `other`, `size` as the kind has it (`acts`)."""
+    """`at_us` is true time, `us` how long it lasts; `node`, `other`, `size` as the kind has it (`fault_actions`)."""
 
     at_us: int
     kind: str
--- a/oatlink/lab/fleetsim/probes.py
+++ b/oatlink/lab/fleetsim/probes.py
@@ -1,6 +1,6 @@
 """Probes: at each gateway a proposer of its own that reads registers, and changes some of its own.
 
-What may live here: when which probe asks for what. What the answers must be is `judge_registers`'.
+What may live here: when which probe asks for what. What the answers must be is `registers_checker`'.
 """
 
 from random import Random
--- a/oatlink/lab/fleetsim/world.py
+++ b/oatlink/lab/fleetsim/world.py
@@ -12,17 +12,17 @@
 import xxhash
 
 from oatlink.fleet import messages as f
-from oatlink.lab.fleetsim.acts import ACTS
 from oatlink.lab.fleetsim.banks import Banks
+from oatlink.lab.fleetsim.checkers import Judges
 from oatlink.lab.fleetsim.disk import Disk
+from oatlink.lab.fleetsim.fault_actions import ACTS
 from oatlink.lab.fleetsim.faults import Fault
-from oatlink.lab.fleetsim.judges import Judges
 from oatlink.lab.fleetsim.links import Links
 from oatlink.lab.fleetsim.load import Load
+from oatlink.lab.fleetsim.observations import Sights
 from oatlink.lab.fleetsim.probes import Probes
 from oatlink.lab.fleetsim.process import Process
 from oatlink.lab.fleetsim.scenario import Scenario, members_of, settings
-from oatlink.lab.fleetsim.sights import Sights
 from oatlink.lab.fleetsim.time import Clock, Timeline
 from oatlink.lab.fleetsim.violation import Violation
 from oatlink.settings.fleet import Fleet
