--- a/tests/fleet/guards.py
+++ b/tests/fleet/guards.py
@@ -1,4 +1,4 @@
-"""Guards that are taken out one at a time: what is put in a guard's place, and by what that has to be found."""
+"""A registry of mutations: each removes one guard of the code, and has what a test needs to find that."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -6,40 +6,43 @@
 import pytest
 
 Patch = pytest.MonkeyPatch
-Found = TypeVar("Found")
+Evidence = TypeVar("Evidence")
 Function = TypeVar("Function", bound=Callable[..., Any])
 
 
-class Guards(dict[str, tuple[Found, Callable[[Patch], None]]]):
-    """By name: what finds it, and what takes it out."""
+class Guards(dict[str, tuple[Evidence, Callable[[Patch], None]]]):
+    """Mutations by name. Each has the evidence by which a test must find it, and the function that applies it."""
 
-    def put(self, name: str, found: Found, place: object, **values: Any) -> None:
-        """Other values for these attributes of a class or a module."""
+    def put(self, name: str, evidence: Evidence, place: object, **values: Any) -> None:
+        """Add a mutation that gives attributes of a class or a module other values."""
 
-        def take_out(patch: Patch) -> None:
+        def apply(patch: Patch) -> None:
             for attribute, value in values.items():
                 patch.setattr(place, attribute, value)
 
-        self[name] = found, take_out
+        self[name] = evidence, apply
 
-    def found_by(self, found: Found) -> Callable[[Function], Function]:
-        """A function that does the patching."""
+    def found_by(self, evidence: Evidence) -> Callable[[Function], Function]:
+        """Add a mutation that the decorated function applies to a monkeypatch."""
 
-        def note(one: Function) -> Function:
-            self[one.__name__] = found, one
-            return one
+        def register(function: Function) -> Function:
+            self[function.__name__] = evidence, function
+            return function
 
-        return note
+        return register
 
-    def instead_of(self, place: object, attribute: str, found: Found) -> Callable[[Function], Function]:
-        """A function in the place of another: it gets that one, then what that one would have got."""
+    def instead_of(self, place: object, attribute: str, evidence: Evidence) -> Callable[[Function], Function]:
+        """Add a mutation that puts the decorated function in place of another.
 
-        def note(one: Function) -> Function:
-            def take_out(patch: Patch) -> None:
-                honest = getattr(place, attribute)
-                patch.setattr(place, attribute, lambda *given, **named: one(honest, *given, **named))
+        The function gets the original function, followed by the arguments of the call.
+        """
 
-            self[one.__name__] = found, take_out
-            return one
+        def register(function: Function) -> Function:
+            def apply(patch: Patch) -> None:
+                original = getattr(place, attribute)
+                patch.setattr(place, attribute, lambda *args, **kwargs: function(original, *args, **kwargs))
 
-        return note
+            self[function.__name__] = evidence, apply
+            return function
+
+        return register
