--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_mutations.py
@@ -24,8 +24,8 @@
 from oatlink.lab.fleetsim.process import Process
 from tests.fleet.guards import Guards
 
-SABOTAGES = Guards[tuple[str, str, int]]()
-put, instead_of = SABOTAGES.put, SABOTAGES.instead_of
+MUTATIONS = Guards[tuple[str, str, int]]()
+put, instead_of = MUTATIONS.put, MUTATIONS.instead_of
 
 
 # ---- Registers ----
--- a/tests/fleet/test_fleetsim.py
+++ b/tests/fleet/test_fleetsim.py
@@ -10,7 +10,7 @@
 from oatlink.lab.fleetsim.play import Failure, Result, play, replay, shrink
 from oatlink.lab.fleetsim.runner import main
 from oatlink.lab.fleetsim.scenario import scenario_of
-from tests.fleet.fleetsim_sabotage import SABOTAGES
+from tests.fleet.fleetsim_mutations import MUTATIONS
 
 MAX_SEEDS = 20  # within which a mutation must be found
 MAX_LATE_FRACTION = 0.02  # of the evidence that may spread later than its time bound
@@ -70,9 +70,9 @@
 # ---- Mutations ----
 
 
-@pytest.mark.parametrize("name", SABOTAGES)
+@pytest.mark.parametrize("name", MUTATIONS)
 def test_each_mutation_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    (scenario, rule, seed), patch = SABOTAGES[name]
+    (scenario, rule, seed), patch = MUTATIONS[name]
     patch(monkeypatch)
     # The seed showed the mutation when it was added. Changes of a core may move it to a later seed.
     seeds = range(seed, seed + MAX_SEEDS)
@@ -91,7 +91,7 @@
 def test_a_failing_schedule_is_shrunk_and_replayed(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (scenario, rule, seed), patch = SABOTAGES["a_duplicate_process_has_floors"]
+    (scenario, rule, seed), patch = MUTATIONS["a_duplicate_process_has_floors"]
     patch(monkeypatch)
     failure = run_scenario(scenario, seed).failure
     assert failure is not None and len(failure.schedule) > 3
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -15,7 +15,7 @@
 from oatlink.fleet.messages import NEVER_US, Demand, Grant, Grants, Returned, Tell, Tuned, Want
 from oatlink.settings.fleet import Tenant
 from oatlink.settings.parts import Match
-from tests.fleet import fleetsim_sabotage, limits_world
+from tests.fleet import fleetsim_mutations, limits_world
 from tests.fleet.limits_world import DRIFT, RULES, Machine, World, trouble
 
 TERM = home.GRANT_TERM_US
@@ -75,7 +75,7 @@
 
 
 def missing(guard: str) -> Callable[[pytest.MonkeyPatch], None]:
-    return fleetsim_sabotage.SABOTAGES[guard][1]
+    return fleetsim_mutations.MUTATIONS[guard][1]
 
 
 SABOTAGES: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], float, tuple[str, ...]]] = {
