--- a/oatlink/lab/fleetsim/load.py
+++ b/oatlink/lab/fleetsim/load.py
@@ -54,8 +54,9 @@
     def served_shares(self, now_us: int) -> dict[str, float]:
         """The share of its rate that each overloaded tenant was served over the last two whole seconds.
 
-        A tenant is overloaded if clients that retry at once request at least twice its rate. The floors of nodes
-        without clients of the tenant are left out of its rate, because nothing can use them.
+        A tenant is overloaded if clients that retry at once request at least twice its rate; nodes at which they make
+        fewer than 100 requests a second do not count. The floors of nodes without clients of the tenant are left out
+        of its rate, because nothing can use them.
         """
         shares: dict[str, float] = {}
         for tenant in self._world.fleet_of(self._world.names[0]).tenants:
@@ -92,10 +93,8 @@
                 if answer == ADMITTED:
                     self.admitted += 1
                     check_admitted(process, tenant)
-                    by_second, second = (
-                        self._admitted_by_second.setdefault(tenant, {}),
-                        self._world.time.now // 1_000_000,
-                    )
+                    by_second = self._admitted_by_second.setdefault(tenant, {})
+                    second = self._world.time.now // 1_000_000
                     by_second[second] = by_second.get(second, 0) + 1
                 else:
                     self.refused += answer > 0
