--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -111,27 +111,27 @@
         self.timers: list[api.SetTimer] = []
         self.numbers: dict[str, int] = {}
         self.count = 0
-        self.give(api.Start())
+        self.handle(api.Start())
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         """Hand over one event."""
         done = self.router.handle(event, self.now)
         self.timers += [one for one in done if isinstance(one, api.SetTimer)]
         return done
 
     def roster(self, *entries: api.RosterEntry, kind: api.RosterKind = api.RosterKind.WHOLE) -> list[api.Action]:
-        return self.give(api.Roster(kind, entries))
+        return self.handle(api.Roster(kind, entries))
 
     def arrive(self, name: str, group: int = 1, expires: int = 2_000_000, **more: object) -> list[api.Action]:
         self.count += 1
         request = f"r{self.count}"
-        return self.give(api.Arrival(request, name, group, expires, **more))  # type: ignore[arg-type]
+        return self.handle(api.Arrival(request, name, group, expires, **more))  # type: ignore[arg-type]
 
     def checked(self, member: int, role: api.Role, age: int = 0) -> list[api.Action]:
-        return self.give(api.Checked(member, api.Outcome.SERVED, 2_000, api.Report(self.now - age, role)))
+        return self.handle(api.Checked(member, api.Outcome.SERVED, 2_000, api.Report(self.now - age, role)))
 
     def check_failed(self, member: int) -> list[api.Action]:
-        return self.give(api.Checked(member, api.Outcome.LATE, 250_000))
+        return self.handle(api.Checked(member, api.Outcome.LATE, 250_000))
 
     def ended(
         self,
@@ -142,7 +142,7 @@
         over: bool = False,
         answer: api.Report | None = None,
     ) -> list[api.Action]:
-        return self.give(
+        return self.handle(
             api.AttemptEnded(
                 send.request,
                 attempt,
@@ -165,7 +165,7 @@
             timer = min(self.timers, key=lambda one: one.at_us)
             self.timers.remove(timer)
             self.now = max(self.now, timer.at_us)
-            done += self.give(api.TimerFired(timer.name))
+            done += self.handle(api.TimerFired(timer.name))
         self.now = end
         return done
 
@@ -188,14 +188,14 @@
 T = TypeVar("T")
 
 
-def of(kind: type[T], actions: list[api.Action]) -> list[T]:
+def of_type(kind: type[T], actions: list[api.Action]) -> list[T]:
     """The actions of one kind."""
     return [one for one in actions if isinstance(one, kind)]
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
     """The sends among actions."""
-    return of(api.Send, actions)
+    return of_type(api.Send, actions)
 
 
 @pytest.fixture
--- a/tests/fleet/test_rules_of_fleet.py
+++ b/tests/fleet/test_rules_of_fleet.py
@@ -8,7 +8,7 @@
 from oatlink.core.positions import Positions
 from oatlink.interface import Outcome, Role
 from oatlink.rules import cold
-from tests.conftest import Driver, member, of, sends
+from tests.conftest import Driver, member, of_type, sends
 
 
 def doubted(driver: Driver, number: int, at_us: int, until_us: int) -> list[api.Action]:
@@ -28,12 +28,12 @@
 
 def test_a_doubt_asks_the_member_at_once_and_once(driver: Driver) -> None:
     driver.skip(1_000)
-    assert [one.member for one in of(api.Check, doubted(driver, 2, driver.now, 0))] == [2]
-    assert not of(api.Check, doubted(driver, 2, driver.now, 0))
+    assert [one.member for one in of_type(api.Check, doubted(driver, 2, driver.now, 0))] == [2]
+    assert not of_type(api.Check, doubted(driver, 2, driver.now, 0))
 
 
 def test_a_doubt_older_than_what_was_heard_here_asks_nothing(driver: Driver) -> None:
-    assert not of(api.Check, doubted(driver, 2, driver.now - 1, 0))
+    assert not of_type(api.Check, doubted(driver, 2, driver.now - 1, 0))
 
 
 def test_a_doubted_member_comes_later_until_it_answers_or_the_time_is_over(driver: Driver) -> None:
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -8,7 +8,7 @@
 
 from oatlink import interface as api
 from oatlink.interface import Outcome, Role
-from tests.conftest import Driver, of
+from tests.conftest import Driver, of_type
 
 MEMBERS = (1, 2, 3)
 SESSIONS = ("a", "b")
@@ -66,7 +66,7 @@
 
     def leave(self, request: str) -> None:
         """A client leaves; what is not written yet is taken back, as the shells do."""
-        self.take(self.driver.give(api.Departure(request)))
+        self.take(self.driver.handle(api.Departure(request)))
         for attempt in [one for one in self.open if one.send.request == request and not one.is_written]:
             self.end(attempt, Outcome.WITHDRAWN, over=True)
 
@@ -74,13 +74,13 @@
 
     def take(self, actions: list[api.Action], kind: str = "", session: str = "") -> None:
         """Carry out what the router says."""
-        for send in of(api.Send, actions):
+        for send in of_type(api.Send, actions):
             number = self.attempts.get(send.request, 0)
             self.attempts[send.request] = number + 1
             self.sessions.setdefault(send.request, session or self.session_of(send.request))
             self.kinds.setdefault(send.request, kind or self.kind_of(send.request))
             self.open.append(OpenAttempt(send, number))
-        self.checks += [one.member for one in of(api.Check, actions)]
+        self.checks += [one.member for one in of_type(api.Check, actions)]
 
     def session_of(self, request: str) -> str:
         """The session of a request that the router still has."""
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -13,7 +13,7 @@
 from oatlink.platform import requests as req
 from oatlink.platform.statement import StatementError, parse
 from oatlink.rules import Router
-from tests.conftest import POST, SETTINGS, VIEW, Driver, member, of, sends
+from tests.conftest import POST, SETTINGS, VIEW, Driver, member, of_type, sends
 from tests.test_adapter import OPTIONS
 from tests.test_platform_values import READ, WRITE, RecordingOwner, RequestsHarness
 
@@ -57,7 +57,7 @@
 def test_not_for_a_client_that_has_left_or_has_its_answer_nor_past_its_time(driver: Driver) -> None:
     (left,) = sends(driver.arrive("post", expires=3_000_000))
     (late,) = sends(driver.arrive("post", expires=300_000))
-    driver.give(api.Departure(left.request))
+    driver.handle(api.Departure(left.request))
     assert not may_write(driver, left) and may_write(driver, late)
     driver.now += 300_000
     assert not may_write(driver, late)
@@ -75,7 +75,7 @@
     assert may_write(driver, again, attempt=1) == is_in_time
     if not is_in_time:
         done = driver.ended(again, Outcome.WITHDRAWN, attempt=1, duration=0)
-        assert of(api.Fail, done) and not sends(done), "the first may have run: failed, never sent again"
+        assert of_type(api.Fail, done) and not sends(done), "the first may have run: failed, never sent again"
 
 
 def test_a_replica_grows_too_old_for_a_read_while_its_connection_is_dialled(driver: Driver) -> None:
@@ -106,7 +106,7 @@
     (again,) = sends(driver.ended(send, Outcome.WITHDRAWN, duration=0))
     assert again.request == send.request and may_write(driver, again, attempt=1)
     done = driver.ended(again, Outcome.RESET, attempt=1, duration=5_000)
-    assert of(api.Fail, done) and not sends(done)
+    assert of_type(api.Fail, done) and not sends(done)
 
 
 def test_the_check_at_the_write_changes_nothing(driver: Driver) -> None:
--- a/tests/test_random_news.py
+++ b/tests/test_random_news.py
@@ -89,7 +89,7 @@
         if outcome is Outcome.SERVED:
             self.open.pop(request, None)
         self.take(
-            self.driver.give(
+            self.driver.handle(
                 api.AttemptEnded(
                     request, number, target, outcome, max(0, self.driver.now - sent), over, self.report(), self.report()
                 )
@@ -107,7 +107,7 @@
             request = f"r{driver.count}"
             self.open[request], self.tries[request] = (name, group, driver.now + expires), []
             self.take(
-                driver.give(
+                driver.handle(
                     api.Arrival(
                         request,
                         name,
@@ -124,13 +124,13 @@
         elif what < 0.7 and self.checks:
             target = self.checks.pop(draw.randrange(len(self.checks)))
             outcome = draw.choice([Outcome.SERVED, Outcome.SERVED, Outcome.LATE, Outcome.FULL])
-            self.take(driver.give(api.Checked(target, outcome, draw.randrange(300_000), self.report())))
+            self.take(driver.handle(api.Checked(target, outcome, draw.randrange(300_000), self.report())))
         elif what < 0.74:
-            self.take(driver.give(self.list_news()))
+            self.take(driver.handle(self.list_news()))
         elif what < 0.76:
-            self.take(driver.give(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.report())))
-            self.take(driver.give(api.TimerFired("unasked")))
-            self.take(driver.give(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
+            self.take(driver.handle(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.report())))
+            self.take(driver.handle(api.TimerFired("unasked")))
+            self.take(driver.handle(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
         else:
             self.pass_time(draw.choice([0, 5_000, 20_000, 100_000]))
 
@@ -142,7 +142,7 @@
             for timer in [one for one in driver.timers if one.at_us <= driver.now]:
                 driver.timers.remove(timer)
                 self.fired += 1
-                self.take(driver.give(api.TimerFired(timer.name)))
+                self.take(driver.handle(api.TimerFired(timer.name)))
             for request, (_, _, expires) in list(self.open.items()):
                 if driver.now >= expires and any(one[0] == request for one in self.out):
                     for one in [one for one in self.out if one[0] == request]:
@@ -150,7 +150,7 @@
                         target, sent, _ = self.tries[request][one[1]]
                         self.tries[request][one[1]] = (target, sent, Outcome.LATE)
                         self.take(
-                            driver.give(
+                            driver.handle(
                                 api.AttemptEnded(
                                     request, one[1], target, Outcome.LATE, driver.now - sent, request not in self.open
                                 )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from oatlink import interface as api
 from oatlink.interface import Outcome, Role
 from oatlink.rules import Router, sending
-from tests.conftest import POST, SETTINGS, Driver, member, of, sends
+from tests.conftest import POST, SETTINGS, Driver, member, of_type, sends
 
 ROOT = Path(__file__).parents[1]
 
@@ -28,29 +28,29 @@
     driver = Driver()
     assert not sends(driver.arrive("submit", group=9, expires=400_000))
     done = driver.wait(395_000)
-    assert len(of(api.Refuse, done)) + len(of(api.Fail, done)) == 1
+    assert len(of_type(api.Refuse, done)) + len(of_type(api.Fail, done)) == 1
 
 
 def test_deadline_late_needs_a_failure(driver: Driver) -> None:
     send = one(driver.arrive("submit", expires=500_000))
     driver.skip(500_000)
-    assert of(api.Fail, driver.ended(send, Outcome.LATE))
+    assert of_type(api.Fail, driver.ended(send, Outcome.LATE))
 
 
 def test_expiry_counts_and_not_the_class_deadline(driver: Driver) -> None:
-    driver.give(api.AttemptEnded("gone", 0, 1, Outcome.MISS, 0))
+    driver.handle(api.AttemptEnded("gone", 0, 1, Outcome.MISS, 0))
     driver.check_failed(1)
     driver.arrive("post", expires=100_000)
     done = driver.wait(100_000)
-    assert len(of(api.Refuse, done)) + len(of(api.Fail, done)) == 1
+    assert len(of_type(api.Refuse, done)) + len(of_type(api.Fail, done)) == 1
 
 
 def test_ids_no_longer_held_are_passed_over(driver: Driver) -> None:
     send = one(driver.arrive("any"))
-    driver.give(api.Departure(send.request))
+    driver.handle(api.Departure(send.request))
     assert not sends(driver.ended(send, Outcome.RESET))
-    driver.give(api.Departure("never heard of"))
-    driver.give(api.TimerFired("never heard of"))
+    driver.handle(api.Departure("never heard of"))
+    driver.handle(api.TimerFired("never heard of"))
 
 
 # ---- No effect happens twice ----
@@ -60,13 +60,13 @@
 def test_unsafe_that_may_have_run_is_failed(driver: Driver, outcome: Outcome) -> None:
     send = one(driver.arrive("submit"))
     done = driver.ended(send, outcome, answer=api.Report(None, Role.PRIMARY))
-    assert of(api.Fail, done) and not sends(done) and not of(api.Refuse, done)
+    assert of_type(api.Fail, done) and not sends(done) and not of_type(api.Refuse, done)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MISS, Outcome.FULL, Outcome.NO_CONNECTION])
 def test_unsafe_that_never_ran_is_held_and_resent(driver: Driver, outcome: Outcome) -> None:
     send = one(driver.arrive("submit", expires=5_000_000))
-    assert not of(api.Fail, driver.ended(send, outcome))
+    assert not of_type(api.Fail, driver.ended(send, outcome))
     done = driver.wait(300_000) + driver.checked(1, Role.PRIMARY)
     done += driver.checked(2, Role.REPLICA) + driver.wait(600_000)
     assert [two.request for two in sends(done)] == [send.request]
@@ -84,7 +84,7 @@
     send = one(late.arrive("post", expires=3_000_000))
     late.ended(send, Outcome.RESET)
     done = late.wait(POST.repeat_window_us)
-    assert of(api.Fail, done) and not of(api.Refuse, done)
+    assert of_type(api.Fail, done) and not of_type(api.Refuse, done)
     assert not sends(late.checked(1, Role.PRIMARY))
 
 
@@ -121,7 +121,7 @@
     driver = Driver(must_ask_roster=True)
     driver.roster(kind=api.RosterKind.FAILED)
     done = driver.wait(3_000_000)
-    assert of(api.FollowRoster, done)
+    assert of_type(api.FollowRoster, done)
     for _ in range(5):
         driver.roster(kind=api.RosterKind.FAILED)
         done = driver.wait(4_000_000)
@@ -156,7 +156,7 @@
 
 def test_bounded_read_needs_a_reported_position(driver: Driver) -> None:
     driver.skip(600_000)
-    (asked,) = of(api.Check, driver.arrive("view"))
+    (asked,) = of_type(api.Check, driver.arrive("view"))
     assert asked.member in (2, 3)
     assert one(driver.checked(asked.member, Role.REPLICA, age=100_000)).member == asked.member
 
@@ -164,8 +164,8 @@
 def test_two_replicas_are_asked_before_a_read_burdens_the_primary(driver: Driver) -> None:
     """Found at full size: routers with few reads knew no fresh position and left all reads to the primary."""
     driver.skip(600_000)
-    (first,) = of(api.Check, driver.arrive("view"))
-    (second,) = of(api.Check, driver.checked(first.member, Role.REPLICA, age=900_000))
+    (first,) = of_type(api.Check, driver.arrive("view"))
+    (second,) = of_type(api.Check, driver.checked(first.member, Role.REPLICA, age=900_000))
     assert {first.member, second.member} == {2, 3}
     assert one(driver.checked(second.member, Role.REPLICA, age=900_000)).member == 1
 
@@ -173,26 +173,26 @@
 def test_a_busy_replica_is_not_left_the_only_one_known_to_be_fresh(driver: Driver) -> None:
     """Found on sockets: one replica full to its room, the others free, as nobody had asked them for long."""
     driver.skip(600_000)
-    (asked,) = of(api.Check, driver.arrive("view"))
+    (asked,) = of_type(api.Check, driver.arrive("view"))
     (first,) = sends(driver.checked(asked.member, Role.REPLICA))
-    ahead = of(api.Check, driver.arrive("view"))
+    ahead = of_type(api.Check, driver.arrive("view"))
     assert [check.member for check in ahead] == [5 - first.member]
     driver.checked(ahead[0].member, Role.REPLICA)
     assert one(driver.arrive("view")).member == ahead[0].member
-    assert of(api.Check, driver.arrive("view")) == [], "asked again too early"
+    assert of_type(api.Check, driver.arrive("view")) == [], "asked again too early"
 
 
 def test_a_free_replica_is_asked_where_the_fresh_one_has_no_room(driver: Driver) -> None:
     """Else the read waits for the one replica, or burdens the primary."""
     driver.skip(600_000)
-    (asked,) = of(api.Check, driver.arrive("view"))
+    (asked,) = of_type(api.Check, driver.arrive("view"))
     (first,) = sends(driver.checked(asked.member, Role.REPLICA))
-    (behind,) = of(api.Check, driver.arrive("view"))
+    (behind,) = of_type(api.Check, driver.arrive("view"))
     driver.checked(behind.member, Role.REPLICA, age=900_000)
     while sent := sends(driver.arrive("view")):
         assert sent[0].member in (first.member, 1), "the primary takes some, for nobody may be asked yet"
     driver.skip(200_000)
-    assert [check.member for check in of(api.Check, driver.arrive("view"))] == [behind.member]
+    assert [check.member for check in of_type(api.Check, driver.arrive("view"))] == [behind.member]
 
 
 def test_a_reset_of_a_member_heard_of_just_before_costs_a_check_and_no_more(driver: Driver) -> None:
@@ -201,7 +201,7 @@
     driver.ended(second, Outcome.SERVED, answer=api.Report(driver.now, Role.PRIMARY))
     driver.skip(10_000)
     done = driver.ended(first, Outcome.RESET)
-    assert [check.member for check in of(api.Check, done)] == [1] and not of(api.DropIdle, done)
+    assert [check.member for check in of_type(api.Check, done)] == [1] and not of_type(api.DropIdle, done)
     assert not sends(done) and not sends(driver.arrive("submit")), "what comes waits for the check"
     again = sends(driver.checked(1, Role.PRIMARY))
     assert [send.member for send in again] == [1, 1], "its role stands, and the class may repeat"
@@ -214,8 +214,8 @@
 def test_a_second_reset_with_no_word_between_loses_the_member(driver: Driver) -> None:
     first, second = one(driver.arrive("post")), one(driver.arrive("post"))
     driver.skip(10_000)
-    assert not of(api.DropIdle, driver.ended(first, Outcome.RESET))
-    assert [drop.member for drop in of(api.DropIdle, driver.ended(second, Outcome.RESET))] == [1]
+    assert not of_type(api.DropIdle, driver.ended(first, Outcome.RESET))
+    assert [drop.member for drop in of_type(api.DropIdle, driver.ended(second, Outcome.RESET))] == [1]
     assert sends(driver.arrive("post")) == []
 
 
@@ -226,7 +226,7 @@
     driver.check_failed(1)
     assert not sends(driver.arrive("check", expires=400_000))
     start = driver.now
-    while not (refused := of(api.Refuse, driver.wait(5_000))):
+    while not (refused := of_type(api.Refuse, driver.wait(5_000))):
         assert driver.now - start < 200_000
     assert refused[0].retry_after_us > 0
 
@@ -244,7 +244,7 @@
         driver.roster(member(2), member(3))  # the one that worked has left
         start = driver.now
         assert not sends(driver.arrive("view")), "no position is known to be fresh, no primary"
-        while not of(api.Refuse, driver.wait(5_000)):
+        while not of_type(api.Refuse, driver.wait(5_000)):
             assert driver.now - start < 600_000
         return driver.now - start
 
@@ -257,7 +257,7 @@
     for _ in range(20):
         driver.ended(one(driver.arrive("any")), Outcome.SERVED, duration=80_000)
     done = driver.arrive("any", expires=60_000)
-    assert not sends(done) and of(api.Refuse, done)
+    assert not sends(done) and of_type(api.Refuse, done)
     assert sends(driver.arrive("any", expires=400_000))
 
 
@@ -279,7 +279,7 @@
 def test_carried_session_read_needs_its_write(driver: Driver) -> None:
     driver.skip(300_000)
     assert one(driver.arrive("own", since_write_us=400_000)).member in (2, 3)
-    asked = of(api.Check, driver.arrive("own", since_write_us=200_000))
+    asked = of_type(api.Check, driver.arrive("own", since_write_us=200_000))
     done = [action for check in asked for action in driver.checked(check.member, Role.REPLICA, age=250_000)]
     assert all(send.member == 1 for send in sends(done))
 
@@ -299,7 +299,7 @@
     driver = Driver(router_remembers_sessions=True).ready()
     driver.skip(50_000)
     send = one(driver.arrive("submit", session="s"))
-    assert driver.give(api.Departure(send.request)) == []
+    assert driver.handle(api.Departure(send.request)) == []
     assert not driver.router.may_write(send.request, 0, driver.now), "nothing is sent for it any more"
     done = driver.ended(send, outcome, over=True, answer=api.Report(driver.now, Role.PRIMARY))
     assert not any(isinstance(each, api.Send | api.Fail | api.Refuse) for each in done)
@@ -347,7 +347,7 @@
     driver = Driver()
     driver.roster(member(1, primary=True), member(2))
     done = driver.arrive("submit")
-    assert {check.member for check in of(api.Check, done)} == {1, 2}
+    assert {check.member for check in of_type(api.Check, done)} == {1, 2}
     assert not sends(done)
     assert one(driver.checked(1, Role.PRIMARY)).member == 1
 
@@ -401,7 +401,7 @@
     driver.arrive("submit", expires=5_000_000)
     driver.checked(2, Role.REPLICA)
     driver.checked(3, Role.REPLICA)
-    checks = of(api.Check, driver.wait(1_100_000))
+    checks = of_type(api.Check, driver.wait(1_100_000))
     assert api.Check(2) in checks and api.Check(3) in checks
     assert one(driver.checked(3, Role.PRIMARY)).member == 3
 
@@ -443,7 +443,7 @@
     driver = Driver()
     driver.roster(member(1))
     driver.arrive("view")
-    refusals = of(api.Refuse, driver.wait(700_000))
+    refusals = of_type(api.Refuse, driver.wait(700_000))
     assert len(refusals) == 1 and refusals[0].retry_after_us > 0
 
 
@@ -488,7 +488,7 @@
     for number in range(4):
         since = driver.now
         done = driver.ended(send, Outcome.NO_CONNECTION, attempt=number, duration=1_000)
-        assert not of(api.DropIdle, done) and not sends(done)
+        assert not of_type(api.DropIdle, done) and not sends(done)
         driver.checked(1, Role.PRIMARY)
         while not sends(done):
             done = driver.wait(5_000)
@@ -500,7 +500,7 @@
     """Found at full size: worthless requests that get quick errors everywhere went out ten times each."""
     second = one(driver.ended(one(driver.arrive("any")), Outcome.ERROR, duration=500))
     done = driver.ended(second, Outcome.ERROR, attempt=1, duration=500)
-    assert not sends(done) and of(api.Refuse, done)
+    assert not sends(done) and of_type(api.Refuse, done)
 
 
 def test_times_across_the_routers_own_stall_blame_no_member(driver: Driver) -> None:
@@ -522,7 +522,7 @@
     checks = 0
     for _ in range(200):
         driver.arrive("any")
-        for check in of(api.Check, driver.wait(100_000)):
+        for check in of_type(api.Check, driver.wait(100_000)):
             checks += check.member == 2
         if driver.router.state.members[2].check_sent_us is not None or not checks:
             driver.check_failed(2)
@@ -544,7 +544,7 @@
             for send in sends(done):
                 sent += send.member == 2
                 driver.ended(send, Outcome.SERVED, answer=None)
-            sent += 0.1 * sum(check.member == 2 for check in of(api.Check, done))
+            sent += 0.1 * sum(check.member == 2 for check in of_type(api.Check, done))
     # A member of four attempts a core-second, cold to a fifth: 0.2 x 3 x 2 s x 40 a second.
     assert 0 < sent < 48
 
@@ -567,7 +567,7 @@
     refused = 0
     for _ in range(40):
         done = driver.arrive("submit")
-        refused += len(of(api.Refuse, done))
+        refused += len(of_type(api.Refuse, done))
         for send in sends(done):
             driver.wait(600_000)
             driver.ended(send, Outcome.SERVED, duration=600_000, answer=api.Report(None, Role.PRIMARY))
