--- a/oatlink/adapter.py
+++ b/oatlink/adapter.py
@@ -1,6 +1,6 @@
-"""The simulator's wire on standard input and output, for many routers that share nothing.
+"""The simulator's wire protocol on standard input and output, for many independent routers in one process.
 
-Run as `python -m oatlink.adapter`. This file translates and decides nothing.
+Run as `python -m oatlink.adapter`. This module converts messages and makes no routing decisions.
 """
 
 import math
@@ -11,7 +11,7 @@
 from msgspec import field
 
 from oatlink import interface as api
-from oatlink.options import Options, Wire, WireError, to_settings, word
+from oatlink.options import Options, Wire, WireError, to_settings, translate
 from oatlink.rules import Router
 
 OUTCOMES = {
@@ -36,6 +36,8 @@
 
 
 class Line(Wire):
+    """A member in a roster list."""
+
     server: int
     group: int
     locality: str = ""
@@ -46,27 +48,35 @@
 
 
 class Roster(Wire, tag_field="event_type", tag="Roster"):
+    """A roster list, stored under a number (`bank`) that later `Membership` events refer to."""
+
     bank: int
     lines: list[Line]
 
 
 class Addressed(Wire, tag_field="event_type"):
-    """Base of the events that name an instance."""
+    """Base of the events for one instance."""
 
     gateway_id: str
 
 
 class Boot(Addressed, tag="Boot"):
+    """An instance starts; one of the same name is replaced."""
+
     nonce64: int
     options: Options
 
 
 class Membership(Addressed, tag="Membership"):
+    """The instance's discovery returned a roster list or failed."""
+
     mode: str
     bank: int = 0
 
 
 class JobIn(Addressed, tag="JobIn"):
+    """A request arrives."""
+
     rid: str
     qos: str
     shard: int
@@ -77,10 +87,14 @@
 
 
 class Aborted(Addressed, tag="Aborted"):
+    """The client has abandoned its request."""
+
     rid: str
 
 
 class AttemptEnd(Addressed, tag="AttemptEnd"):
+    """An attempt of a request has ended."""
+
     rid: str
     hop: int
     server: int
@@ -92,6 +106,8 @@
 
 
 class Sampled(Addressed, tag="Sampled"):
+    """A health check has ended."""
+
     server: int
     ending: str
     duration_us: int = 0
@@ -99,55 +115,61 @@
 
 
 class Fired(Addressed, tag="Fired"):
+    """A timer is due."""
+
     cookie: str
 
 
 class Halt(Addressed, tag="Halt"):
-    """The instance dies."""
+    """The instance stops; its state is discarded."""
 
 
 class Mail(Addressed, tag="Mail"):
-    """A word from a peer; this project takes none."""
+    """A message from a peer; ignored, since routers here do not exchange messages."""
 
 
 class Established(Addressed, tag="Established"):
-    """A stream has started; this project's classes do not stream."""
+    """A stream has started; ignored, since no request class here streams."""
 
 
 WireEvent = Roster | Boot | Membership | JobIn | Aborted | AttemptEnd | Sampled | Fired | Halt | Mail | Established
 
 
 class Batch(msgspec.Struct):
+    """One line of input: events that happen at the same time."""
+
     events: list[WireEvent]
     now_us: int = field(name="NowUs")
 
 
 class Instance:
-    """One router and what its wire needs remembered: units and attempts' base time."""
+    """One router and the base time to which positions on its wire are relative."""
 
     def __init__(self, boot: Boot) -> None:
         self.router = Router(to_settings(boot.options, boot.nonce64))
         self.base_us = boot.options.family_info.base_time_us
 
-    def note(self, pos_role: int) -> api.Report | None:
-        """An answer's note: milliseconds x 4 + role."""
+    def decode_answer_note(self, pos_role: int) -> api.Report | None:
+        """Decode the note on an answer: position in milliseconds * 4 + role, 0 if there is none."""
         if pos_role == 0:
             return None
-        position, role = divmod(pos_role, 4)
-        return api.Report(self.base_us + position * 1000 if position else None, NOTE_ROLES.get(role, api.Role.UNKNOWN))
+        position_ms, role = divmod(pos_role, 4)
+        return api.Report(
+            self.base_us + position_ms * 1000 if position_ms else None, NOTE_ROLES.get(role, api.Role.UNKNOWN)
+        )
 
-    def report(self, metrics: dict[str, float] | None) -> api.Report | None:
-        """A load report: x0 in seconds, x1 the role."""
+    def decode_load_report(self, metrics: dict[str, float] | None) -> api.Report | None:
+        """Decode a load report: `x0` is the position in seconds, `x1` the role (1 at a primary)."""
         if not metrics:
             return None
-        seconds, primary = metrics.get("x0"), metrics.get("x1")
+        position_s, primary_value = metrics.get("x0"), metrics.get("x1")
         role = api.Role.UNKNOWN
-        if primary is not None:
-            role = api.Role.PRIMARY if primary >= 0.5 else api.Role.REPLICA
-        return api.Report(None if seconds is None else self.base_us + math.floor(seconds * 1e6), role)
+        if primary_value is not None:
+            role = api.Role.PRIMARY if primary_value >= 0.5 else api.Role.REPLICA
+        return api.Report(None if position_s is None else self.base_us + math.floor(position_s * 1e6), role)
 
     def to_event(self, event: WireEvent, lists: dict[int, tuple[api.RosterEntry, ...]]) -> api.Event | None:
-        """The router's event for one of the wire's."""
+        """Convert a wire event to the router's; None if the router has no use for it."""
         match event:
             case JobIn():
                 return api.Arrival(
@@ -164,25 +186,25 @@
                     request=event.rid,
                     attempt=event.hop,
                     member=event.server,
-                    outcome=word(OUTCOMES, event.ending, "outcome"),
+                    outcome=translate(OUTCOMES, event.ending, "outcome"),
                     duration_us=event.duration_us,
                     over=event.over,
-                    answer=self.note(event.pos_role),
-                    report=self.report(event.metrics),
+                    answer=self.decode_answer_note(event.pos_role),
+                    report=self.decode_load_report(event.metrics),
                 )
             case Fired():
                 return api.TimerFired(event.cookie)
             case Sampled():
                 return api.Checked(
                     event.server,
-                    word(OUTCOMES, event.ending, "outcome"),
+                    translate(OUTCOMES, event.ending, "outcome"),
                     event.duration_us,
-                    self.report(event.metrics),
+                    self.decode_load_report(event.metrics),
                 )
             case Aborted():
                 return api.Departure(event.rid)
             case Membership():
-                kind = word(ROSTERS, event.mode, "membership mode")
+                kind = translate(ROSTERS, event.mode, "membership mode")
                 if kind is api.RosterKind.FAILED:
                     return api.Roster(kind)
                 if event.bank not in lists:
@@ -192,7 +214,7 @@
 
 
 def to_wire(action: api.Action, gateway: str) -> dict[str, object]:
-    """The wire's action for one of the router's."""
+    """Convert one of the router's actions to the wire."""
     match action:
         case api.Send():
             return {
@@ -237,15 +259,15 @@
 
 
 class Adapter:
-    """Feeds batches to the instances and gathers their actions."""
+    """Passes batches of events to the instances and collects their actions."""
 
     def __init__(self) -> None:
         self._decoder = msgspec.json.Decoder(Batch)
         self._instances: dict[str, Instance] = {}
         self._lists: dict[int, tuple[api.RosterEntry, ...]] = {}
 
-    def _one(self, event: WireEvent, now_us: int) -> list[dict[str, object]]:
-        """Handle one event."""
+    def _handle(self, event: WireEvent, now_us: int) -> list[dict[str, object]]:
+        """Handle one event and return the resulting actions."""
         if isinstance(event, Roster):
             self._lists[event.bank] = tuple(
                 api.RosterEntry(
@@ -253,7 +275,7 @@
                     group=line.group,
                     zone=line.locality,
                     kind=line.sku,
-                    listing=word(LISTINGS, line.health, "health"),
+                    listing=translate(LISTINGS, line.health, "health"),
                     primary=line.is_primary >= 0.5,
                     started_us=line.came_up_us,
                 )
@@ -263,36 +285,36 @@
         gateway = event.gateway_id
         if isinstance(event, Boot):
             self._instances[gateway] = Instance(event)
-            started: api.Event | None = api.Start()
+            router_event: api.Event | None = api.Start()
         else:
             if gateway not in self._instances:
                 raise WireError(f"unknown instance {gateway!r}")
             if isinstance(event, Halt):
                 del self._instances[gateway]
                 return []
-            started = self._instances[gateway].to_event(event, self._lists)
-        if started is None:
+            router_event = self._instances[gateway].to_event(event, self._lists)
+        if router_event is None:
             return []
         try:
-            actions = self._instances[gateway].router.handle(started, now_us)
-        except Exception as error:  # a fault of the rules is told on the wire, never hidden
+            actions = self._instances[gateway].router.handle(router_event, now_us)
+        except Exception as error:  # a fault in the routing rules is reported on the wire rather than hidden
             text = f"{type(error).__name__}: {error}"
             print(f"oatlink: {text}", file=sys.stderr)
             return [{"event_type": "InternalError", "GatewayId": gateway, "ReasonText": text}]
         return [to_wire(action, gateway) for action in actions]
 
     def reply(self, line: bytes) -> bytes:
-        """Answer one batch."""
+        """Handle one batch and return the reply line's content."""
         try:
             batch = self._decoder.decode(line)
         except msgspec.DecodeError as error:
             raise WireError(str(error)) from error
-        done = [action for event in batch.events for action in self._one(event, batch.now_us)]
-        return msgspec.json.encode({"do": done})
+        actions = [action for event in batch.events for action in self._handle(event, batch.now_us)]
+        return msgspec.json.encode({"do": actions})
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to each batch until the input ends."""
     adapter = Adapter()
     for line in source:
         if line.strip():
@@ -301,7 +323,7 @@
 
 
 def main() -> int:
-    """Run the adapter; malformed input ends it with one plain line."""
+    """Run the adapter. Malformed input ends it with one line on standard error and status 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
