--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small driver for the rules: settings, events and a clock, and nothing of the bench."""
+"""Shared fixtures, and a driver that runs one router of the rules with a clock that the test controls."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -12,12 +12,12 @@
 from oatlink.rules import Router
 from tests import known_red
 
-# The same examples at every run, and no verdict that depends on the machine's speed.
+# Every run draws the same examples, and no result depends on the machine's speed.
 hypothesis.settings.register_profile("steady", deadline=None, derandomize=True)
 hypothesis.settings.load_profile("steady")
 
-# Tests that play processes and sockets against the clock: one after the other, beside what only computes.
-PROCESSES = frozenset(
+# Tests that run processes and sockets in real time: one after the other, in parallel with tests that only compute.
+PROCESS_TEST_MODULES = frozenset(
     f"tests.{name}"
     for name in (
         "test_day",
@@ -37,17 +37,19 @@
     )
 )
 
-
-FLEETS = frozenset(f"tests.fleet.{name}" for name in ("test_days", "test_life", "test_life_guards", "test_transport"))
+# Tests that run whole fleets of gateways: also one after the other.
+FLEET_TEST_MODULES = frozenset(
+    f"tests.fleet.{name}" for name in ("test_days", "test_life", "test_life_guards", "test_transport")
+)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read which tests are known to fail."""
+    """Read the list of tests that are known to fail."""
     known_red.load_list(config)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the tests known to fail."""
+    """Print the tests that are known to fail."""
     known_red.print_known_failures(config, terminalreporter)
 
 
@@ -59,11 +61,11 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Keep what must not run beside its like in one worker, and a module's other tests together."""
+    """Assign tests to workers: one for process tests, one for fleet tests, and one for each other module."""
     known_red.mark_expected_failures(config, items)
     for item in items:
         name = item.nodeid.partition(".py")[0].replace("/", ".")
-        group = "processes" if name in PROCESSES else "fleets" if name in FLEETS else name
+        group = "processes" if name in PROCESS_TEST_MODULES else "fleets" if name in FLEET_TEST_MODULES else name
         item.add_marker(pytest.mark.xdist_group(group))
 
 
@@ -93,17 +95,17 @@
 
 @pytest.fixture(scope="session")
 def day_of_trouble(tmp_path_factory: pytest.TempPathFactory) -> tuple[Report, list[Path]]:
-    """One day of trouble by real gateways, played once: its verdict and each gateway's recording.
+    """Run the scenario "trouble" once with real gateways; return its report and each gateway's recording.
 
-    Operators ask both gateways what they believe all the while.
+    During the run, operators' commands continuously query the state of both gateways.
     """
-    place = tmp_path_factory.mktemp("trouble") / "day"
-    report = play(SCENARIOS["trouble"], seed=5, seconds=12, record_to=str(place), ask_every_s=0.02)
-    return report, [place.with_name(f"day.{number}") for number in range(2)]
+    path = tmp_path_factory.mktemp("trouble") / "day"
+    report = play(SCENARIOS["trouble"], seed=5, seconds=12, record_to=str(path), ask_every_s=0.02)
+    return report, [path.with_name(f"day.{number}") for number in range(2)]
 
 
 class Driver:
-    """One router with a clock that tests move by hand."""
+    """Runs one router with a clock that the test moves."""
 
     def __init__(self, **changes: object) -> None:
         self.router = Router(replace(SETTINGS, **changes))  # type: ignore[arg-type]
@@ -114,23 +116,27 @@
         self.handle(api.Start())
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Hand over one event."""
-        done = self.router.handle(event, self.now)
-        self.timers += [one for one in done if isinstance(one, api.SetTimer)]
-        return done
+        """Pass one event to the router, remember the timers that it sets, and return its actions."""
+        actions = self.router.handle(event, self.now)
+        self.timers += of_type(api.SetTimer, actions)
+        return actions
 
     def roster(self, *entries: api.RosterEntry, kind: api.RosterKind = api.RosterKind.WHOLE) -> list[api.Action]:
+        """Deliver a roster."""
         return self.handle(api.Roster(kind, entries))
 
     def arrive(self, name: str, group: int = 1, expires: int = 2_000_000, **more: object) -> list[api.Action]:
+        """Deliver a new request of the class `name`; requests are called "r1", "r2" and so on."""
         self.count += 1
         request = f"r{self.count}"
         return self.handle(api.Arrival(request, name, group, expires, **more))  # type: ignore[arg-type]
 
     def checked(self, member: int, role: api.Role, age: int = 0) -> list[api.Action]:
+        """Deliver a successful health check with the member's role and how far its position is behind."""
         return self.handle(api.Checked(member, api.Outcome.SERVED, 2_000, api.Report(self.now - age, role)))
 
     def check_failed(self, member: int) -> list[api.Action]:
+        """Deliver a health check that timed out."""
         return self.handle(api.Checked(member, api.Outcome.LATE, 250_000))
 
     def ended(
@@ -142,6 +148,7 @@
         over: bool = False,
         answer: api.Report | None = None,
     ) -> list[api.Action]:
+        """Deliver the end of an attempt."""
         return self.handle(
             api.AttemptEnded(
                 send.request,
@@ -155,22 +162,23 @@
         )
 
     def skip(self, us: int) -> None:
-        """Let time pass with all that comes due; what is done meanwhile does not matter to the test."""
+        """Advance the clock as `wait` does, and discard the actions."""
         self.wait(us)
 
     def wait(self, us: int) -> list[api.Action]:
-        """Let time pass; timers fire as they come due."""
-        end, done = self.now + us, []
-        while self.timers and min(one.at_us for one in self.timers) <= end:
-            timer = min(self.timers, key=lambda one: one.at_us)
+        """Advance the clock, firing timers as they come due, and return the actions."""
+        end = self.now + us
+        actions: list[api.Action] = []
+        while self.timers and min(timer.at_us for timer in self.timers) <= end:
+            timer = min(self.timers, key=lambda timer: timer.at_us)
             self.timers.remove(timer)
             self.now = max(self.now, timer.at_us)
-            done += self.handle(api.TimerFired(timer.name))
+            actions += self.handle(api.TimerFired(timer.name))
         self.now = end
-        return done
+        return actions
 
     def ready(self) -> "Driver":
-        """A group with the primary 1 and the replicas 2 and 3, all heard."""
+        """Set up a group with the primary 1 and the replicas 2 and 3, each of which has answered a check."""
         self.roster(member(1), member(2), member(3))
         self.arrive("any")
         for number, role in ((2, api.Role.REPLICA), (3, api.Role.REPLICA), (1, api.Role.PRIMARY)):
@@ -180,7 +188,7 @@
 
 
 def member(number: int, group: int = 1, **more: object) -> api.RosterEntry:
-    """A line of a list."""
+    """A roster entry for a member."""
     values: dict[str, object] = {"zone": "a", "kind": "k"} | more
     return api.RosterEntry(number, group, **values)  # type: ignore[arg-type]
 
@@ -188,17 +196,23 @@
 T = TypeVar("T")
 
 
-def of_type(kind: type[T], actions: list[api.Action]) -> list[T]:
-    """The actions of one kind."""
-    return [one for one in actions if isinstance(one, kind)]
+def of_type(action_type: type[T], actions: list[api.Action]) -> list[T]:
+    """The actions of one type."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """The sends among actions."""
+    """The sends among the actions."""
     return of_type(api.Send, actions)
 
 
+def only_send(actions: list[api.Action]) -> api.Send:
+    """The send among the actions; fails the test unless there is exactly one."""
+    (send,) = sends(actions)
+    return send
+
+
 @pytest.fixture
 def driver() -> Driver:
-    """A driver whose group is known."""
+    """A driver whose router knows the group and the role of each member."""
     return Driver().ready()
