--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -7,7 +7,7 @@
 
 from oatlink.lab.day import SCENARIOS, Report, Scenario, Step, play
 
-SABOTAGE = str(Path(__file__).with_name("sabotage.py"))
+SABOTAGE = str(Path(__file__).with_name("mutations.py"))
 
 
 def test_a_day_of_trouble_keeps_every_rule(day_of_trouble: tuple[Report, list[Path]]) -> None:
