--- a/tests/test_holds.py
+++ b/tests/test_pending.py
@@ -1,4 +1,7 @@
-"""What is held: the structure against a list, and the Router's pump against the plain one that tries every hold."""
+"""Compares the pending requests with simple models: the queue with a list, and dispatch with one that tries everything.
+
+The code of the two tests with `@given` determines the examples that hypothesis draws for them.
+"""
 
 import random
 from copy import deepcopy
@@ -14,13 +17,14 @@
 from oatlink.router_state import RouterState
 from oatlink.rules import Router, concurrency, dispatch, queueing, sending
 from oatlink.state import Group, Member, Request
-from tests.conftest import ANY, CHECK, OWN, POST, SETTINGS, START_US, SUBMIT, VIEW, Driver, member, sends
+from tests.conftest import ANY, CHECK, OWN, POST, SETTINGS, START_US, SUBMIT, VIEW, Driver, member, of_type, sends
 
 
 def request(number: int, arrived: int = 0) -> Request:
     return Request(f"r{number}", VIEW, 1, arrived, arrived + 1_000, None, None, 1.0, number)
 
 
+# A queue finds the same oldest and newest request for each position as a search through all of its requests.
 @given(st.lists(st.tuples(st.sampled_from("pda"), st.integers(0, 400), st.integers(-5, 5)), max_size=80))
 def test_a_row_finds_what_going_through_it_would(steps: list[tuple[str, int, int]]) -> None:
     row, model = PendingQueue(), dict[int, int]()
@@ -40,6 +44,7 @@
             assert (newest.arrival_number if newest else None) == most
 
 
+# The requests that are given up at each time are those that a check of every request yields.
 @given(
     st.lists(st.tuples(st.integers(0, 50), st.integers(0, 60), st.integers(0, 100), st.integers(0, 99)), max_size=40),
     st.lists(st.tuples(st.integers(0, 20), st.integers(0, 60)), max_size=20),
@@ -65,85 +70,84 @@
     assert len(holds) == len(model)
 
 
-def plain_pump(book: RouterState, group: Group) -> None:
-    """The model: every held request is tried, the most urgent first.
+def dispatch_each(state: RouterState, group: Group) -> None:
+    """The model of dispatch: tries every pending request, the most urgent first.
 
-    But a current read that finds no member keeps the later ones of its class back, as it always has: where members
-    check reads themselves, a later one could still be sent to a member that will turn it away.
+    A latest read that finds no member blocks the later ones of its kind: if members check reads themselves, a later one
+    could otherwise be sent to a member that will reject it.
     """
-    kept_back = set()
-    held = [one for one, _ in book.pending[group.id].entries.values()]
-    if any(concurrency.has_capacity(book, one, 1.0) for one in group.members.values()):
-        for one in sorted(
-            held, key=lambda one: (queueing.urgency(book, one), queueing.queue_key(book, one), one.arrival_number)
-        ):
-            found = book.choose_member(book, one) if queueing.queue_key(book, one) not in kept_back else None
-            if found is not None:
-                sending.send(book, one, found)
-            elif one.request_class.freshness is api.Freshness.LATEST:
-                kept_back.add(queueing.queue_key(book, one))
-
-
-class Compared:
-    """Checks each pump against the plain one, on a copy of the book."""
-
-    pumps = sent = most = 0
+    blocked_keys = set()
+    pending = [request for request, _ in state.pending[group.id].entries.values()]
+    if any(concurrency.has_capacity(state, member, 1.0) for member in group.members.values()):
+        pending.sort(
+            key=lambda each: (queueing.urgency(state, each), queueing.queue_key(state, each), each.arrival_number)
+        )
+        for request in pending:
+            key = queueing.queue_key(state, request)
+            member = state.choose_member(state, request) if key not in blocked_keys else None
+            if member is not None:
+                sending.send(state, request, member)
+            elif request.request_class.freshness is api.Freshness.LATEST:
+                blocked_keys.add(queueing.queue_key(state, request))
+
+
+class ComparedDispatch:
+    """Compares each dispatch with the model, which runs on a copy of the router's state."""
+
+    dispatches_count = sends_count = max_pending_count = 0
 
     def __init__(self) -> None:
-        self.whole = dispatch.dispatch_pending
+        self.original = dispatch.dispatch_pending
 
-    def pump(self, book: RouterState, group: Group) -> None:
-        if book.more_follow:
-            return self.whole(book, group)
-        model = deepcopy(book)
+    def dispatch(self, state: RouterState, group: Group) -> None:
+        if state.more_follow:
+            return self.original(state, group)
+        model = deepcopy(state)
         model.actions = []
-        plain_pump(model, model.groups[group.id])
-        before = len(book.actions)
-        held = len(book.pending[group.id])
-        self.whole(book, group)
-        mine = sends(book.actions[before:])
-        assert mine == sends(model.actions)
-        checks = [
-            [one for one in done if isinstance(one, api.Check)] for done in (book.actions[before:], model.actions)
-        ]
-        assert bool(checks[0]) == bool(checks[1])
-        self.pumps += 1
-        self.sent += len(mine)
-        self.most = max(self.most, held)
+        dispatch_each(model, model.groups[group.id])
+        earlier_count = len(state.actions)
+        pending_count = len(state.pending[group.id])
+        self.original(state, group)
+        actions = state.actions[earlier_count:]
+        assert sends(actions) == sends(model.actions)
+        assert bool(of_type(api.Check, actions)) == bool(of_type(api.Check, model.actions))
+        self.dispatches_count += 1
+        self.sends_count += len(sends(actions))
+        self.max_pending_count = max(self.max_pending_count, pending_count)
 
 
 CLASSES = (VIEW, CHECK, OWN, ANY, POST, SUBMIT, replace(VIEW, name="loose", staleness_us=1_500_000, worth=1.0))
 
 
 def play(seed: int, steps: int, **changes: object) -> None:
-    """Random news for a group of four, many requests in flight, sessions that write and read."""
+    """Run random events for a group of four members, with many open requests and sessions that write and read."""
     rng = random.Random(seed)
     settings = replace(SETTINGS, classes=CLASSES, router_remembers_sessions=True, peers=1, **changes)  # type: ignore[arg-type]
     driver = Driver()
     driver.router = Router(settings)
     driver.roster(*[member(number) for number in (1, 2, 3, 4)])
     primary, lags = 1, {1: 0, 2: 0, 3: 0, 4: 0}
-    out: list[tuple[api.Send, int]] = []
-    tries: dict[str, int] = {}
+    open_sends: list[tuple[api.Send, int]] = []
+    attempts: dict[str, int] = {}
 
-    def take(done: list[api.Action]) -> None:
-        for one in done:
-            if isinstance(one, api.Send):
-                out.append((one, tries.get(one.request, 0)))
-                tries[one.request] = tries.get(one.request, 0) + 1
-            elif isinstance(one, api.Check) and rng.random() < 0.8:
-                checks.append(one.member)
+    def carry_out(actions: list[api.Action]) -> None:
+        for action in actions:
+            if isinstance(action, api.Send):
+                open_sends.append((action, attempts.get(action.request, 0)))
+                attempts[action.request] = attempts.get(action.request, 0) + 1
+            elif isinstance(action, api.Check) and rng.random() < 0.8:
+                checks.append(action.member)
 
     checks: list[int] = []
     for _ in range(steps):
-        what = rng.random()
-        if what < 0.5:
+        choice = rng.random()
+        if choice < 0.5:
             for _ in range(rng.choice((1, 1, 8))):
                 name = rng.choice(CLASSES).name
                 session = f"s{rng.randrange(6)}" if rng.random() < 0.8 else None
-                take(driver.arrive(name, expires=rng.choice((400_000, 1_500_000)), session=session))
-        elif what < 0.8 and out:
-            send, attempt = out.pop(rng.randrange(len(out)))
+                carry_out(driver.arrive(name, expires=rng.choice((400_000, 1_500_000)), session=session))
+        elif choice < 0.8 and open_sends:
+            send, attempt = open_sends.pop(rng.randrange(len(open_sends)))
             outcome = rng.choices(
                 (Outcome.SERVED, Outcome.RESET, Outcome.ERROR, Outcome.FULL, Outcome.LATE), (20, 1, 1, 1, 1)
             )[0]
@@ -151,7 +155,7 @@
             if outcome is Outcome.SERVED:
                 role = Role.PRIMARY if send.member == primary else Role.REPLICA
                 report = api.Report(driver.now - lags[send.member], role)
-            more = rng.random() < 0.5
+            more_follow = rng.random() < 0.5
             ended = api.AttemptEnded(
                 send.request,
                 attempt,
@@ -161,33 +165,35 @@
                 outcome is Outcome.SERVED,
                 report,
             )
-            take(driver.router.handle(ended, driver.now, more))
-        elif what < 0.9 and checks:
+            carry_out(driver.router.handle(ended, driver.now, more_follow))
+        elif choice < 0.9 and checks:
             number = checks.pop(rng.randrange(len(checks)))
             role = Role.PRIMARY if number == primary else Role.REPLICA
-            take(driver.checked(number, role, lags[number]) if rng.random() < 0.9 else driver.check_failed(number))
-        elif what < 0.93:
-            lags[rng.choice([one for one in lags if one != primary])] = rng.choice((0, 50_000, 400_000, 900_000))
-        elif what < 0.94:
+            carry_out(driver.checked(number, role, lags[number]) if rng.random() < 0.9 else driver.check_failed(number))
+        elif choice < 0.93:
+            lags[rng.choice([number for number in lags if number != primary])] = rng.choice(
+                (0, 50_000, 400_000, 900_000)
+            )
+        elif choice < 0.94:
             primary = rng.choice((1, 2, 3, 4))
             lags[primary] = 0
         else:
-            take(driver.wait(rng.choice((1_000, 20_000, 150_000))))
+            carry_out(driver.wait(rng.choice((1_000, 20_000, 150_000))))
     assert driver.now >= START_US
 
 
-def test_the_indexed_pump_sends_what_the_plain_one_sends_in_the_same_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    compared = Compared()
-    monkeypatch.setattr(dispatch, "dispatch_pending", compared.pump)
+def test_dispatch_sends_the_same_requests_in_the_same_order_as_the_model(monkeypatch: pytest.MonkeyPatch) -> None:
+    compared = ComparedDispatch()
+    monkeypatch.setattr(dispatch, "dispatch_pending", compared.dispatch)
     for seed in range(4):
         play(seed, 160)
         play(seed, 160, members_check_reads=True)
         play(seed, 120, may_probe=False)
-    assert compared.pumps > 500 and compared.sent > 300 and compared.most > 40
+    assert compared.dispatches_count > 500 and compared.sends_count > 300 and compared.max_pending_count > 40
 
 
-def test_a_thousand_held_session_reads_cost_a_pump_few_choices(monkeypatch: object) -> None:
-    """The failure: each answer tried every held read of a session, 8 ms at 300 held."""
+def test_a_dispatch_with_a_thousand_pending_session_reads_tries_few_of_them(monkeypatch: object) -> None:
+    """Each answer tried every pending read of a session, which took 8 ms for 300 pending reads."""
     driver = Driver(router_remembers_sessions=True).ready()
     driver.router.state.groups[1].members[1].concurrency_limit = 1.0
     for number in range(1_000):
@@ -195,15 +201,15 @@
         driver.router.state.record_session_write(session, driver.now + 1)  # no replica has it yet
         driver.arrive("own", session=session)
     assert len(driver.router.state.pending[1]) > 900
-    tried = 0
-    book = driver.router.state
-    choose = book.choose_member
-
-    def counted(book: RouterState, one: Request) -> Member | None:
-        nonlocal tried
-        tried += 1
-        return choose(book, one)
-
-    book.choose_member = counted
-    dispatch.dispatch_pending(book, book.groups[1])
-    assert tried < 10
+    tried_count = 0
+    state = driver.router.state
+    original = state.choose_member
+
+    def counting_choose_member(state: RouterState, request: Request) -> Member | None:
+        nonlocal tried_count
+        tried_count += 1
+        return original(state, request)
+
+    state.choose_member = counting_choose_member
+    dispatch.dispatch_pending(state, state.groups[1])
+    assert tried_count < 10
