--- a/tests/fleet/test_rules_of_fleet.py
+++ b/tests/fleet/test_rules_of_fleet.py
@@ -12,7 +12,7 @@
 from oatlink.core.positions import Positions
 from oatlink.interface import Outcome, Role
 from oatlink.rules import cold
-from tests.conftest import Driver, member, of, sends
+from tests.conftest import Driver, member, of_type, sends
 
 
 def send_doubt(driver: Driver, number: int, at_us: int, until_us: int) -> list[api.Action]:
@@ -32,12 +32,12 @@
 
 def test_a_doubt_checks_the_member_once_and_at_once(driver: Driver) -> None:
     driver.skip(1_000)
-    assert [check.member for check in of(api.Check, send_doubt(driver, 2, driver.now, 0))] == [2]
-    assert not of(api.Check, send_doubt(driver, 2, driver.now, 0))
+    assert [check.member for check in of_type(api.Check, send_doubt(driver, 2, driver.now, 0))] == [2]
+    assert not of_type(api.Check, send_doubt(driver, 2, driver.now, 0))
 
 
 def test_a_doubt_older_than_the_last_report_checks_nothing(driver: Driver) -> None:
-    assert not of(api.Check, send_doubt(driver, 2, driver.now - 1, 0))
+    assert not of_type(api.Check, send_doubt(driver, 2, driver.now - 1, 0))
 
 
 def test_a_doubted_member_is_used_last_until_it_answers_or_the_doubt_ends(driver: Driver) -> None:
--- a/tests/test_random_news.py
+++ b/tests/test_random_news.py
@@ -93,7 +93,7 @@
         if outcome is Outcome.SERVED:
             self.open_requests.pop(request, None)
         self.check(
-            self.driver.give(
+            self.driver.handle(
                 api.AttemptEnded(
                     request,
                     number,
@@ -119,7 +119,7 @@
             request = f"r{driver.count}"
             self.open_requests[request], self.attempts[request] = (name, group, driver.now + expires), []
             self.check(
-                driver.give(
+                driver.handle(
                     api.Arrival(
                         request,
                         name,
@@ -136,13 +136,13 @@
         elif event < 0.7 and self.requested_checks:
             target = self.requested_checks.pop(draw.randrange(len(self.requested_checks)))
             outcome = draw.choice([Outcome.SERVED, Outcome.SERVED, Outcome.LATE, Outcome.FULL])
-            self.check(driver.give(api.Checked(target, outcome, draw.randrange(300_000), self.random_report())))
+            self.check(driver.handle(api.Checked(target, outcome, draw.randrange(300_000), self.random_report())))
         elif event < 0.74:
-            self.check(driver.give(self.random_roster()))
+            self.check(driver.handle(self.random_roster()))
         elif event < 0.76:
-            self.check(driver.give(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.random_report())))
-            self.check(driver.give(api.TimerFired("unasked")))
-            self.check(driver.give(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
+            self.check(driver.handle(api.Checked(draw.randrange(99), Outcome.SERVED, 9, self.random_report())))
+            self.check(driver.handle(api.TimerFired("unasked")))
+            self.check(driver.handle(api.AttemptEnded("unknown", 0, draw.randrange(99), Outcome.SERVED, 5)))
         else:
             self.pass_time(draw.choice([0, 5_000, 20_000, 100_000]))
 
@@ -154,7 +154,7 @@
             for timer in [timer for timer in driver.timers if timer.at_us <= driver.now]:
                 driver.timers.remove(timer)
                 self.fired += 1
-                self.check(driver.give(api.TimerFired(timer.name)))
+                self.check(driver.handle(api.TimerFired(timer.name)))
             for request, (_, _, expires) in list(self.open_requests.items()):
                 if driver.now >= expires:
                     for attempt in [attempt for attempt in self.open_attempts if attempt[0] == request]:
@@ -164,7 +164,7 @@
                         self.attempts[request][number] = (target, sent, Outcome.LATE)
                         is_over = request not in self.open_requests
                         self.check(
-                            driver.give(
+                            driver.handle(
                                 api.AttemptEnded(request, number, target, Outcome.LATE, driver.now - sent, is_over)
                             )
                         )
