--- a/benchmarks/fleet/grants.py
+++ b/benchmarks/fleet/grants.py
@@ -1,12 +1,12 @@
-"""What one home can give out: `Home` by values alone, no sockets and no codec."""
+"""What one home can give out: `LimitCoordinator` by values alone, no sockets and no codec."""
 
 import time
 
 import click
 
 from benchmarks.fleet.table import part, show
-from oatlink.fleet.limits.asking import ASK_US, MOST_DEMANDS
-from oatlink.fleet.limits.home import Home
+from oatlink.fleet.limits.coordinator import LimitCoordinator
+from oatlink.fleet.limits.requester import ASK_US, MOST_DEMANDS
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.fleet.messages import Demand, Grants, Tell, Want
 
@@ -20,7 +20,7 @@
     every = [f"tenant/{at}" for at in range(100 * tenants)]
     names = [one for one in every if shard_of(one) == 0][:tenants]
     askers = [f"n{at}" for at in range(nodes)]
-    home = Home(0, dict.fromkeys(names, (10_000.0, 1_000.0, 0.2)), askers)
+    home = LimitCoordinator(0, dict.fromkeys(names, (10_000.0, 1_000.0, 0.2)), askers)
     now, lease_us = 1_000_000_000, 2**60
     home.began(1, now)
     serials = dict.fromkeys(((node, name) for node in askers for name in names), 0)
--- a/benchmarks/scale/slopes/grants.py
+++ b/benchmarks/scale/slopes/grants.py
@@ -6,8 +6,8 @@
 from benchmarks.scale.measure import Measurement, Values
 from benchmarks.scale.wire import wire_us
 from oatlink.fleet.envelope import LENGTH_BYTES, MIN_FRAME_BYTES, encode
-from oatlink.fleet.limits.asking import ASK_US
-from oatlink.fleet.limits.home import Home
+from oatlink.fleet.limits.coordinator import LimitCoordinator
+from oatlink.fleet.limits.requester import ASK_US
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.fleet.messages import Demand, Effect, Grants, Tell, Want
 
@@ -19,9 +19,9 @@
 def _run(nodes: int) -> Values:
     names = [name for at in range(100) if shard_of(name := f"tenant/{at}") == 0][:TENANTS]
     askers = [f"gw-{at:05}" for at in range(nodes)]
-    home_of_all = Home(0, dict.fromkeys(names, (50_000.0, 50_000.0, 0.2)), askers)
+    home_of_all = LimitCoordinator(0, dict.fromkeys(names, (50_000.0, 50_000.0, 0.2)), askers)
     home_of_all.began(1, 1_000_000_000)
-    home = Home(0, dict.fromkeys(names, (50_000.0, 50_000.0, 0.2)), askers)
+    home = LimitCoordinator(0, dict.fromkeys(names, (50_000.0, 50_000.0, 0.2)), askers)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for at, node in enumerate(askers):  # once alone, for what a home keeps of all that ask
--- a/oatlink/fleet/gating.py
+++ b/oatlink/fleet/gating.py
@@ -8,7 +8,7 @@
 
 from oatlink.fleet.gate import ADMITTED, NO_LAYOUT, Alone, AnyNews, Granted, Layout, Served
 from oatlink.fleet.limits.allowance import Allowance
-from oatlink.fleet.limits.node import Allowances, Use
+from oatlink.fleet.limits.node import Allowances, AllowanceState
 from oatlink.fleet.limits.tenants import Tenants
 from oatlink.fleet.messages import Demand, Marker
 from oatlink.fleet.versions.node import Layouts
@@ -97,8 +97,8 @@
 
     def recall(self, value: object) -> None:
         """See `Gate.recall`."""
-        read: tuple[dict[str, Use], int, int, bool, Any, Served | None] = msgspec.convert(
-            value, tuple[dict[str, Use], int, int, bool, Any, Served | None]
+        read: tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None] = msgspec.convert(
+            value, tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None]
         )
         held = self._allowances
         held.active, held.draws, held.swept_us, held.nothing = read[:4]
--- a/oatlink/fleet/limits/home.py
+++ b/oatlink/fleet/limits/coordinator.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Mapping
 
 from oatlink.fleet.limits.allowance import ONE, Allowance, floor_of, pool_of
-from oatlink.fleet.limits.ledger import Book
+from oatlink.fleet.limits.ledger import AllowanceLedger
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.fleet.messages import Demand, Effect, Grant, Grants, NotHome, Returned, Tell, Want
 
@@ -29,7 +29,7 @@
 MOST_DEMAND = 2.0  # of the allowance's rate: what one node can say that it was asked for
 
 
-class Home:
+class LimitCoordinator:
     """One shard's home. Times are this node's clock."""
 
     def __init__(
@@ -41,13 +41,13 @@
         self._allowances = allowances
         self._nodes = dict.fromkeys(nodes)
         self._stretch = (1 + drift) / (1 - drift)
-        self._books: dict[str, Book] = {}
+        self._ledgers: dict[str, AllowanceLedger] = {}
         self._serial = 0
         self._swept_us = 0
 
     def began(self, fence: int, now_us: int) -> None:
         """The lease is this node's, taken as from another: nothing that others gave out lives."""
-        self._books.clear()
+        self._ledgers.clear()
         self.fence = fence
         self._serial = fence << 32  # so that a later home's are newer, whoever made the earlier ones
         self._swept_us = now_us
@@ -64,7 +64,7 @@
         end_us = now_us + self._counted_us(term_us)
         grants = []
         for demand in message.demands:
-            book = self._books.get(demand.name) or self._open(demand.name)
+            book = self._ledgers.get(demand.name) or self._open(demand.name)
             if book is not None:
                 grants.append(self._grant(book, sender, demand, term_us, end_us, now_us))
         return [Tell(sender, Grants(message.ask, self.shard, self.fence, tuple(grants)))]
@@ -73,13 +73,15 @@
         """A node uses these, and what it had before them, no more."""
         if message.shard == self.shard:
             for name, serial in message.grants:
-                book = self._books.get(name)
+                book = self._ledgers.get(name)
                 row = book.rows.get(sender) if book is not None else None
                 if book is not None and row is not None and serial <= self._serial:
                     book.confirm(row, serial + 1, now_us)
         return []
 
-    def _grant(self, book: Book, sender: str, demand: Demand, term_us: int, end_us: int, now_us: int) -> Grant:
+    def _grant(
+        self, book: AllowanceLedger, sender: str, demand: Demand, term_us: int, end_us: int, now_us: int
+    ) -> Grant:
         row = book.rows.get(sender)
         if row is None:
             row = book.join(sender, now_us)
@@ -95,13 +97,13 @@
         rate, burst = book.give(row, self._serial, end_us)
         return Grant(demand.name, self._serial, rate / ONE, burst / ONE, term_us)
 
-    def _open(self, name: str) -> Book | None:
+    def _open(self, name: str) -> AllowanceLedger | None:
         allowance = self._allowances.get(name)
         # Threat: two homes that both give out a name, where one node reckons its shard wrongly.
         if allowance is None or shard_of(name) != self.shard:
             return None
         pool_rate, pool_burst = pool_of(allowance, len(self._nodes))
-        book = self._books[name] = Book(pool_rate, pool_burst, floor_of(allowance, len(self._nodes))[0])
+        book = self._ledgers[name] = AllowanceLedger(pool_rate, pool_burst, floor_of(allowance, len(self._nodes))[0])
         return book
 
     def _term_us(self, lease_until_us: int, now_us: int) -> int:
@@ -114,5 +116,5 @@
         self._swept_us = now_us
         longest_us = self._counted_us(GRANT_TERM_US)
         # What nobody has asked for since has no grant that could live: given when it was asked for, at the latest.
-        for name in [name for name, book in self._books.items() if now_us - book.heard_us > longest_us]:
-            del self._books[name]
+        for name in [name for name, book in self._ledgers.items() if now_us - book.heard_us > longest_us]:
+            del self._ledgers[name]
--- a/oatlink/fleet/limits/ledger.py
+++ b/oatlink/fleet/limits/ledger.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Live:
+class LiveGrant:
     """A grant that may be in use until `end_us` of the home's clock."""
 
     serial: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class NodeShare:
     """One node at one allowance: what it asks, what is its due, and what counts as given to it."""
 
     heard_us: int
@@ -40,7 +40,7 @@
     due_burst: int = 0
     rate: int = 0
     burst: int = 0
-    live: list[Live] = field(default_factory=list)
+    live: list[LiveGrant] = field(default_factory=list)
 
     def most(self) -> tuple[int, int]:
         """The largest rate and the largest burst among the live grants."""
@@ -54,25 +54,25 @@
 
 
 @dataclass(slots=True)
-class Book:
+class AllowanceLedger:
     """One allowance: its pool, and who has what of it. Figures are millionths of a request."""
 
     pool_rate: int
     pool_burst: int
     floor_rate: int
-    rows: dict[str, Row] = field(default_factory=dict)
+    rows: dict[str, NodeShare] = field(default_factory=dict)
     rate: int = 0  # counted as given, over all rows
     burst: int = 0
     heard_us: int = 0  # when anyone last asked
     divided_us: int = -NEVER_US
 
-    def join(self, node: str, now_us: int) -> Row:
+    def join(self, node: str, now_us: int) -> NodeShare:
         """A node that is new here; until the next division an equal part is its due."""
-        row = self.rows[node] = Row(now_us)
+        row = self.rows[node] = NodeShare(now_us)
         row.due_rate, row.due_burst = self.pool_rate // len(self.rows), self.pool_burst // len(self.rows)
         return row
 
-    def confirm(self, row: Row, serial: int, now_us: int) -> None:
+    def confirm(self, row: NodeShare, serial: int, now_us: int) -> None:
         """The node uses nothing older than `serial`; what has ended by itself goes too."""
         for one in row.live:
             if one.serial < serial or one.end_us <= now_us:
@@ -80,17 +80,17 @@
                 self._count(row)
                 return
 
-    def give(self, row: Row, serial: int, end_us: int) -> tuple[int, int]:
+    def give(self, row: NodeShare, serial: int, end_us: int) -> tuple[int, int]:
         """A grant as near to the row's due as what is free allows: (rate, burst), both 0 where it would be no use."""
         rate = min(row.due_rate, self.pool_rate - self.rate + row.rate)
         burst = min(row.due_burst, self.pool_burst - self.burst + row.burst)
         if rate <= 0 or burst < ONE:
             rate = burst = 0
-        row.live.append(Live(serial, rate, burst, end_us))
+        row.live.append(LiveGrant(serial, rate, burst, end_us))
         if len(row.live) > MOST_LIVE:
             old, newer = row.live[0], row.live[1]
             row.live[:2] = [
-                Live(
+                LiveGrant(
                     newer.serial,
                     max(old.rate, newer.rate),
                     max(old.burst, newer.burst),
@@ -100,7 +100,7 @@
         self._count(row)
         return rate, burst
 
-    def _count(self, row: Row) -> None:
+    def _count(self, row: NodeShare) -> None:
         rate, burst = row.most()
         self.rate += rate - row.rate
         self.burst += burst - row.burst
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -26,7 +26,7 @@
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
 from oatlink.fleet.limits.allowance import ONE, Allowance, floor_of, pool_of
 from oatlink.fleet.limits.buckets import SECOND_US, Bucket
-from oatlink.fleet.limits.home import GRANT_TERM_US, MOST_DEMAND
+from oatlink.fleet.limits.coordinator import GRANT_TERM_US, MOST_DEMAND
 from oatlink.fleet.messages import Demand
 
 PATIENCE_US = 150_000
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class AllowanceState:
     """An allowance that is in use here."""
 
     floor: Bucket
@@ -59,7 +59,7 @@
     rules: Mapping[str, Allowance]
     nodes: int
     seed: int = 0
-    active: dict[str, Use] = field(default_factory=dict)
+    active: dict[str, AllowanceState] = field(default_factory=dict)
     draws: int = 0
     swept_us: int = 0
     nothing: bool = False
@@ -94,7 +94,7 @@
             return ADMITTED
         return self._not_now(name, use, need, need - level - granted, count, now_us)
 
-    def _not_now(self, name: str, use: Use, need: int, lacking: int, count: float, now_us: int) -> int:
+    def _not_now(self, name: str, use: AllowanceState, need: int, lacking: int, count: float, now_us: int) -> int:
         rate, burst = use.floor.rate, use.floor.burst
         if need > burst + pool_of(self.rules[name], self.nodes)[1]:
             use.asked -= count  # no grant would help: nothing is asked of the home for it
@@ -130,13 +130,13 @@
             if now_us - use.asked_us < IDLE_US
         )
 
-    def _demand(self, name: str, use: Use, now_us: int) -> float:
+    def _demand(self, name: str, use: AllowanceState, now_us: int) -> float:
         # Before a whole mean's time has passed, what was asked in that time stands for what is asked.
         seen_us = max(LEAST_SEEN_US, now_us - use.opened_us)
         asked = use.asked * exp(-max(0, now_us - use.asked_us) / MEAN_US) / (1 - exp(-seen_us / MEAN_US))
         return min(max(asked, LEAST_DEMAND), self._most(name, use, now_us))
 
-    def _most(self, name: str, use: Use, now_us: int) -> float:
+    def _most(self, name: str, use: AllowanceState, now_us: int) -> float:
         most = MOST_DEMAND * self.rules[name][0]
         if use.grant.rate and now_us < use.until_us:
             most = min(most, max(LEAST_DEMAND, GROWTH * (use.floor.rate + use.grant.rate) / ONE))
@@ -165,7 +165,7 @@
         self.nothing = True
         self.active.clear()
 
-    def _open(self, name: str, now_us: int) -> Use | None:
+    def _open(self, name: str, now_us: int) -> AllowanceState | None:
         rule = self.rules.get(name)
         if rule is None:
             return None
@@ -174,7 +174,7 @@
             for old in [old for old, use in self.active.items() if now_us - use.asked_us >= IDLE_US]:
                 del self.active[old]
         rate, burst = floor_of(rule, self.nodes)
-        use = Use(Bucket(rate, burst, now_us), Bucket(0, 0, now_us), now_us, now_us)
+        use = AllowanceState(Bucket(rate, burst, now_us), Bucket(0, 0, now_us), now_us, now_us)
         if not self.nothing:
             self.active[name] = use
         return use
--- a/oatlink/fleet/limits/asking.py
+++ b/oatlink/fleet/limits/requester.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from oatlink.fleet.gate import Granted
-from oatlink.fleet.limits.home import GRANT_TERM_US
+from oatlink.fleet.limits.coordinator import GRANT_TERM_US
 from oatlink.fleet.limits.shards import SHARDS, shard_of
 from oatlink.fleet.messages import Demand, Effect, Grants, NotHome, Returned, Tell, Tuned, Want
 
@@ -60,7 +60,7 @@
     names: frozenset[str] = frozenset()
 
 
-class Asker:
+class GrantRequester:
     """One node's questions to the homes of all shards."""
 
     def __init__(self, node: str, seed: int) -> None:
--- a/oatlink/fleet/parts/limits.py
+++ b/oatlink/fleet/parts/limits.py
@@ -10,8 +10,8 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.leases.holder import Holder
 from oatlink.fleet.limits.allowance import Allowance
-from oatlink.fleet.limits.asking import Asker
-from oatlink.fleet.limits.home import GRANT_TERM_US, Home
+from oatlink.fleet.limits.coordinator import GRANT_TERM_US, LimitCoordinator
+from oatlink.fleet.limits.requester import GrantRequester
 from oatlink.fleet.limits.shards import SHARDS, rank, shard_of
 from oatlink.settings.fleet import Fleet
 
@@ -24,7 +24,7 @@
 
     def __init__(self, number: int, lease: Holder) -> None:
         self.number, self.lease = number, lease
-        self.home: Home | None = None
+        self.home: LimitCoordinator | None = None
         self.asked_us = -f.NEVER_US  # when anybody last wanted something of it, this node included
 
 
@@ -51,7 +51,7 @@
             for number in range(SHARDS)
         ]
         self._by_key = {one.lease.key: one for one in self._shards}
-        self._asker = Asker(fleet.node, incarnation)
+        self._asker = GrantRequester(fleet.node, incarnation)
         self._demands: tuple[f.Demand, ...] = ()
         self._given_us = int(GRANT_TERM_US * (1 + fleet.drift) / (1 - fleet.drift)) + 2  # what is given has ended
         self._leaving = False
@@ -156,5 +156,5 @@
         if not shard.lease.holds(now_us):
             shard.home = None
         elif shard.home is None or shard.home.fence != shard.lease.fence:
-            shard.home = Home(shard.number, self._allowances, self._nodes, self._drift)
+            shard.home = LimitCoordinator(shard.number, self._allowances, self._nodes, self._drift)
             shard.home.began(shard.lease.fence, now_us)
--- a/oatlink/lab/fleetsim/views.py
+++ b/oatlink/lab/fleetsim/views.py
@@ -8,7 +8,7 @@
 
 from oatlink.fleet.gating import FleetGate
 from oatlink.fleet.leases.holder import Holder
-from oatlink.fleet.limits.node import Use
+from oatlink.fleet.limits.node import AllowanceState
 from oatlink.fleet.node import Node
 
 
@@ -20,9 +20,9 @@
     return found
 
 
-def use(gate: Any, name: str) -> Use | None:
+def use(gate: Any, name: str) -> AllowanceState | None:
     """An allowance in use at a gateway."""
-    found: Use | None = gate._allowances.active.get(name)
+    found: AllowanceState | None = gate._allowances.active.get(name)
     return found
 
 
--- a/oatlink/lab/scale/scenarios/limits.py
+++ b/oatlink/lab/scale/scenarios/limits.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.limits import asking, home, ledger
+from oatlink.fleet.limits import coordinator, ledger, requester
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.lab.fleetsim.links import Links
 from oatlink.lab.fleetsim.time import Timeline
@@ -24,7 +24,7 @@
     """A node's questions."""
 
     def __init__(self, name: str, seed: int) -> None:
-        self.name, self.asker = name, asking.Asker(name, seed)
+        self.name, self.asker = name, requester.GrantRequester(name, seed)
         self.serial, self.rate = 0, 0.0
 
 
@@ -36,7 +36,7 @@
         rate = 0.9 * A_NODE * len(self.names)
         allowances = {TENANT: (rate, 2 * rate, FLOOR)}
         self.shard = shard_of(TENANT)
-        self.home = home.Home(self.shard, allowances, self.names)
+        self.home = coordinator.LimitCoordinator(self.shard, allowances, self.names)
         self.home.began(1, 0)
         self._links = Links(order.seed)
         self.seats = [Seat(name, order.seed) for name in self.names]
@@ -94,8 +94,9 @@
             waits.name(seat.name)
     found.in_force.append(waits.judged("a part of the tenant's rate"))
     found.notes += [
-        f"each node asks each home four times a second for each tenant in use ({at(asking.Asker.look)}, ASK_US): a "
-        f"home's messages grow with the gateways, and its book has a row for each ({at(ledger.Book.divide)})",
+        f"each node asks each home four times a second for each tenant in use ({at(requester.GrantRequester.look)}, "
+        "ASK_US): a home's messages grow with the gateways, and its book has a row for each "
+        f"({at(ledger.AllowanceLedger.divide)})",
         f"a floor under one request a node is refused at the start ({at(settings._check_floor)})",
     ]
     return found
--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_sabotage.py
@@ -7,7 +7,7 @@
 from oatlink.fleet import messages as f
 from oatlink.fleet.leases.holder import Holder
 from oatlink.fleet.leases.observer import Observer
-from oatlink.fleet.limits import asking, home, ledger
+from oatlink.fleet.limits import coordinator, ledger, requester
 from oatlink.fleet.limits import node as gates
 from oatlink.fleet.limits.buckets import Bucket
 from oatlink.fleet.registers import proposer, recovery
@@ -66,18 +66,23 @@
 # ---- Leases and limits ----
 
 
-put("drift_is_not_counted", ("drift", "rights", 2), home.Home, _counted_us=lambda self, term_us: term_us)
+put(
+    "drift_is_not_counted",
+    ("drift", "rights", 2),
+    coordinator.LimitCoordinator,
+    _counted_us=lambda self, term_us: term_us,
+)
 put("a_twin_has_floors", ("limits", "alone", 8), gates.Allowances, alone=lambda self: None)
 put("a_lease_is_never_over", ("limits", "settles", 3), Observer, wait_us=lambda self, term_us: 1 << 40)
 put("a_keeper_asks_once", ("keepers", "settles", 0), recovery, LONGEST_US=f.NEVER_US, ASK_US=1 << 40)
 
 
-@instead_of(home.Home, "_term_us", ("limits", "rights", 8))
-def grant_outlives_its_home(_: Any, self: home.Home, until: int, now: int) -> int:
-    return home.GRANT_TERM_US if now < until else 0
+@instead_of(coordinator.LimitCoordinator, "_term_us", ("limits", "rights", 8))
+def grant_outlives_its_home(_: Any, self: coordinator.LimitCoordinator, until: int, now: int) -> int:
+    return coordinator.GRANT_TERM_US if now < until else 0
 
 
-@instead_of(home, "pool_of", ("limits", "rights", 0))
+@instead_of(coordinator, "pool_of", ("limits", "rights", 0))
 def floors_are_not_inside_the_rate(_: Any, rule: tuple[float, float, float], nodes: int) -> tuple[int, int]:
     return int(rule[0] * 1e6), int(rule[1] * 1e6)
 
@@ -98,15 +103,19 @@
     return answered(self, answer, now_us)
 
 
-@instead_of(ledger.Book, "give", ("limits", "rights", 1))
-def only_the_newest_grant_counts(give: Any, self: ledger.Book, row: ledger.Row, serial: int, end_us: int) -> Any:
+@instead_of(ledger.AllowanceLedger, "give", ("limits", "rights", 1))
+def only_the_newest_grant_counts(
+    give: Any, self: ledger.AllowanceLedger, row: ledger.NodeShare, serial: int, end_us: int
+) -> Any:
     row.live.clear()
     self._count(row)
     return give(self, row, serial, end_us)
 
 
-@instead_of(asking.Asker, "receive", ("limits", "rights", 3))
-def grant_counts_from_the_answer(receive: Any, self: asking.Asker, sender: str, message: Any, now_us: int) -> Any:
+@instead_of(requester.GrantRequester, "receive", ("limits", "rights", 3))
+def grant_counts_from_the_answer(
+    receive: Any, self: requester.GrantRequester, sender: str, message: Any, now_us: int
+) -> Any:
     if message.ask in self._questions:
         self._questions[message.ask].asked_us = now_us
     return receive(self, sender, message, now_us)
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -7,9 +7,9 @@
 
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
 from oatlink.fleet.limits.allowance import ONE
-from oatlink.fleet.limits.asking import Asker
-from oatlink.fleet.limits.home import Home
+from oatlink.fleet.limits.coordinator import LimitCoordinator
 from oatlink.fleet.limits.node import Allowances
+from oatlink.fleet.limits.requester import GrantRequester
 from oatlink.fleet.limits.shards import SHARDS, rank, shard_of
 from oatlink.fleet.messages import Effect, Grants, NotHome, Returned, Tell, Tuned, Want
 
@@ -27,8 +27,8 @@
     rate: float
     offset: int
     gate: Allowances | None = None
-    asker: Asker | None = None
-    homes: dict[int, Home] = field(default_factory=dict)
+    asker: GrantRequester | None = None
+    homes: dict[int, LimitCoordinator] = field(default_factory=dict)
     lease_until: dict[int, int] = field(default_factory=dict)  # by its own clock
     stopped_until: int = 0  # true time
     waiting: list[tuple[str, Tell]] = field(default_factory=list)
@@ -68,8 +68,8 @@
         one = self.machines[name]
         one.starts += 1
         one.gate = Allowances(RULES, len(self.names), one.starts)
-        one.asker = Asker(name, one.starts)
-        one.homes = {shard: Home(shard, RULES, self.names, self.drift) for shard in range(SHARDS)}
+        one.asker = GrantRequester(name, one.starts)
+        one.homes = {shard: LimitCoordinator(shard, RULES, self.names, self.drift) for shard in range(SHARDS)}
         one.lease_until.clear()
         one.waiting.clear()
 
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
-from oatlink.fleet.limits import asking, buckets, home, ledger, node, shards
+from oatlink.fleet.limits import buckets, coordinator, ledger, node, requester, shards
 from oatlink.fleet.limits.allowance import ONE, floor_of, pool_of
 from oatlink.fleet.limits.division import bursts, divide, seated
 from oatlink.fleet.limits.tenants import Tenants
@@ -18,7 +18,7 @@
 from tests.fleet import fleetsim_sabotage, limits_world
 from tests.fleet.limits_world import DRIFT, RULES, Machine, World, trouble
 
-TERM = home.GRANT_TERM_US
+TERM = coordinator.GRANT_TERM_US
 ONE_HAS_ALL = "greed of one"
 
 
@@ -45,7 +45,7 @@
 # ---- Never over ----
 
 
-class LastToCome(asking.Asker):
+class LastToCome(requester.GrantRequester):
     def receive(self, sender: str, message: Any, now_us: int) -> list[Any]:
         self._held.clear()
         return super().receive(sender, message, now_us)
@@ -66,7 +66,7 @@
 
 
 def overtaken(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(limits_world, "Asker", LastToCome)
+    patch.setattr(limits_world, "GrantRequester", LastToCome)
     patch.setattr(limits_world, "Allowances", TakesAny)
 
 
@@ -202,13 +202,15 @@
         assert bucket.level + Fraction(bucket.rest, 10**6) == level
 
 
-def _home(nodes: int = 3) -> home.Home:
-    one = home.Home(shards.shard_of("a"), dict.fromkeys("abcdefgh", RULES["a"]), [f"n{n}" for n in range(nodes)], DRIFT)
+def _home(nodes: int = 3) -> coordinator.LimitCoordinator:
+    one = coordinator.LimitCoordinator(
+        shards.shard_of("a"), dict.fromkeys("abcdefgh", RULES["a"]), [f"n{n}" for n in range(nodes)], DRIFT
+    )
     one.began(7, 0)
     return one
 
 
-def _asked(one: home.Home, who: str, now: int, *demands: Demand, lease: int = 10**9) -> Any:
+def _asked(one: coordinator.LimitCoordinator, who: str, now: int, *demands: Demand, lease: int = 10**9) -> Any:
     (told,) = one.want(who, Want(1, one.shard, demands), lease, now)
     assert isinstance(told, Tell)
     return told.message
@@ -224,7 +226,7 @@
         _asked(one, "n0", 0, Demand("a", rate, 2**62))
     for now in range(0, 900_000, 1_000):  # a node that floods has a bounded row, and its lost answers all count
         _asked(one, "n0", now, Demand("a", 500.0))
-    book = one._books["a"]
+    book = one._ledgers["a"]
     assert len(book.rows["n0"].live) <= ledger.MOST_LIVE
     assert _asked(one, "n1", 900_000, Demand("a", 500.0)).grants[0].rate == 0
     assert _asked(one, "n0", 960_000, Demand("a", 500.0, 2**62)).grants[0].rate < 401  # cut, but not yet free
@@ -235,12 +237,12 @@
     assert _asked(one, "n1", 960_003, Demand("a", 500.0)).grants[0].rate > 199
     assert type(_asked(one, "n1", 960_004, Demand("a", 5.0), lease=960_005)).__name__ == "NotHome"
     one.want("n2", Want(1, one.shard, ()), 10**9, 10_000_000)
-    assert not one._books
+    assert not one._ledgers
 
 
 def test_a_few_seats_go_round() -> None:
     names = [f"n{number}" for number in range(5)]
-    one = home.Home(shards.shard_of("a"), {"a": (100.0, 2.0, 0.0)}, names)
+    one = coordinator.LimitCoordinator(shards.shard_of("a"), {"a": (100.0, 2.0, 0.0)}, names)
     one.began(1, 0)
     had: dict[str, int] = dict.fromkeys(names, 0)
     serials = dict.fromkeys(names, 0)
@@ -256,17 +258,17 @@
 def test_a_node_takes_only_answers_to_its_own_questions() -> None:
     shard, demands = shards.shard_of("a"), (Demand("a", 9.0), Demand("b", 9.0))
     homes = dict.fromkeys(range(shards.SHARDS), "h")
-    one = asking.Asker("n0", 1)
+    one = requester.GrantRequester("n0", 1)
     (first,) = [tell for tell in one.look(demands, homes, 0) if tell.message.shard == shard]  # type: ignore
-    assert isinstance(first, Tell) and isinstance(first.message, Want) and one.due_us <= asking.ASK_US
+    assert isinstance(first, Tell) and isinstance(first.message, Want) and one.due_us <= requester.ASK_US
     ask = first.message.ask
     assert one.look(demands, homes, 10_000) == [] == list(one.unanswered(10_000))
-    assert shard in one.unanswered(asking.SILENT_US)
+    assert shard in one.unanswered(requester.SILENT_US)
 
     def answer(serial: int, fence: int = 1, number: int = ask) -> Grants:
         return Grants(number, shard, fence, (Grant("a", serial, 9.0, 2.0, 2 * TERM), Grant("zz", 1, 9.0, 2.0, TERM)))
 
-    reborn = asking.Asker("n0", 2)  # a new process: its numbers are others
+    reborn = requester.GrantRequester("n0", 2)  # a new process: its numbers are others
     reborn.look(demands, homes, 500_000)
     assert reborn.receive("h", answer(5), 510_000) == []
     assert one.receive("x", answer(5), 500_000) == one.receive("h", answer(5, number=0), 500_000) == []
