--- a/benchmarks/fleet/grants.py
+++ b/benchmarks/fleet/grants.py
@@ -6,7 +6,7 @@
 
 from benchmarks.fleet.table import part, show
 from oatlink.fleet.limits.coordinator import LimitCoordinator
-from oatlink.fleet.limits.requester import ASK_US, MOST_DEMANDS
+from oatlink.fleet.limits.requester import ASK_US, MAX_DEMANDS
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.fleet.messages import Demand, Grants, Tell, Want
 
@@ -31,9 +31,9 @@
         for at, node in enumerate(askers):
             rate = demand * (0.5 + (at + turn) % 3 / 2)  # no two rounds alike
             asked = [Demand(name, rate, serials[node, name]) for name in names]
-            for start in range(0, tenants, MOST_DEMANDS):
+            for start in range(0, tenants, MAX_DEMANDS):
                 ask += 1
-                wants.append((node, Want(ask, 0, tuple(asked[start : start + MOST_DEMANDS]))))
+                wants.append((node, Want(ask, 0, tuple(asked[start : start + MAX_DEMANDS]))))
         answers = []
         began = time.process_time()
         for node, want in wants:
--- a/benchmarks/scale/roles/fleet.py
+++ b/benchmarks/scale/roles/fleet.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.roles import control
 from benchmarks.scale.row import Row
 from benchmarks.scale.size import Size
-from oatlink.fleet.membership.view import MOST_WORDS
+from oatlink.fleet.membership.view import MAX_HEARD
 
 ROLE = "RESP gateway with a fleet, on top"
 STREAM = "stream of control"
@@ -17,7 +17,7 @@
 
 def _idle_bytes(size: Size, k: Reading) -> float:
     # A message names so many nodes at most, and is measured to 320 of them; beyond, places take more bytes.
-    message = k.over("idle", "bytes_per_message", "words", min(size.gateways - 1, MOST_WORDS))
+    message = k.over("idle", "bytes_per_message", "words", min(size.gateways - 1, MAX_HEARD))
     grown = k.line("view", "message_bytes", size.gateways) / k.line("view", "message_bytes", 320)
     return 2 * k.mean("idle", "messages_per_s") * message * max(1.0, grown)
 
--- a/benchmarks/scale/slopes/idle.py
+++ b/benchmarks/scale/slopes/idle.py
@@ -4,7 +4,7 @@
 
 from benchmarks.scale.fleet_site import FleetSite
 from benchmarks.scale.measure import Measurement, Values
-from oatlink.fleet.membership.view import MOST_WORDS
+from oatlink.fleet.membership.view import MAX_HEARD
 
 SETTLE_S, SECONDS = 40.0, 20.0  # links that only the start made are closed after 30 s without a word
 A_PROCESS = 40  # nodes
@@ -24,7 +24,7 @@
         new, old = (sum(one.counters.get(name, 0) for one in some) for some in (after, before))
         return (new - old) / took / nodes
 
-    words = min(nodes - 1, MOST_WORDS)  # of a message: it names no more, so bytes end to grow there
+    words = min(nodes - 1, MAX_HEARD)  # of a message: it names no more, so bytes end to grow there
     cpu_s = sum(one.cpu_s for one in after) - sum(one.cpu_s for one in before)
     return {
         "bytes_out_per_s": rate("bytes_out"),
--- a/benchmarks/scale/slopes/node.py
+++ b/benchmarks/scale/slopes/node.py
@@ -5,7 +5,7 @@
 import tracemalloc
 
 from benchmarks.scale.measure import Measurement, Values
-from oatlink.fleet.membership.view import FAN_OUT, MOST_WORDS
+from oatlink.fleet.membership.view import FAN_OUT, MAX_HEARD
 from oatlink.fleet.messages import Alive
 from oatlink.fleet.node import Node
 from oatlink.settings.fleet import Fleet, FleetNode
@@ -38,7 +38,7 @@
         took += time.process_time() - began
         if draw.random() < FAN_OUT / 20:  # as many come in as go out: three in two seconds
             sender = draw.randrange(8, nodes)
-            words = tuple((one, draw.randrange(20_000)) for one in draw.sample(range(nodes), min(MOST_WORDS, nodes)))
+            words = tuple((one, draw.randrange(20_000)) for one in draw.sample(range(nodes), min(MAX_HEARD, nodes)))
             began = time.process_time()
             node.receive(names[sender], Alive((1 << 40) + sender, False, words), now)
             took_in += time.process_time() - began
--- a/benchmarks/scale/slopes/view.py
+++ b/benchmarks/scale/slopes/view.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale.measure import Measurement, Values
 from oatlink.fleet.envelope import LENGTH_BYTES, MIN_FRAME_BYTES, encode
-from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, MOST_WORDS, View, patience_us
+from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, MAX_HEARD, View, patience_us
 from oatlink.fleet.messages import Alive, Tell
 
 TURNS = 60
@@ -24,7 +24,7 @@
         now += ALIVE_US * 11 // 10
         for _ in range(FAN_OUT):
             sender = draw.randrange(1, nodes)
-            words = tuple((one, draw.randrange(20_000)) for one in draw.sample(range(nodes), min(MOST_WORDS, nodes)))
+            words = tuple((one, draw.randrange(20_000)) for one in draw.sample(range(nodes), min(MAX_HEARD, nodes)))
             began = time.process_time()
             view.receive(names[sender], Alive((1 << 40) + sender, False, words), now)
             takes.append(time.process_time() - began)
--- a/oatlink/fleet/leases/holder.py
+++ b/oatlink/fleet/leases/holder.py
@@ -11,7 +11,7 @@
 - A release ends the holding here before it is asked for, and from then on no earlier change counts, even if it is seen:
   the release may come after it.
 - The own lease of an incarnation before is another's: that process may still be at work.
-- Candidates wait `RANK_US` a rank (`MOST_RANKS` at most), and a part of that more, drawn by chance.
+- Candidates wait `RANK_US` a rank (`MAX_RANK_COUNT` at most), and a part of that more, drawn by chance.
 
 `holds` must be asked at the moment of the act. What a stop between that and the act can do is the caller's: `fence`
 grows with each holding, so that whoever is acted upon may tell an old one.
@@ -25,12 +25,12 @@
 from oatlink.fleet.messages import NEVER_US, Answer, Change, Effect, Note, Read
 
 RANK_US = 250_000
-MOST_RANKS = 8
+MAX_RANK_COUNT = 8
 NEAR_RANKS = 4  # these look three times a term, the others half as often: many may want one lease
-MOST_BODY = 7_168  # bytes
-MOST_TURNS = 8  # changes with an unknown end that are remembered
-LOST_US = 10_000_000  # an answer is taken for lost after this time
-RELEASES = 3  # times that a release is tried
+MAX_BODY_BYTES = 7_168  # bytes
+MAX_PENDING_TURNS = 8  # changes with an unknown end that are remembered
+ANSWER_TIMEOUT_US = 10_000_000  # an answer is taken for lost after this time
+RELEASE_ATTEMPTS = 3  # times that a release is tried
 
 
 class Holder:
@@ -50,7 +50,7 @@
         self._node, self._incarnation, self._term_us = node, incarnation, term_us
         self._observer = Observer(drift)
         self._rng = Random(f"{seed}/{key}/{node}")
-        self._rank_us = min(rank, MOST_RANKS) * RANK_US
+        self._rank_us = min(rank, MAX_RANK_COUNT) * RANK_US
         self._look_every_us = term_us // 3 if rank < NEAR_RANKS else 2 * term_us // 3
         self._asks = 0
         self._waiting = 0  # the ask that has no answer yet, 0 without one
@@ -85,7 +85,7 @@
     def tick(self, now_us: int) -> list[Effect]:
         """Time has passed, or `wanting`, `looking` or `body` was set."""
         self._over = now_us >= self._observer.free_us and not self.holds(now_us)
-        if self._waiting and now_us - self._waiting_us > LOST_US:
+        if self._waiting and now_us - self._waiting_us > ANSWER_TIMEOUT_US:
             self._waiting = 0
         effects = [] if self._waiting else self._act(now_us)
         self.due_us = self._next_us(now_us)
@@ -97,7 +97,7 @@
         if self.until_us or self._turns:
             self.until_us = 0
             self._turns.clear()
-            self._releases = RELEASES
+            self._releases = RELEASE_ATTEMPTS
         return self.tick(now_us)
 
     def answered(self, answer: Answer, now_us: int) -> list[Effect]:
@@ -134,7 +134,7 @@
 
     def _next_us(self, now_us: int) -> int:
         if self._waiting:
-            return self._waiting_us + LOST_US + 1
+            return self._waiting_us + ANSWER_TIMEOUT_US + 1
         if self.holds(now_us):
             return min(self.until_us, self._renew_us) if self.wanting else self.until_us
         due = NEVER_US if self._over else self._observer.free_us
@@ -175,16 +175,18 @@
     def _change(self, now_us: int, released: bool = False) -> list[Effect]:
         effects: list[Effect] = []
         body = self.body
-        if len(body) > MOST_BODY:
+        if len(body) > MAX_BODY_BYTES:
             body = b""
             if not self._noted:
                 self._noted = True
-                effects.append(Note("lease_body_dropped", f"{self.key}: {len(self.body)} bytes, {MOST_BODY} at most"))
+                effects.append(
+                    Note("lease_body_dropped", f"{self.key}: {len(self.body)} bytes, {MAX_BODY_BYTES} at most")
+                )
         ask = self._asked(now_us)
         if not released:
             # The term counts from here: before anyone else can hear of it.
             self._turns[ask] = now_us
-            if len(self._turns) > MOST_TURNS:
+            if len(self._turns) > MAX_PENDING_TURNS:
                 del self._turns[next(iter(self._turns))]
         lease = Lease(self._node, self._incarnation, ask, self._term_us, released, body)
         effects.append(Change(ask, self.key, self._observer.fence, msgspec.msgpack.encode(lease)))
--- a/oatlink/fleet/leases/observer.py
+++ b/oatlink/fleet/leases/observer.py
@@ -17,7 +17,7 @@
 
 from oatlink.fleet.messages import NEVER_US
 
-LONGEST_TERM_US = 3_600_000_000
+MAX_TERM_US = 3_600_000_000
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -40,7 +40,7 @@
         lease = _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
-    return lease if 0 < lease.term_us <= LONGEST_TERM_US else None
+    return lease if 0 < lease.term_us <= MAX_TERM_US else None
 
 
 class Observer:
--- a/oatlink/fleet/limits/allowance.py
+++ b/oatlink/fleet/limits/allowance.py
@@ -6,7 +6,7 @@
 `1 - floor x (n - 1) / n` of the rate. Lending it would need the idle node's promise for a term, for each allowance.
 """
 
-ONE = 1_000_000
+REQUEST_UNITS = 1_000_000
 """Millionths in one request."""
 
 
@@ -18,10 +18,10 @@
     """What each of `nodes` may do without a home: (rate, burst) in millionths."""
     rate, burst, floor = allowance
     share = min(1.0, max(0.0, floor)) / max(1, nodes)
-    return int(rate * share * ONE), int(burst * share * ONE)
+    return int(rate * share * REQUEST_UNITS), int(burst * share * REQUEST_UNITS)
 
 
 def pool_of(allowance: Allowance, nodes: int) -> tuple[int, int]:
     """What a home may give out: (rate, burst) in millionths; nothing that is some node's floor."""
     rate, burst = floor_of(allowance, nodes)
-    return int(allowance[0] * ONE) - nodes * rate, int(allowance[1] * ONE) - nodes * burst
+    return int(allowance[0] * REQUEST_UNITS) - nodes * rate, int(allowance[1] * REQUEST_UNITS) - nodes * burst
--- a/oatlink/fleet/limits/buckets.py
+++ b/oatlink/fleet/limits/buckets.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass
 
-from oatlink.fleet.limits.allowance import ONE
+from oatlink.fleet.limits.allowance import REQUEST_UNITS
 from oatlink.fleet.messages import NEVER_US
 
 SECOND_US = 1_000_000
@@ -42,7 +42,7 @@
 
     def take(self, cost: int, now_us: int) -> bool:
         """Take `cost` requests, or nothing at all."""
-        need = max(0, cost) * ONE
+        need = max(0, cost) * REQUEST_UNITS
         if need > self.settle(now_us):
             return False
         self.level -= need
@@ -50,7 +50,7 @@
 
     def wait_us(self, cost: int, now_us: int) -> int:
         """In how many microseconds `cost` requests could be taken; `NEVER_US` where it can never hold so much."""
-        need = max(0, cost) * ONE
+        need = max(0, cost) * REQUEST_UNITS
         lacking = need - self.settle(now_us)
         if lacking <= 0:
             return 0
--- a/oatlink/fleet/limits/coordinator.py
+++ b/oatlink/fleet/limits/coordinator.py
@@ -15,18 +15,20 @@
 
 from collections.abc import Iterable, Mapping
 
-from oatlink.fleet.limits.allowance import ONE, Allowance, floor_of, pool_of
+from oatlink.fleet.limits.allowance import REQUEST_UNITS, Allowance, floor_of, pool_of
 from oatlink.fleet.limits.ledger import AllowanceLedger
 from oatlink.fleet.limits.shards import shard_of
 from oatlink.fleet.messages import Demand, Effect, Grant, Grants, NotHome, Returned, Tell, Want
 
 GRANT_TERM_US = 1_000_000
-LEAST_TERM_US = 20_000  # a shorter one would mostly be over when it arrives
+MIN_TERM_US = 20_000  # a shorter one would mostly be over when it arrives
 DIVIDE_US = 50_000  # an allowance is divided anew at most this often,
-ROW_US = 1_250  # and at most once in so long for each node in its book, so that a want costs the same in any fleet
-LONGEST_US = 250_000  # between two divisions
+DIVIDE_PER_NODE_US = (
+    1_250  # and at most once in so long for each node in its book, so that a want costs the same in any fleet
+)
+MAX_DIVIDE_US = 250_000  # between two divisions
 SWEEP_US = 2_000_000  # how often books that nobody asks for any more are looked through
-MOST_DEMAND = 2.0  # of the allowance's rate: what one node can say that it was asked for
+MAX_DEMAND_FACTOR = 2.0  # of the allowance's rate: what one node can say that it was asked for
 
 
 class LimitCoordinator:
@@ -57,7 +59,7 @@
         if sender not in self._nodes or message.shard != self.shard:
             return []
         term_us = self._term_us(lease_until_us, now_us)
-        if not self.fence or term_us < LEAST_TERM_US:
+        if not self.fence or term_us < MIN_TERM_US:
             return [Tell(sender, NotHome(message.ask, self.shard))]
         if now_us - self._swept_us >= SWEEP_US:
             self._sweep(now_us)
@@ -86,16 +88,16 @@
         if row is None:
             row = book.join(sender, now_us)
         row.heard_us = book.heard_us = now_us
-        most = MOST_DEMAND * (book.pool_rate + len(self._nodes) * book.floor_rate)
-        asked = demand.rate * ONE
+        most = MAX_DEMAND_FACTOR * (book.pool_rate + len(self._nodes) * book.floor_rate)
+        asked = demand.rate * REQUEST_UNITS
         row.demand = int(asked) if 0 <= asked < most else (int(most) if asked >= most else 0)  # nan is 0
         # A serial that this home has not given is another's, and says nothing of what this one has given.
         book.confirm(row, demand.serial if demand.serial <= self._serial else 0, now_us)
-        if now_us - book.divided_us >= min(LONGEST_US, max(DIVIDE_US, ROW_US * len(book.rows))):
+        if now_us - book.divided_us >= min(MAX_DIVIDE_US, max(DIVIDE_US, DIVIDE_PER_NODE_US * len(book.rows))):
             book.divide(now_us, GRANT_TERM_US)
         self._serial += 1
         rate, burst = book.give(row, self._serial, end_us)
-        return Grant(demand.name, self._serial, rate / ONE, burst / ONE, term_us)
+        return Grant(demand.name, self._serial, rate / REQUEST_UNITS, burst / REQUEST_UNITS, term_us)
 
     def _open(self, name: str) -> AllowanceLedger | None:
         allowance = self._allowances.get(name)
--- a/oatlink/fleet/limits/division.py
+++ b/oatlink/fleet/limits/division.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from oatlink.fleet.limits.allowance import ONE
+from oatlink.fleet.limits.allowance import REQUEST_UNITS
 
 
 def divide(rate: int, demands: Sequence[tuple[str, int]]) -> dict[str, int]:
@@ -39,15 +39,15 @@
 def bursts(burst: int, rates: Mapping[str, int]) -> dict[str, int]:
     """Each node's part of `burst` (millionths); at least one request each, so there must be `seats` for all."""
     total = sum(rates.values())
-    spare = max(0, burst - len(rates) * ONE)
+    spare = max(0, burst - len(rates) * REQUEST_UNITS)
     if not total:
-        return {node: ONE + spare // len(rates) for node in rates}
-    return {node: ONE + spare * rate // total for node, rate in rates.items()}
+        return {node: REQUEST_UNITS + spare // len(rates) for node in rates}
+    return {node: REQUEST_UNITS + spare * rate // total for node, rate in rates.items()}
 
 
 def seats(burst: int) -> int:
     """How many nodes can have a grant of at least one request at once."""
-    return max(0, burst // ONE)
+    return max(0, burst // REQUEST_UNITS)
 
 
 def seated(nodes: Sequence[str], count: int, turn: int) -> list[str]:
--- a/oatlink/fleet/limits/ledger.py
+++ b/oatlink/fleet/limits/ledger.py
@@ -11,13 +11,13 @@
 
 from dataclasses import dataclass, field
 
-from oatlink.fleet.limits.allowance import ONE
+from oatlink.fleet.limits.allowance import REQUEST_UNITS
 from oatlink.fleet.limits.division import bursts, divide, seated, seats
 from oatlink.fleet.messages import NEVER_US
 
-MOST_LIVE = 8  # grants told apart a row; beyond that the oldest two count as one, of the larger figures
+MAX_LIVE_GRANTS = 8  # grants told apart a row; beyond that the oldest two count as one, of the larger figures
 TURN_US = 4_000_000  # of a seat, where a burst has fewer requests than nodes ask for it
-LEAST_PART = 16  # a demand counts with at least this part of itself, however much of it the floor serves
+MIN_DEMAND_DIVISOR = 16  # a demand counts with at least this part of itself, however much of it the floor serves
 
 
 @dataclass(slots=True)
@@ -84,10 +84,10 @@
         """A grant as near to the row's due as what is free allows: (rate, burst), both 0 where it would be no use."""
         rate = min(row.due_rate, self.pool_rate - self.rate + row.rate)
         burst = min(row.due_burst, self.pool_burst - self.burst + row.burst)
-        if rate <= 0 or burst < ONE:
+        if rate <= 0 or burst < REQUEST_UNITS:
             rate = burst = 0
         row.live.append(LiveGrant(serial, rate, burst, end_us))
-        if len(row.live) > MOST_LIVE:
+        if len(row.live) > MAX_LIVE_GRANTS:
             old, newer = row.live[0], row.live[1]
             row.live[:2] = [
                 LiveGrant(
@@ -125,7 +125,7 @@
         self._check()
 
     def _lacking(self, demand: int) -> int:
-        return max(demand - self.floor_rate, demand // LEAST_PART)
+        return max(demand - self.floor_rate, demand // MIN_DEMAND_DIVISOR)
 
     def _check(self) -> None:
         # Safety is checked where it runs: a home that cannot count must not go on giving.
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -9,9 +9,10 @@
 - A refused request is told when the buckets could pay, and later by a drawn part of the time that all who were
   refused of late would need: they must not all come back in one instant.
 - A request that costs more than the floor's and a whole pool's bucket can ever hold is told the longest time.
-- Demand is what was asked, admitted or not, a second, weighted over about `MEAN_US`; those who come again count
-  again, so what refusals add is capped at `MOST_DEMAND` times the allowance's rate and at `GROWTH` times what the
-  node may serve: clients that hammer make a small demand look a little larger, and a real one grows by each answer.
+- Demand is what was asked, admitted or not, a second, weighted over about `AVERAGING_US`; those who come again count
+  again, so what refusals add is capped at `MAX_DEMAND_FACTOR` times the allowance's rate and at `MAX_GROWTH_FACTOR`
+  times what the node may serve: clients that hammer make a small demand look a little larger, and a real one grows by
+  each answer.
 
 What a stopped process can do: requests that were admitted before the stop go out after it. They were paid for then.
 State is plain values; an allowance that is not in use for `IDLE_US` has none.
@@ -24,18 +25,18 @@
 import xxhash
 
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
-from oatlink.fleet.limits.allowance import ONE, Allowance, floor_of, pool_of
+from oatlink.fleet.limits.allowance import REQUEST_UNITS, Allowance, floor_of, pool_of
 from oatlink.fleet.limits.buckets import SECOND_US, Bucket
-from oatlink.fleet.limits.coordinator import GRANT_TERM_US, MOST_DEMAND
+from oatlink.fleet.limits.coordinator import GRANT_TERM_US, MAX_DEMAND_FACTOR
 from oatlink.fleet.messages import Demand
 
 PATIENCE_US = 150_000
-SHORTEST_US, LONGEST_US = 1_000, 5_000_000  # of a time to come back
+MIN_RETRY_US, MAX_RETRY_US = 1_000, 5_000_000  # of a time to come back
 IDLE_US = 10_000_000
-MEAN_US = 250_000  # short enough that what has gone elsewhere is given up within a term
-LEAST_SEEN_US = 100_000  # a demand is reckoned over at least so long
-GROWTH = 3.0  # a demand is said to be at most so many times what the node may serve at present
-LEAST_DEMAND = 1.0  # requests a second that an allowance in use is said to be asked for
+AVERAGING_US = 250_000  # short enough that what has gone elsewhere is given up within a term
+MIN_OBSERVED_US = 100_000  # a demand is reckoned over at least so long
+MAX_GROWTH_FACTOR = 3.0  # a demand is said to be at most so many times what the node may serve at present
+MIN_DEMAND_PER_S = 1.0  # requests a second that an allowance in use is said to be asked for
 
 
 @dataclass(slots=True)
@@ -73,17 +74,17 @@
         if use is None:
             return ADMITTED
         if self.nothing:
-            return self._spread(SHORTEST_US, LONGEST_US)
+            return self._spread(MIN_RETRY_US, MAX_RETRY_US)
         passed = now_us - use.asked_us
         if passed > 0:
             if passed >= IDLE_US:
                 use.opened_us = now_us
-            kept = exp(-passed / MEAN_US)
+            kept = exp(-passed / AVERAGING_US)
             use.asked *= kept
             use.refused *= kept
             use.asked_us = now_us
-        need = max(0, cost) * ONE
-        count = 0.0 if again else need * SECOND_US / (ONE * MEAN_US)
+        need = max(0, cost) * REQUEST_UNITS
+        count = 0.0 if again else need * SECOND_US / (REQUEST_UNITS * AVERAGING_US)
         use.asked += count
         level = use.floor.settle(now_us)
         granted = use.grant.settle(now_us) if now_us < use.until_us else 0
@@ -98,29 +99,29 @@
         rate, burst = use.floor.rate, use.floor.burst
         if need > burst + pool_of(self.rules[name], self.nodes)[1]:
             use.asked -= count  # no grant would help: nothing is asked of the home for it
-            return LONGEST_US
+            return MAX_RETRY_US
         live = now_us < use.until_us
         if live:
             rate, burst = rate + use.grant.rate, burst + use.grant.burst
         if rate > 0 and need <= burst:
             wait_us = lacking * SECOND_US // rate + 1
         else:  # a grant may come at any time where there is none
-            wait_us = LONGEST_US // 2 if live else GRANT_TERM_US
+            wait_us = MAX_RETRY_US // 2 if live else GRANT_TERM_US
         if now_us < use.opened_us + PATIENCE_US and (not live or now_us + wait_us <= use.opened_us + PATIENCE_US):
             return HELD
         use.refused += count
         most = self._most(name, use, now_us)
         use.asked, use.refused = min(use.asked, most), min(use.refused, most)
-        behind_us = use.refused * MEAN_US * ONE / rate if rate > 0 else wait_us
+        behind_us = use.refused * AVERAGING_US * REQUEST_UNITS / rate if rate > 0 else wait_us
         return self._spread(wait_us, behind_us)
 
     def _spread(self, wait_us: int, behind_us: float) -> int:
         self.draws += 1
         drawn = xxhash.xxh64_intdigest(self.draws.to_bytes(8, "little"), seed=self.seed & (2**64 - 1)) / 2**64
-        back_us = wait_us + int(drawn * min(behind_us, LONGEST_US))
-        if back_us > LONGEST_US:
-            back_us = LONGEST_US - int(drawn * LONGEST_US / 4)
-        return max(SHORTEST_US, back_us)
+        back_us = wait_us + int(drawn * min(behind_us, MAX_RETRY_US))
+        if back_us > MAX_RETRY_US:
+            back_us = MAX_RETRY_US - int(drawn * MAX_RETRY_US / 4)
+        return max(MIN_RETRY_US, back_us)
 
     def demands(self, now_us: int) -> tuple[Demand, ...]:
         """What was asked of each allowance in use, in requests a second; changes nothing."""
@@ -132,14 +133,16 @@
 
     def _demand(self, name: str, use: AllowanceState, now_us: int) -> float:
         # Before a whole mean's time has passed, what was asked in that time stands for what is asked.
-        seen_us = max(LEAST_SEEN_US, now_us - use.opened_us)
-        asked = use.asked * exp(-max(0, now_us - use.asked_us) / MEAN_US) / (1 - exp(-seen_us / MEAN_US))
-        return min(max(asked, LEAST_DEMAND), self._most(name, use, now_us))
+        seen_us = max(MIN_OBSERVED_US, now_us - use.opened_us)
+        asked = use.asked * exp(-max(0, now_us - use.asked_us) / AVERAGING_US) / (1 - exp(-seen_us / AVERAGING_US))
+        return min(max(asked, MIN_DEMAND_PER_S), self._most(name, use, now_us))
 
     def _most(self, name: str, use: AllowanceState, now_us: int) -> float:
-        most = MOST_DEMAND * self.rules[name][0]
+        most = MAX_DEMAND_FACTOR * self.rules[name][0]
         if use.grant.rate and now_us < use.until_us:
-            most = min(most, max(LEAST_DEMAND, GROWTH * (use.floor.rate + use.grant.rate) / ONE))
+            most = min(
+                most, max(MIN_DEMAND_PER_S, MAX_GROWTH_FACTOR * (use.floor.rate + use.grant.rate) / REQUEST_UNITS)
+            )
         return most
 
     def hear(self, news: Granted, now_us: int) -> None:
@@ -150,7 +153,11 @@
         use = self.active.get(news.name)
         if use is None or self.nothing or news.serial < use.serial or news.until_us <= now_us:
             return
-        rate, burst, until_us = round(news.rate * ONE), round(news.burst * ONE), news.until_us
+        rate, burst, until_us = (
+            round(news.rate * REQUEST_UNITS),
+            round(news.burst * REQUEST_UNITS),
+            news.until_us,
+        )
         if news.serial == use.serial:
             rate, burst = min(rate, use.grant.rate), min(burst, use.grant.burst)
             until_us = min(until_us, use.until_us)
--- a/oatlink/fleet/limits/requester.py
+++ b/oatlink/fleet/limits/requester.py
@@ -19,10 +19,10 @@
 from oatlink.fleet.messages import Demand, Effect, Grants, NotHome, Returned, Tell, Tuned, Want
 
 ASK_US = 250_000  # how often while something is in use: four times a term, so three in a row may be lost
-SOON_US = 20_000  # not more often than this, whatever has become active
-CUT = 0.9  # of the grant before: less than that is told to the home at once
-SILENT_US = 400_000  # without any answer for so long, the shard's lease is worth a look
-MOST_DEMANDS = 256  # a question; more are several
+MIN_ASK_US = 20_000  # not more often than this, whatever has become active
+REDUCED_BELOW = 0.9  # of the grant before: less than that is told to the home at once
+SILENCE_US = 400_000  # without any answer for so long, the shard's lease is worth a look
+MAX_DEMANDS = 256  # a question; more are several
 
 
 @dataclass(slots=True)
@@ -78,9 +78,9 @@
     def due_us(self) -> int:
         """When `look` is next worth calling; it is at once where the gate says that a request is `HELD`."""
         if any(line.cut for line in self._lines):
-            return self._looked_us + SOON_US
+            return self._looked_us + MIN_ASK_US
         next_us = min((line.asked_us for line in self._lines if line.home and line.names), default=self._looked_us)
-        return max(self._looked_us + SOON_US, min(self._looked_us, next_us) + ASK_US - self._spread_us)
+        return max(self._looked_us + MIN_ASK_US, min(self._looked_us, next_us) + ASK_US - self._spread_us)
 
     def look(self, demands: Sequence[Demand], homes: Mapping[int, str], now_us: int) -> list[Effect]:
         """Ask the homes (by shard, as the leases say) for what is in use, where it is time. `demands`: the gate's."""
@@ -111,15 +111,17 @@
         passed = now_us - line.asked_us
         if passed >= ASK_US - self._spread_us:
             return True
-        return passed >= SOON_US and (line.cut or home != line.home or any(one.name not in line.names for one in part))
+        return passed >= MIN_ASK_US and (
+            line.cut or home != line.home or any(one.name not in line.names for one in part)
+        )
 
     def _ask_now(self, shard: int, line: Line, part: list[Demand], now_us: int) -> list[Effect]:
         line.asked_us, line.cut, line.names = now_us, False, frozenset(one.name for one in part)
         effects: list[Effect] = []
-        for start in range(0, len(part), MOST_DEMANDS):
+        for start in range(0, len(part), MAX_DEMANDS):
             self._ask += 1
             self._questions[self._ask] = Question(shard, line.home, now_us)
-            effects.append(Tell(line.home, Want(self._ask, shard, tuple(part[start : start + MOST_DEMANDS]))))
+            effects.append(Tell(line.home, Want(self._ask, shard, tuple(part[start : start + MAX_DEMANDS]))))
         return effects
 
     def receive(self, sender: str, message: Grants | NotHome, now_us: int) -> list[Effect]:
@@ -142,7 +144,7 @@
             until_us = question.asked_us + min(grant.term_us, GRANT_TERM_US)
             if until_us <= now_us or shard_of(grant.name) != message.shard or (held and held.serial >= grant.serial):
                 continue
-            line.cut = line.cut or (held is not None and grant.rate < CUT * held.rate)
+            line.cut = line.cut or (held is not None and grant.rate < REDUCED_BELOW * held.rate)
             self._held[grant.name] = Held(
                 message.shard, sender, grant.serial, grant.rate, grant.burst, until_us, now_us
             )
@@ -154,7 +156,7 @@
         return tuple(
             shard
             for shard, line in enumerate(self._lines)
-            if line.waits_us >= 0 and (line.astray or not line.home or now_us - line.waits_us >= SILENT_US)
+            if line.waits_us >= 0 and (line.astray or not line.home or now_us - line.waits_us >= SILENCE_US)
         )
 
     def leaving(self, now_us: int) -> list[Effect]:
--- a/oatlink/fleet/membership/suspicion.py
+++ b/oatlink/fleet/membership/suspicion.py
@@ -7,7 +7,7 @@
 - A node that came back under its name has a new incarnation. Incarnations are drawn at random and have no order, so the
   one that spoke last counts: it has nothing of what the old one had, its leaving included.
 - Hysteresis. The first return is taken at its word; one more within `CALM_US` counts only after a time without another,
-  `HOLD_US`, twice that the next time, `MOST_HOLD_US` at most. Threat: a link that works one way only, or a process that
+  `HOLD_US`, twice that the next time, `MAX_HOLD_US` at most. Threat: a link that works one way only, or a process that
   dies each second: it would be chosen and lost over and over. A node that restarts once is back at once.
 """
 
@@ -15,7 +15,7 @@
 
 CALM_US = 60_000_000
 HOLD_US = 2_000_000
-MOST_HOLD_US = 30_000_000
+MAX_HOLD_US = 30_000_000
 
 
 @dataclass(slots=True)
@@ -61,4 +61,4 @@
         self.returns = min(self.returns + 1, 16)
         self.return_us = now_us
         if self.returns > 1:
-            self.trusted_us = now_us + min(MOST_HOLD_US, HOLD_US << (self.returns - 2))
+            self.trusted_us = now_us + min(MAX_HOLD_US, HOLD_US << (self.returns - 2))
--- a/oatlink/fleet/membership/view.py
+++ b/oatlink/fleet/membership/view.py
@@ -5,7 +5,7 @@
 it.
 
 Every message received counts (`heard`). Besides, a node says `Alive` each `ALIVE_US`, give or take a tenth, to
-`FAN_OUT` others, with how long ago it heard of `MOST_WORDS` more, the newest first: at most `FAN_OUT` messages of under
+`FAN_OUT` others, with how long ago it heard of `MAX_HEARD` more, the newest first: at most `FAN_OUT` messages of under
 1,200 bytes in that time, whatever the number of nodes. `patience_us(nodes)` is how long to wait for word of a node: a
 few `ALIVE_US` for what is lost, one for each doubling of the nodes for the steps, and 25 times what its turn among the
 words takes in the mean, so that none that lives is missed in a long while: 18 s at 5 nodes, 30 at 50, 94 at 500. One
@@ -24,16 +24,16 @@
 
 ALIVE_US = 2_000_000
 FAN_OUT = 3
-MOST_WORDS = 128
-LEAVE_TO = 16  # whom a node tells that it is leaving; the others find its link closed
+MAX_HEARD = 128
+MAX_LEAVE_MESSAGES = 16  # whom a node tells that it is leaving; the others find its link closed
 HOP_US = 100_000
 QUIET_US = 8 * ALIVE_US  # with no word from anybody we are cut off
-MOST_AGE_MS = 1 << 31
+MAX_AGE_MS = 1 << 31
 
 
 def patience_us(nodes: int) -> int:
     """How long to wait for word of a node before it counts as silent."""
-    return ALIVE_US * (6 + max(0, nodes - 1).bit_length() + 25 * nodes // (FAN_OUT * MOST_WORDS))
+    return ALIVE_US * (6 + max(0, nodes - 1).bit_length() + 25 * nodes // (FAN_OUT * MAX_HEARD))
 
 
 class View:
@@ -77,8 +77,8 @@
         self.heard(sender, alive.incarnation, now_us)
         if alive.leaving:
             self._others[sender].left = True
-        for place, age_ms in alive.heard[:MOST_WORDS]:
-            if 0 <= place < len(self._names) and 0 <= age_ms < MOST_AGE_MS and self._names[place] in self._others:
+        for place, age_ms in alive.heard[:MAX_HEARD]:
+            if 0 <= place < len(self._names) and 0 <= age_ms < MAX_AGE_MS and self._names[place] in self._others:
                 self._others[self._names[place]].told(now_us - self._grown(age_ms * 1_000) - HOP_US)
 
     def alive(self, now_us: int) -> tuple[str, ...]:
@@ -112,7 +112,7 @@
     def leave(self, now_us: int) -> list[Effect]:
         """The node itself is about to stop in an orderly way."""
         there = self.alive(now_us)
-        to = self._draw.sample(there, min(len(there), LEAVE_TO))
+        to = self._draw.sample(there, min(len(there), MAX_LEAVE_MESSAGES))
         return [Tell(name, Alive(self._incarnation, True)) for name in to]
 
     def _words(self, there: tuple[str, ...], now_us: int) -> tuple[tuple[int, int], ...]:
@@ -121,7 +121,7 @@
         Threat: a node that never was there, kept alive by each one that starts and gives it the benefit of the doubt.
         """
         known = [name for name in there if self._others[name].known]
-        some = nsmallest(MOST_WORDS, known, key=lambda name: now_us - self._others[name].heard_us)
+        some = nsmallest(MAX_HEARD, known, key=lambda name: now_us - self._others[name].heard_us)
         return tuple((self._place[n], self._grown(now_us - self._others[n].heard_us) // 1_000 + 1) for n in some)
 
     def _grown(self, age_us: int) -> int:
--- a/oatlink/fleet/registers/ballots.py
+++ b/oatlink/fleet/registers/ballots.py
@@ -7,28 +7,28 @@
 from oatlink.fleet.messages import MAX_KEY_BYTES, MAX_VALUE_BYTES, Ballot, Record
 
 NOTHING = Ballot()
-MOST_COUNTER = 2**60  # threat: one wrong counter that leaves no room above it, for ever
-MOST_WRITER = 256  # bytes
-MOST_FENCE = 2**60
+MAX_COUNTER = 2**60  # threat: one wrong counter that leaves no room above it, for ever
+MAX_WRITER_BYTES = 256  # bytes
+MAX_FENCE = 2**60
 
 
 def above(counter: int, node: str, incarnation: int) -> Ballot:
     """The lowest ballot of a proposer that is higher than all with this counter."""
-    return Ballot(min(counter, MOST_COUNTER - 1) + 1, node, incarnation)
+    return Ballot(min(counter, MAX_COUNTER - 1) + 1, node, incarnation)
 
 
 def usable(ballot: Ballot) -> bool:
     """Whether a try may bear this ballot."""
-    return 0 < ballot.counter <= MOST_COUNTER
+    return 0 < ballot.counter <= MAX_COUNTER
 
 
 def fits(record: Record) -> bool:
     """Whether a keeper may be asked to hold this record."""
     return (
-        0 <= record.fence <= MOST_FENCE
+        0 <= record.fence <= MAX_FENCE
         and len(record.value) <= MAX_VALUE_BYTES
-        and len(record.writer) <= MOST_WRITER
-        and len(record.writer.encode(errors="replace")) <= MOST_WRITER
+        and len(record.writer) <= MAX_WRITER_BYTES
+        and len(record.writer.encode(errors="replace")) <= MAX_WRITER_BYTES
     )
 
 
--- a/oatlink/fleet/registers/proposer.py
+++ b/oatlink/fleet/registers/proposer.py
@@ -4,8 +4,8 @@
 
 Each key has one attempt at a time; others wait in its line. An attempt that is outbid waits a random time, longer each
 time, so that of many one gets through. Who does not answer is asked again. After `PATIENCE_US` the answer is `unknown`.
-Bounds: `MOST_LINES` keys with something under way, `MOST_WAITING` in each line, `MOST_GRANTED` ballots granted ahead;
-what does not fit is answered `unknown` at once, and has not happened.
+Bounds: `MAX_ACTIVE_KEYS` keys with something under way, `MAX_QUEUED_PER_KEY` in each line, `MAX_GRANTED_BALLOTS`
+ballots granted ahead; what does not fit is answered `unknown` at once, and has not happened.
 
 An incarnation must never be used again by a node of this name: ballots and writers are unique only by it.
 """
@@ -31,15 +31,18 @@
     Tell,
 )
 from oatlink.fleet.registers.attempt import ACCEPTING, LOOKING, PREPARING, READ, WAITING, Attempt
-from oatlink.fleet.registers.ballots import MOST_COUNTER, above, names
+from oatlink.fleet.registers.ballots import MAX_COUNTER, above, names
 from oatlink.fleet.registers.quorum import Vote, majority
 
 PATIENCE_US = 1_500_000
-RESEND_US, LONGEST_US = 150_000, 600_000  # until who did not answer is asked again
+RESEND_US, MAX_RESEND_US = 150_000, 600_000  # until who did not answer is asked again
 SETTLE_US = 20_000  # a round that a lone keeper has spoilt may still be saved by the others until then
-BACK_US, BACK_DOUBLED = 4_000, 5  # the longest wait after the first time outbid; how often it doubles
-AHEAD, AHEAD_DOUBLED = 4, 8  # ballots that a try passes over after the first time outbid; how often it doubles
-MOST_LINES, MOST_WAITING, MOST_GRANTED = 1_024, 64, 1_024
+BACKOFF_US, MAX_BACKOFF_DOUBLINGS = 4_000, 5  # the longest wait after the first time outbid; how often it doubles
+SKIPPED_BALLOTS, MAX_SKIP_DOUBLINGS = (
+    4,
+    8,
+)  # ballots that a try passes over after the first time outbid; how often it doubles
+MAX_ACTIVE_KEYS, MAX_QUEUED_PER_KEY, MAX_GRANTED_BALLOTS = 1_024, 64, 1_024
 
 
 class Proposer:
@@ -83,7 +86,7 @@
         if not isinstance(message, Looked | Promise | Accepted | Outbid) or sender not in self._keepers:
             return []
         line = self._lines.get(message.key)
-        if isinstance(message, Outbid) and message.promised.counter <= MOST_COUNTER:
+        if isinstance(message, Outbid) and message.promised.counter <= MAX_COUNTER:
             self._counter = max(self._counter, message.promised.counter)
         if line is None or message.ballot != line[0].ballot or sender in line[0].votes:
             return []
@@ -107,7 +110,7 @@
 
     def _ask(self, one: Attempt, now_us: int) -> list[Effect]:
         line = self._lines.get(one.key)
-        full = len(self._lines) >= MOST_LINES if line is None else len(line) >= MOST_WAITING
+        full = len(self._lines) >= MAX_ACTIVE_KEYS if line is None else len(line) >= MAX_QUEUED_PER_KEY
         if full or not names(one.key) or len(one.value) > MAX_VALUE_BYTES:
             return [_answer(one, "unknown", Record())]
         if line is not None:
@@ -158,7 +161,7 @@
             return []
         if one.granted(self._need):
             self._granted[one.key] = one.next, one.record
-            if len(self._granted) > MOST_GRANTED:
+            if len(self._granted) > MAX_GRANTED_BALLOTS:
                 self._granted.popitem(last=False)
         return self._end(one, one.how, one.record, now_us)
 
@@ -171,9 +174,9 @@
     def _back(self, one: Attempt, now_us: int) -> list[Effect]:
         # Threat: two that outbid one another for ever. Each waits a time drawn by itself, longer each time.
         one.step = WAITING
-        one.due_us = now_us + 1 + self._rng.randrange(BACK_US << min(one.tries, BACK_DOUBLED))
+        one.due_us = now_us + 1 + self._rng.randrange(BACKOFF_US << min(one.tries, MAX_BACKOFF_DOUBLINGS))
         # Threat: one that has its next ballot granted and is always a step ahead. The next try is well above it.
-        self._counter = min(self._counter + (AHEAD << min(one.tries, AHEAD_DOUBLED)), MOST_COUNTER - 1)
+        self._counter = min(self._counter + (SKIPPED_BALLOTS << min(one.tries, MAX_SKIP_DOUBLINGS)), MAX_COUNTER - 1)
         one.tries += 1
         return []
 
@@ -188,7 +191,7 @@
         return self._send(one, now_us, again=True)
 
     def _send(self, one: Attempt, now_us: int, again: bool = False) -> list[Effect]:
-        one.pause_us = min(2 * one.pause_us, LONGEST_US) if again else RESEND_US
+        one.pause_us = min(2 * one.pause_us, MAX_RESEND_US) if again else RESEND_US
         one.due_us = now_us + one.pause_us
         message: Message = Look(one.key, one.ballot)
         if one.step == PREPARING:
--- a/oatlink/fleet/registers/recovery.py
+++ b/oatlink/fleet/registers/recovery.py
@@ -60,12 +60,14 @@
 from oatlink.fleet.registers.quorum import Vote, majority, sound
 from oatlink.fleet.registers.voting import Voting, joined
 
-PAGE_BYTES = 12_000  # a page has one register at least
-PAGE_KEYS = 64
-CHUNK = 256  # registers in one `Keep`
+MAX_PAGE_BYTES = 12_000  # a page has one register at least
+MAX_PAGE_REGISTERS = 64
+REGISTERS_PER_KEEP = 256  # registers in one `Keep`
 ASK_US = 200_000  # between questions to one that does not answer; twice as long each time
-LONGEST_US = 2_000_000
-TRUST_US = 3_000_000  # asked for by an operator's word: time for the others to tell a newer life, and what they have
+MAX_ASK_US = 2_000_000
+TRUSTED_ASK_US = (
+    3_000_000  # asked for by an operator's word: time for the others to tell a newer life, and what they have
+)
 
 
 @dataclass(slots=True)
@@ -102,11 +104,11 @@
         if self._voting.standing.begun or now_us < self.due_us:
             return []
         if self._trusted:
-            self._trust_us = min(self._trust_us, now_us + TRUST_US)
+            self._trust_us = min(self._trust_us, now_us + TRUSTED_ASK_US)
             if now_us >= self._trust_us or not self._others:
                 return self._begin({}, "by an operator's word")
         self.due_us = now_us + self._pause_us + self._rng.randrange(ASK_US // 2)
-        self._pause_us = min(2 * self._pause_us, LONGEST_US)
+        self._pause_us = min(2 * self._pause_us, MAX_ASK_US)
         waiting = [one for one in self._others if one not in self._sources or not self._sources[one].done]
         # Its own life is on disk before it tells it: one that is told and forgotten is a life more for everyone.
         return [Keep((), tuple(self._question(one) for one in waiting), self._voting.standing)]
@@ -147,7 +149,7 @@
         for key in sorted(one for one in registers if one > after):
             record = registers[key].record
             size += 300 + len(key) + len(record.writer) + len(record.value)
-            if page and (size > PAGE_BYTES or len(page) >= PAGE_KEYS):
+            if page and (size > MAX_PAGE_BYTES or len(page) >= MAX_PAGE_REGISTERS):
                 return tuple(page), False
             page.append(registers[key])
         return tuple(page), True
@@ -205,7 +207,7 @@
 
     def _begin(self, met: dict[str, Met], how: str) -> list[Effect]:
         kept = list(self._voting.registers.values())
-        chunks = [tuple(kept[at : at + CHUNK]) for at in range(0, len(kept), CHUNK)]
+        chunks = [tuple(kept[at : at + REGISTERS_PER_KEEP]) for at in range(0, len(kept), REGISTERS_PER_KEEP)]
         all_met = {one.keeper: one for one in self._voting.standing.met} | met
         standing = Standing(self._voting.standing.life, begun=True, met=tuple(all_met.values()))
         self._voting.standing = standing
--- a/oatlink/fleet/registers/voting.py
+++ b/oatlink/fleet/registers/voting.py
@@ -9,8 +9,8 @@
 (an empty one, if need be), and never shows what a crash can take back. `Outbid` alone goes at once: it is no vote, a
 proposer only learns from it what to outbid.
 
-A keeper that has not begun (`recovery`) says nothing. Memory is bounded by `MOST_KEYS` registers of `MAX_VALUE_BYTES`
-bytes.
+A keeper that has not begun (`recovery`) says nothing. Memory is bounded by `MAX_REGISTERS` registers of
+`MAX_VALUE_BYTES` bytes.
 """
 
 from collections.abc import Iterable
@@ -34,16 +34,16 @@
 )
 from oatlink.fleet.registers.ballots import NOTHING, fits, names, usable
 
-MOST_KEYS = 4_096
+MAX_REGISTERS = 4_096
 
 
 class Voting:
     """The registers of one keeper and its votes. `standing` is set by `recovery` alone."""
 
-    def __init__(self, kept: Iterable[Kept], standing: Standing, most_keys: int = MOST_KEYS) -> None:
+    def __init__(self, kept: Iterable[Kept], standing: Standing, max_registers: int = MAX_REGISTERS) -> None:
         self.registers = {one.key: one for one in kept}
         self.standing = standing
-        self._most_keys = most_keys
+        self._most_keys = max_registers
         self._noted: dict[str, None] = {}
 
     @property
--- a/oatlink/lab/fleetsim/judge_limits.py
+++ b/oatlink/lab/fleetsim/judge_limits.py
@@ -11,7 +11,7 @@
 
 from oatlink.fleet.gate import Granted
 from oatlink.fleet.gating import TENANT, allowances_of
-from oatlink.fleet.limits.allowance import ONE, floor_of
+from oatlink.fleet.limits.allowance import REQUEST_UNITS, floor_of
 from oatlink.lab.fleetsim import views
 from oatlink.lab.fleetsim.violation import Violation
 
@@ -76,7 +76,10 @@
         floors = {name: floor_of(rule, len(world.names)) for name, rule in self._rules.items()}
         count = len(world.names)
         self._pools = {
-            name: (int(rule[0] * ONE) - count * floors[name][0], int(rule[1] * ONE) - count * floors[name][1])
+            name: (
+                int(rule[0] * REQUEST_UNITS) - count * floors[name][0],
+                int(rule[1] * REQUEST_UNITS) - count * floors[name][1],
+            )
             for name, rule in self._rules.items()
         }
         self._live: dict[str, dict[Process, tuple[int, int, int]]] = {}
--- a/oatlink/lab/scale/nodes.py
+++ b/oatlink/lab/scale/nodes.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, MOST_WORDS
+from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, MAX_HEARD
 from oatlink.fleet.parts.verdicts import Verdicts
 from oatlink.lab.fleetsim.links import Links
 from oatlink.lab.fleetsim.time import Timeline
@@ -112,7 +112,7 @@
         count = len(self.names)
         sender = draw.randrange(count)
         if sender not in self.cores and to in self.cores:
-            places = draw.sample(range(count), min(MOST_WORDS, count - 1))
+            places = draw.sample(range(count), min(MAX_HEARD, count - 1))
             words = tuple((place, 1 + draw.randrange(ALIVE_US // 1_000)) for place in places)
             self._arrives(self.names[sender], to, f.Alive(draw.getrandbits(48), False, words))
         self.time.after(1 + round(draw.expovariate(FAN_OUT / ALIVE_US)), self._represented, to, draw)
--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_sabotage.py
@@ -74,7 +74,7 @@
 )
 put("a_twin_has_floors", ("limits", "alone", 8), gates.Allowances, alone=lambda self: None)
 put("a_lease_is_never_over", ("limits", "settles", 3), Observer, wait_us=lambda self, term_us: 1 << 40)
-put("a_keeper_asks_once", ("keepers", "settles", 0), recovery, LONGEST_US=f.NEVER_US, ASK_US=1 << 40)
+put("a_keeper_asks_once", ("keepers", "settles", 0), recovery, MAX_ASK_US=f.NEVER_US, ASK_US=1 << 40)
 
 
 @instead_of(coordinator.LimitCoordinator, "_term_us", ("limits", "rights", 8))
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
-from oatlink.fleet.limits.allowance import ONE
+from oatlink.fleet.limits.allowance import REQUEST_UNITS
 from oatlink.fleet.limits.coordinator import LimitCoordinator
 from oatlink.fleet.limits.node import Allowances
 from oatlink.fleet.limits.requester import GrantRequester
@@ -171,7 +171,7 @@
                     live = one.clock(self.now) < use.until_us
                     rates += use.floor.rate + (use.grant.rate if live else 0)
                     bursts += use.floor.burst + (use.grant.burst if live else 0)
-            self.rights = max(self.rights, rates / (rate * ONE), bursts / (burst * ONE))
+            self.rights = max(self.rights, rates / (rate * REQUEST_UNITS), bursts / (burst * REQUEST_UNITS))
 
     def act(self, one: Machine) -> None:
         waiting, one.waiting = one.waiting, []
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.leases.holder import MOST_BODY, Holder
-from oatlink.fleet.leases.observer import LONGEST_TERM_US, Lease, Observer, read_lease
+from oatlink.fleet.leases.holder import MAX_BODY_BYTES, Holder
+from oatlink.fleet.leases.observer import MAX_TERM_US, Lease, Observer, read_lease
 from tests.fleet import registers_world as registers
 from tests.fleet.leases_world import MS, TERM_US, World
 
@@ -119,7 +119,7 @@
 # ---- The reckoning ----
 
 
-@given(st.integers(1, LONGEST_TERM_US), st.floats(0, 0.1), st.integers(-(10**6), 10**6))
+@given(st.integers(1, MAX_TERM_US), st.floats(0, 0.1), st.integers(-(10**6), 10**6))
 def test_the_fastest_watcher_waits_for_the_slowest_holder(term_us: int, drift: float, offset: int) -> None:
     # The holder asked, its change was made and seen, all at true time 0, the tightest there is.
     observer = Observer(drift)
@@ -140,7 +140,7 @@
 
 
 def test_terms_out_of_bounds_are_not_read() -> None:
-    for term_us in (0, -1, LONGEST_TERM_US + 1):
+    for term_us in (0, -1, MAX_TERM_US + 1):
         assert read_lease(msgspec.msgpack.encode(Lease("n", 1, 1, term_us))) is None
 
 
@@ -215,7 +215,7 @@
 
 def test_a_release_in_the_middle_of_a_renewal_is_asked_for_after_it() -> None:
     one, change = taken()
-    one.body = b"v" * (MOST_BODY + 1)
+    one.body = b"v" * (MAX_BODY_BYTES + 1)
     one.answered(answer(change, "changed", 1, change.value), one._waiting_us)
     note, renewal = one.tick(one.due_us)
     assert isinstance(note, f.Note) and isinstance(renewal, f.Change)
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -9,7 +9,7 @@
 
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
 from oatlink.fleet.limits import buckets, coordinator, ledger, node, requester, shards
-from oatlink.fleet.limits.allowance import ONE, floor_of, pool_of
+from oatlink.fleet.limits.allowance import REQUEST_UNITS, floor_of, pool_of
 from oatlink.fleet.limits.division import bursts, divide, seated
 from oatlink.fleet.limits.tenants import Tenants
 from oatlink.fleet.messages import NEVER_US, Demand, Grant, Grants, Returned, Tell, Tuned, Want
@@ -167,8 +167,8 @@
         assert all(parts[one] >= max(parts.values()) - 12 for one, demand in demands if parts[one] < demand)
     else:
         assert all(parts[one] >= demand for one, demand in demands)
-    levels = bursts(burst * ONE, parts)
-    assert sum(levels.values()) <= burst * ONE and min(levels.values()) >= ONE
+    levels = bursts(burst * REQUEST_UNITS, parts)
+    assert sum(levels.values()) <= burst * REQUEST_UNITS and min(levels.values()) >= REQUEST_UNITS
     for count in range(1, len(asked)):  # nobody starves where there are fewer seats than nodes
         turns = range(turn, turn - (-len(asked) // count))
         assert {one for at in turns for one in seated(list(parts), count, at)} == set(parts)
@@ -177,7 +177,7 @@
 @given(st.tuples(st.floats(0.001, 1e9), st.floats(1, 1e9), st.floats(0, 1)), st.integers(1, 4_096))
 def test_floors_and_pool_are_the_whole(allowance: tuple[float, float, float], nodes: int) -> None:
     for floor, pool, whole in zip(floor_of(allowance, nodes), pool_of(allowance, nodes), allowance[:2], strict=True):
-        assert floor >= 0 <= pool and -1 < Fraction(whole) * ONE - (nodes * floor + pool) < 2
+        assert floor >= 0 <= pool and -1 < Fraction(whole) * REQUEST_UNITS - (nodes * floor + pool) < 2
 
 
 # ---- Parts ----
@@ -185,17 +185,27 @@
 
 @given(st.lists(st.tuples(st.integers(0, 10**6), st.integers(0, 10**8), st.integers(0, 10**7), st.integers(0, 3))))
 def test_a_bucket_is_exact_and_tells_when_to_come(steps: list[tuple[int, int, int, int]]) -> None:
-    bucket, level, rate, burst, now = buckets.Bucket(7, 3 * ONE, 0), Fraction(0), 7, 3 * ONE, 0
+    bucket, level, rate, burst, now = (
+        buckets.Bucket(7, 3 * REQUEST_UNITS, 0),
+        Fraction(0),
+        7,
+        3 * REQUEST_UNITS,
+        0,
+    )
     for passed, new_rate, new_burst, cost in steps:
         now += passed
         level = min(level + Fraction(rate * passed, 10**6), Fraction(burst))
         if cost:
             wait = bucket.wait_us(cost, now)
             if 0 < wait < NEVER_US:
-                assert level + Fraction(rate * (wait - 1), 10**6) < cost * ONE <= level + Fraction(rate * wait, 10**6)
+                assert (
+                    level + Fraction(rate * (wait - 1), 10**6)
+                    < cost * REQUEST_UNITS
+                    <= level + Fraction(rate * wait, 10**6)
+                )
             taken = bucket.take(cost, now)
-            assert taken == (level >= cost * ONE) == (wait == 0)
-            level -= cost * ONE if taken else 0
+            assert taken == (level >= cost * REQUEST_UNITS) == (wait == 0)
+            level -= cost * REQUEST_UNITS if taken else 0
         rate, burst = new_rate, new_burst
         bucket.set(rate, burst, now)
         level = min(level, Fraction(burst))
@@ -227,7 +237,7 @@
     for now in range(0, 900_000, 1_000):  # a node that floods has a bounded row, and its lost answers all count
         _asked(one, "n0", now, Demand("a", 500.0))
     book = one._ledgers["a"]
-    assert len(book.rows["n0"].live) <= ledger.MOST_LIVE
+    assert len(book.rows["n0"].live) <= ledger.MAX_LIVE_GRANTS
     assert _asked(one, "n1", 900_000, Demand("a", 500.0)).grants[0].rate == 0
     assert _asked(one, "n0", 960_000, Demand("a", 500.0, 2**62)).grants[0].rate < 401  # cut, but not yet free
     assert _asked(one, "n1", 960_000, Demand("a", 500.0)).grants[0].rate == 0
@@ -263,7 +273,7 @@
     assert isinstance(first, Tell) and isinstance(first.message, Want) and one.due_us <= requester.ASK_US
     ask = first.message.ask
     assert one.look(demands, homes, 10_000) == [] == list(one.unanswered(10_000))
-    assert shard in one.unanswered(requester.SILENT_US)
+    assert shard in one.unanswered(requester.SILENCE_US)
 
     def answer(serial: int, fence: int = 1, number: int = ask) -> Grants:
         return Grants(number, shard, fence, (Grant("a", serial, 9.0, 2.0, 2 * TERM), Grant("zz", 1, 9.0, 2.0, TERM)))
@@ -295,16 +305,16 @@
     assert gate.admit("a", 1, 0) == HELD and gate.demands(0)[0].serial == 0
     assert gate.admit("a", 1, node.PATIENCE_US) > 0
     assert gate.admit("a", 1, 200_000) == ADMITTED  # 0.1 x 100 / 2 a second
-    assert gate.admit("a", 20, 200_000) == node.LONGEST_US  # nobody can ever hold so much here
+    assert gate.admit("a", 20, 200_000) == node.MAX_RETRY_US  # nobody can ever hold so much here
     gate.hear(Granted("a", 1, 50.0, 4.0, 1_000_000), 200_000)
     gate.hear(Granted("a", 2, 50.0, 2.0, 900_000), 260_000)  # 3 are there, 2 stay
     gate.hear(Granted("a", 1, 90.0, 9.0, 2_000_000), 260_000)  # overtaken
     gate.hear(Granted("a", 2, 90.0, 9.0, 2_000_000), 260_000)  # the same again gives nothing
-    assert (gate.active["a"].grant.burst, gate.active["a"].until_us) == (2 * ONE, 900_000)
+    assert (gate.active["a"].grant.burst, gate.active["a"].until_us) == (2 * REQUEST_UNITS, 900_000)
     assert [gate.admit("a", 1, 260_000) for _ in range(2)] == [ADMITTED] * 2
     backs = [gate.admit("a", 1, 260_000) for _ in range(200)]
-    assert all(node.SHORTEST_US <= back <= node.LONGEST_US for back in backs) and len(set(backs)) > 100
-    assert gate.demands(260_000)[0].rate <= node.GROWTH * 55
+    assert all(node.MIN_RETRY_US <= back <= node.MAX_RETRY_US for back in backs) and len(set(backs)) > 100
+    assert gate.demands(260_000)[0].rate <= node.MAX_GROWTH_FACTOR * 55
     gate.hear(Granted("a", 3, 50.0, 9.0, 3_000_000), 2_000_000)  # the one before is over: a new bucket, empty
     assert gate.active["a"].grant.level == 0 and _plain(gate)
     assert gate.admit("b", 1, 20_000_000) == HELD and list(gate.active) == ["b"]  # what is idle is dropped
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from oatlink.fleet.membership import view
-from oatlink.fleet.membership.suspicion import CALM_US, MOST_HOLD_US, Suspicion
+from oatlink.fleet.membership.suspicion import CALM_US, MAX_HOLD_US, Suspicion
 from oatlink.fleet.membership.view import ALIVE_US, FAN_OUT, QUIET_US, View, patience_us
 from oatlink.fleet.messages import Alive, Tell
 
@@ -135,7 +135,7 @@
         node.failed = True
         node.heard(1, n * 1_000_000, 10**9)
         counted += node.there(n * 1_000_000, 10**9)
-    assert node.there((returns * 1_000_000) + MOST_HOLD_US, 10**9)
+    assert node.there((returns * 1_000_000) + MAX_HOLD_US, 10**9)
     node.failed = True
     node.heard(1, 3 * CALM_US, 10**9)
     assert node.there(3 * CALM_US, 10**9)  # a long calm, and it is trusted at once again
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -243,7 +243,7 @@
 
 
 def test_what_does_not_fit_is_dropped_and_told_once() -> None:
-    core = voting.Voting((), f.Standing(1, begun=True), most_keys=2)
+    core = voting.Voting((), f.Standing(1, begun=True), max_registers=2)
     ballot = f.Ballot(1, "p", 1)
     said: list[f.Effect] = []
     for number in range(10):
@@ -262,14 +262,14 @@
 
 def test_a_line_is_bounded_and_patience_ends() -> None:
     core = Proposer("p", 1, (A, B, C), 1)
-    said = [core.read(ask, "x", ask) for ask in range(proposer.MOST_WAITING + 1)]
+    said = [core.read(ask, "x", ask) for ask in range(proposer.MAX_QUEUED_PER_KEY + 1)]
     assert [answers(one) for one in said if answers(one)] == [[("unknown", 0, b"")]]
     assert answers(core.change(1, "y", 0, b"v" * 8_193, 0)) == [("unknown", 0, b"")]
     ended = 0
     while core.due_us < f.NEVER_US:
-        assert core.due_us <= proposer.PATIENCE_US + proposer.MOST_WAITING
+        assert core.due_us <= proposer.PATIENCE_US + proposer.MAX_QUEUED_PER_KEY
         ended += len(answers(core.tick(core.due_us)))
-    assert ended == proposer.MOST_WAITING
+    assert ended == proposer.MAX_QUEUED_PER_KEY
 
 
 def test_many_that_contend_get_through() -> None:
