--- a/oatlink/fleet/gating.py
+++ b/oatlink/fleet/gating.py
@@ -1,4 +1,4 @@
-"""The gate of a gateway in a fleet: its tenants, allowances and layouts behind one seam. No I/O."""
+"""The gate of a gateway in a fleet: tenants, allowances and layouts behind the `Gate` interface. No I/O."""
 
 import random
 from collections.abc import Iterable
@@ -16,16 +16,19 @@
 
 TENANT = "tenant/"
 DIALS = "dials/"
-DIAL_AGAIN_US = 20_000  # while a grant is asked for
+DIAL_AGAIN_US = 20_000  # until the next attempt to dial while a grant is being requested
 
 
 def allowances_of(fleet: Fleet, members: Iterable[str]) -> dict[str, Allowance]:
-    """All that is divided: rate a second, burst, and the share that is every node's own, by name."""
-    found: dict[str, Allowance] = {TENANT + one.name: (one.rate, one.burst, one.floor) for one in fleet.tenants}
+    """Return all allowances by name: those of the tenants, and that of the dials to each member."""
+    allowances: dict[str, Allowance] = {
+        TENANT + tenant.name: (tenant.rate, tenant.burst, tenant.floor) for tenant in fleet.tenants
+    }
     if fleet.members.dials_per_s:
         limits = fleet.members
-        found |= {DIALS + one: (limits.dials_per_s, limits.dials_burst, limits.floor) for one in members}
-    return found
+        dials = limits.dials_per_s, limits.dials_burst, limits.floor
+        allowances |= {DIALS + member: dials for member in members}
+    return allowances
 
 
 class FleetGate:
@@ -36,7 +39,7 @@
     def __init__(self, fleet: Fleet, members: Iterable[str], seed: int) -> None:
         self._tenants = Tenants(fleet.tenants)
         self._allowances = Allowances(allowances_of(fleet, members), len(fleet.nodes), seed)
-        self._dials = fleet.members.dials_per_s > 0
+        self._limits_dials = fleet.members.dials_per_s > 0
         self._layouts = None if fleet.versions is None else Layouts(fleet.versions.word, seed)
 
     def admit(
@@ -66,7 +69,7 @@
 
     def dial(self, member: str, now_us: int) -> int:
         """See `Gate.dial`."""
-        back_us = self._allowances.admit(DIALS + member, 1, now_us) if self._dials else ADMITTED
+        back_us = self._allowances.admit(DIALS + member, 1, now_us) if self._limits_dials else ADMITTED
         return back_us if back_us >= 0 else DIAL_AGAIN_US
 
     def hear(self, news: AnyNews, now_us: int) -> bool:
@@ -87,24 +90,25 @@
 
     def remembered(self) -> object:
         """See `Gate.remembered`."""
-        held, layouts = self._allowances, self._layouts
+        allowances, layouts = self._allowances, self._layouts
         drawn = served = None
         if layouts is not None:
             version, numbers, gauss = layouts.random.getstate()
             drawn, served = [version, list(numbers), gauss], msgspec.to_builtins(layouts.served)
-        active = {name: msgspec.to_builtins(one) for name, one in held.active.items()}
-        return [active, held.draws, held.swept_us, held.nothing, drawn, served]
+        active = {name: msgspec.to_builtins(state) for name, state in allowances.active.items()}
+        return [active, allowances.draws, allowances.swept_us, allowances.is_suspended, drawn, served]
 
     def recall(self, value: object) -> None:
         """See `Gate.recall`."""
-        read: tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None] = msgspec.convert(
+        stored: tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None] = msgspec.convert(
             value, tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None]
         )
-        held = self._allowances
-        held.active, held.draws, held.swept_us, held.nothing = read[:4]
-        if self._layouts is not None and read[4] is not None:
-            version, numbers, gauss = read[4]
+        allowances = self._allowances
+        allowances.active, allowances.draws, allowances.swept_us, allowances.is_suspended = stored[:4]
+        random_state, served = stored[4:]
+        if self._layouts is not None and random_state is not None:
+            version, numbers, gauss = random_state
             self._layouts.random = random.Random()
             self._layouts.random.setstate((version, tuple(numbers), gauss))
-            if read[5] is not None:
-                self._layouts.hear(read[5])
+            if served is not None:
+                self._layouts.hear(served)
--- a/oatlink/fleet/limits/__init__.py
+++ b/oatlink/fleet/limits/__init__.py
@@ -1,1 +1,1 @@
-"""An allowance, divided among nodes and held by each. No I/O."""
+"""Rate limits: an allowance is divided among the nodes, and each node enforces its part. No I/O."""
--- a/oatlink/fleet/limits/buckets.py
+++ b/oatlink/fleet/limits/buckets.py
@@ -1,14 +1,15 @@
 """A token bucket in whole numbers. No I/O, no clock.
 
-Why buckets that keep to this file bound a whole fleet. Tokens come into being by time passing at a bucket's rate and
-in no other way: a new bucket is empty, one that grows keeps its level, one that shrinks is cut. A level never exceeds
-the bucket's burst. So whatever buckets there are at the beginning of a window hold at most the sum of their bursts,
-and what is added during the window is at most the integral of the sum of their rates. If at every moment the sums
-over all live buckets are within (rate, burst), then in any window W all of them together admit at most
+Why these buckets bound the rate of a whole fleet: tokens are created only by the passing of time, at the rate of a
+bucket. A new bucket is empty, a bucket that grows keeps its level, and one that shrinks is cut to its burst. A level
+never exceeds the burst. So at the beginning of a window the existing buckets hold at most the sum of their bursts, and
+what is added during the window is at most the integral of the sum of their rates. If at every moment the sums over all
+live buckets are within (rate, burst), all of them together admit in any window W at most
 
     burst + rate x W
 
-each by its own clock, so `x (1 + drift)` by a true one. Buckets that begin or end within the window change nothing.
+each by its own clock, so `x (1 + drift)` by a true clock. Buckets that begin or end within the window do not change
+this.
 """
 
 from dataclasses import dataclass
@@ -21,7 +22,11 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """`rate` millionths of a request a second, `burst` and `level` millionths; `rest` millionths of one of those."""
+    """A bucket that was last refilled at `at_us`.
+
+    `rate` is in millionths of a request per second, `burst` and `level` are in millionths of a request, and `rest` is
+    the remainder of the last refill in millionths of these.
+    """
 
     rate: int
     burst: int
@@ -29,38 +34,38 @@
     level: int = 0
     rest: int = 0
 
-    def settle(self, now_us: int) -> int:
-        """Add what time has brought, and return the level. A clock that goes back brings nothing."""
-        passed = now_us - self.at_us
-        if passed > 0:
+    def refill(self, now_us: int) -> int:
+        """Add the tokens of the time that has passed, and return the level. A clock that goes back adds nothing."""
+        passed_us = now_us - self.at_us
+        if passed_us > 0:
             self.at_us = now_us
-            whole, self.rest = divmod(self.rate * passed + self.rest, SECOND_US)
-            self.level += whole
+            added, self.rest = divmod(self.rate * passed_us + self.rest, SECOND_US)
+            self.level += added
             if self.level >= self.burst:
                 self.level, self.rest = self.burst, 0
         return self.level
 
     def take(self, cost: int, now_us: int) -> bool:
-        """Take `cost` requests, or nothing at all."""
+        """Take `cost` requests, or nothing at all. Returns whether they were taken."""
         need = max(0, cost) * REQUEST_UNITS
-        if need > self.settle(now_us):
+        if need > self.refill(now_us):
             return False
         self.level -= need
         return True
 
     def wait_us(self, cost: int, now_us: int) -> int:
-        """In how many microseconds `cost` requests could be taken; `NEVER_US` where it can never hold so much."""
+        """Return the time until `cost` requests could be taken, `NEVER_US` if the bucket can never hold so many."""
         need = max(0, cost) * REQUEST_UNITS
-        lacking = need - self.settle(now_us)
-        if lacking <= 0:
+        missing = need - self.refill(now_us)
+        if missing <= 0:
             return 0
         if need > self.burst or self.rate <= 0:
             return NEVER_US
-        return -((self.rest - lacking * SECOND_US) // self.rate)
+        return -((self.rest - missing * SECOND_US) // self.rate)
 
-    def set(self, rate: int, burst: int, now_us: int) -> None:
-        """From now on another rate and burst. Until now the old rate counts; the level is kept, cut to the burst."""
-        self.settle(now_us)
+    def set_limits(self, rate: int, burst: int, now_us: int) -> None:
+        """Change rate and burst from now on. The old rate counts until now; the level is kept, cut to the burst."""
+        self.refill(now_us)
         self.rate, self.burst = max(0, rate), max(0, burst)
         if self.level >= self.burst:
             self.level, self.rest = self.burst, 0
--- a/oatlink/fleet/limits/division.py
+++ b/oatlink/fleet/limits/division.py
@@ -1,13 +1,13 @@
-"""How a pool is divided over those who ask. Pure functions on whole numbers.
+"""Division of a pool among the nodes that ask for a part of it. Pure functions on whole numbers.
 
-- Rates by max-min: nobody gets more than it asks while another gets less than both it asks and the first one has.
-  What is left when all are content is given out too, in proportion: a demand that rises is not cut by its own old
-  figure.
-- Bursts: one request to each, the rest in proportion to the rates. A bucket that cannot hold one request never lets
-  one through, so where there are not enough for all, only some have a seat, in turns: each of n is seated at least
-  once in ceil(n / seats) turns that follow one another.
+- Rates are divided by max-min fairness: no node gets more than it asks for while another gets less than both what it
+  asks for and what the first node has. What is left when all demands are met is granted too, in proportion, so that a
+  rising demand is not limited by its own earlier figure.
+- Bursts: one request for each node, the rest in proportion to the rates. A bucket that cannot hold one request never
+  admits one. Where the burst is too small for all nodes, they take turns: each of n nodes has its turn at least once in
+  ceil(n / seats) consecutive turns.
 
-Each part is rounded down, so a sum never exceeds what was divided.
+Each part is rounded down, so that the sum never exceeds what was divided.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,28 +16,28 @@
 
 
 def divide(rate: int, demands: Sequence[tuple[str, int]]) -> dict[str, int]:
-    """Each node's part of `rate` by what it asks; all in the same unit, names each once."""
-    given: dict[str, int] = {}
+    """Return each node's part of `rate` by its demand; all in the same unit, each node once."""
+    parts: dict[str, int] = {}
     left, waiting, total = max(0, rate), len(demands), 0
     for node, demand in sorted(demands, key=_by_demand):
         part = min(max(0, demand), left // waiting)
-        given[node] = part
+        parts[node] = part
         left -= part
         waiting -= 1
         total += part
-    if left > 0 and given:
-        count = len(given)
-        for node, part in given.items():
-            given[node] = part + (left * part // total if total else left // count)
-    return given
+    if left > 0 and parts:
+        count = len(parts)
+        for node, part in parts.items():
+            parts[node] = part + (left * part // total if total else left // count)
+    return parts
 
 
-def _by_demand(one: tuple[str, int]) -> tuple[int, str]:
-    return one[1], one[0]
+def _by_demand(entry: tuple[str, int]) -> tuple[int, str]:
+    return entry[1], entry[0]
 
 
-def bursts(burst: int, rates: Mapping[str, int]) -> dict[str, int]:
-    """Each node's part of `burst` (millionths); at least one request each, so there must be `seats` for all."""
+def divide_burst(burst: int, rates: Mapping[str, int]) -> dict[str, int]:
+    """Return each node's part of `burst` (millionths), at least one request each; `rates` has at most `seat_count`."""
     total = sum(rates.values())
     spare = max(0, burst - len(rates) * REQUEST_UNITS)
     if not total:
@@ -45,13 +45,13 @@
     return {node: REQUEST_UNITS + spare * rate // total for node, rate in rates.items()}
 
 
-def seats(burst: int) -> int:
-    """How many nodes can have a grant of at least one request at once."""
+def seat_count(burst: int) -> int:
+    """Return how many nodes can have a grant of at least one request at the same time."""
     return max(0, burst // REQUEST_UNITS)
 
 
-def seated(nodes: Sequence[str], count: int, turn: int) -> list[str]:
-    """Whose turn it is: `count` of the nodes, all where there are seats for all."""
+def nodes_in_turn(nodes: Sequence[str], count: int, turn: int) -> list[str]:
+    """Return the `count` nodes whose turn it is, or all nodes if there are not more."""
     if len(nodes) <= count:
         return list(nodes)
     start = turn * count % len(nodes)
--- a/oatlink/fleet/limits/requester.py
+++ b/oatlink/fleet/limits/requester.py
@@ -1,12 +1,12 @@
-"""When a node asks which home, and which answers it takes. No I/O.
+"""When a node asks a coordinator for grants, and which answers it accepts. No I/O.
 
-A node counts a grant's term from before it asked, so it keeps the time of each question, and an answer to a question
-that it does not know is worth nothing. Numbers of questions begin at a drawn one: a process that started again must
-not take an answer to its predecessor's question for one to its own, which would count from too late.
+A node counts the term of a grant from before it asked. So it remembers the time of each request, and ignores an answer
+to a request that it does not know. Request numbers begin at a random number: a process that started again must not
+accept the answer to a request of its predecessor as one to its own, because it would count the term from too late.
 
-A serial lower than the highest one of a name is passed over, whatever order answers come in: the home has counted on
-it from the moment that this node named the higher one. It is forgotten only when no answer to a question of before
-can still be taken.
+A grant with a lower serial than the highest one seen for its name is ignored, in whatever order answers arrive: since
+this node named the higher serial, the coordinator relies on it. The highest serial is forgotten only when no answer to
+an earlier request can be accepted any more.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,28 +18,28 @@
 from oatlink.fleet.limits.shards import SHARDS, shard_of
 from oatlink.fleet.messages import Demand, Effect, Grants, NotHome, Returned, Tell, Tuned, Want
 
-ASK_US = 250_000  # how often while something is in use: four times a term, so three in a row may be lost
-MIN_ASK_US = 20_000  # not more often than this, whatever has become active
-REDUCED_BELOW = 0.9  # of the grant before: less than that is told to the home at once
-SILENCE_US = 400_000  # without any answer for so long, the shard's lease is worth a look
-MAX_DEMANDS = 256  # a question; more are several
+ASK_US = 250_000  # interval while something is in use: four times per term, so that three requests in a row may be lost
+MIN_ASK_US = 20_000  # minimum time between two requests, also when another allowance comes into use
+REDUCED_BELOW = 0.9  # a grant below this fraction of the one before is confirmed to the coordinator at once
+SILENCE_US = 400_000  # without any answer for this time, the shard's lease is read again
+MAX_DEMANDS = 256  # per message
 
 
 @dataclass(slots=True)
-class Question:
-    """What was asked, of whom, and when by this node's clock."""
+class PendingRequest:
+    """A request that was sent: to which coordinator, and when by this node's clock."""
 
     shard: int
-    home: str
+    coordinator: str
     asked_us: int
 
 
 @dataclass(slots=True)
-class Held:
-    """The newest grant of a name, and when it came."""
+class NewestGrant:
+    """The grant with the highest serial of a name, and when it arrived."""
 
     shard: int
-    home: str
+    coordinator: str
     serial: int
     rate: float
     burst: float
@@ -48,138 +48,148 @@
 
 
 @dataclass(slots=True)
-class Line:
-    """How it stands with one shard's home."""
+class ShardRequests:
+    """The state of the requests to the coordinator of one shard."""
 
-    home: str = ""
+    coordinator: str = ""
     asked_us: int = -ASK_US
-    waits_us: int = -1  # since when nothing has been answered; -1: nothing is out
-    astray: bool = False  # it said that it is not the home
-    cut: bool = False  # a grant was made smaller: what was given up is free once the home knows that it was heard
+    unanswered_since_us: int = -1  # -1 if no request is unanswered
+    is_rejected: bool = False  # the node answered that it is not the coordinator
+    is_reduced: bool = False  # a grant got smaller: what was given up is free once the coordinator knows of it
     fence: int = 0
     names: frozenset[str] = frozenset()
 
 
 class GrantRequester:
-    """One node's questions to the homes of all shards."""
+    """One node's requests to the coordinators of all shards."""
 
     def __init__(self, node: str, seed: int) -> None:
-        """`seed` must be another one each time that the node starts, so its incarnation has to be part of it."""
+        """`seed` must differ each time that the node starts, so it has to include the incarnation."""
         draws = Random(f"{node}/{seed}")
         self._ask = draws.getrandbits(60)
         self._spread_us = draws.randrange(ASK_US // 8)
-        self._lines = [Line() for _ in range(SHARDS)]
-        self._questions: dict[int, Question] = {}  # oldest first
-        self._held: dict[str, Held] = {}
-        self._looked_us = -ASK_US
-        self._left = False
+        self._shards = [ShardRequests() for _ in range(SHARDS)]
+        self._pending: dict[int, PendingRequest] = {}  # by request number, oldest first
+        self._newest: dict[str, NewestGrant] = {}
+        self._requested_us = -ASK_US
+        self._has_left = False
 
     @property
     def due_us(self) -> int:
-        """When `look` is next worth calling; it is at once where the gate says that a request is `HELD`."""
-        if any(line.cut for line in self._lines):
-            return self._looked_us + MIN_ASK_US
-        next_us = min((line.asked_us for line in self._lines if line.home and line.names), default=self._looked_us)
-        return max(self._looked_us + MIN_ASK_US, min(self._looked_us, next_us) + ASK_US - self._spread_us)
-
-    def look(self, demands: Sequence[Demand], homes: Mapping[int, str], now_us: int) -> list[Effect]:
-        """Ask the homes (by shard, as the leases say) for what is in use, where it is time. `demands`: the gate's."""
-        if self._left:
+        """When to call `request` next; it is due at once when the gate answers `HELD`."""
+        if any(shard.is_reduced for shard in self._shards):
+            return self._requested_us + MIN_ASK_US
+        asked = (shard.asked_us for shard in self._shards if shard.coordinator and shard.names)
+        next_us = min(asked, default=self._requested_us)
+        return max(self._requested_us + MIN_ASK_US, min(self._requested_us, next_us) + ASK_US - self._spread_us)
+
+    def request(self, demands: Sequence[Demand], coordinators: Mapping[int, str], now_us: int) -> list[Effect]:
+        """Ask the coordinators, which the leases name by shard, for what is in use, where it is time."""
+        if self._has_left:
             return []
-        self._looked_us = now_us
+        self._requested_us = now_us
         self._forget(now_us)
-        parts: dict[int, list[Demand]] = {}
+        demands_by_shard: dict[int, list[Demand]] = {}
         for demand in demands:
-            parts.setdefault(shard_of(demand.name), []).append(demand)
+            demands_by_shard.setdefault(shard_of(demand.name), []).append(demand)
         effects: list[Effect] = []
-        for shard, line in enumerate(self._lines):
-            part = parts.get(shard)
-            if part is None:
-                line.waits_us, line.astray, line.cut, line.names = -1, False, False, frozenset()
+        for number, shard in enumerate(self._shards):
+            wanted = demands_by_shard.get(number)
+            if wanted is None:
+                shard.unanswered_since_us = -1
+                shard.is_rejected, shard.is_reduced, shard.names = False, False, frozenset()
                 continue
-            home = homes.get(shard, "")
-            if self._is_time(line, home, part, now_us):
-                if line.waits_us < 0:
-                    line.waits_us = now_us
-                if home != line.home:
-                    line.home, line.astray = home, False
-                if home:
-                    effects += self._ask_now(shard, line, part, now_us)
+            coordinator = coordinators.get(number, "")
+            if self._is_time(shard, coordinator, wanted, now_us):
+                if shard.unanswered_since_us < 0:
+                    shard.unanswered_since_us = now_us
+                if coordinator != shard.coordinator:
+                    shard.coordinator, shard.is_rejected = coordinator, False
+                if coordinator:
+                    effects += self._send(number, shard, wanted, now_us)
         return effects
 
-    def _is_time(self, line: Line, home: str, part: list[Demand], now_us: int) -> bool:
-        passed = now_us - line.asked_us
-        if passed >= ASK_US - self._spread_us:
+    def _is_time(self, shard: ShardRequests, coordinator: str, demands: list[Demand], now_us: int) -> bool:
+        passed_us = now_us - shard.asked_us
+        if passed_us >= ASK_US - self._spread_us:
             return True
-        return passed >= MIN_ASK_US and (
-            line.cut or home != line.home or any(one.name not in line.names for one in part)
-        )
-
-    def _ask_now(self, shard: int, line: Line, part: list[Demand], now_us: int) -> list[Effect]:
-        line.asked_us, line.cut, line.names = now_us, False, frozenset(one.name for one in part)
+        if passed_us < MIN_ASK_US:
+            return False
+        is_new = coordinator != shard.coordinator or any(demand.name not in shard.names for demand in demands)
+        return shard.is_reduced or is_new
+
+    def _send(self, number: int, shard: ShardRequests, demands: list[Demand], now_us: int) -> list[Effect]:
+        shard.asked_us, shard.is_reduced = now_us, False
+        shard.names = frozenset(demand.name for demand in demands)
         effects: list[Effect] = []
-        for start in range(0, len(part), MAX_DEMANDS):
+        for start in range(0, len(demands), MAX_DEMANDS):
             self._ask += 1
-            self._questions[self._ask] = Question(shard, line.home, now_us)
-            effects.append(Tell(line.home, Want(self._ask, shard, tuple(part[start : start + MAX_DEMANDS]))))
+            self._pending[self._ask] = PendingRequest(number, shard.coordinator, now_us)
+            want = Want(self._ask, number, tuple(demands[start : start + MAX_DEMANDS]))
+            effects.append(Tell(shard.coordinator, want))
         return effects
 
     def receive(self, sender: str, message: Grants | NotHome, now_us: int) -> list[Effect]:
-        """An answer: what the gate is to hear of it. What is late, unknown or overtaken is passed over."""
-        question = self._questions.get(message.ask)
-        if question is None or question.home != sender or question.shard != message.shard or self._left:
+        """Take an answer, and return the news for the gate. Late, unknown and overtaken answers are ignored."""
+        request = self._pending.get(message.ask)
+        if request is None or request.coordinator != sender or request.shard != message.shard or self._has_left:
             return []
-        line = self._lines[question.shard]
+        shard = self._shards[request.shard]
         if isinstance(message, NotHome):
-            line.astray = line.astray or line.home == sender
+            shard.is_rejected = shard.is_rejected or shard.coordinator == sender
             return []
-        if message.fence < line.fence:
+        if message.fence < shard.fence:
             return []
-        line.fence = message.fence
-        if line.home == sender:
-            line.waits_us, line.astray = -1, False
+        shard.fence = message.fence
+        if shard.coordinator == sender:
+            shard.unanswered_since_us, shard.is_rejected = -1, False
         effects: list[Effect] = []
         for grant in message.grants:
-            held = self._held.get(grant.name)
-            until_us = question.asked_us + min(grant.term_us, GRANT_TERM_US)
-            if until_us <= now_us or shard_of(grant.name) != message.shard or (held and held.serial >= grant.serial):
+            newest = self._newest.get(grant.name)
+            until_us = request.asked_us + min(grant.term_us, GRANT_TERM_US)
+            is_overtaken = newest is not None and newest.serial >= grant.serial
+            if until_us <= now_us or shard_of(grant.name) != message.shard or is_overtaken:
                 continue
-            line.cut = line.cut or (held is not None and grant.rate < REDUCED_BELOW * held.rate)
-            self._held[grant.name] = Held(
+            if newest is not None and grant.rate < REDUCED_BELOW * newest.rate:
+                shard.is_reduced = True
+            self._newest[grant.name] = NewestGrant(
                 message.shard, sender, grant.serial, grant.rate, grant.burst, until_us, now_us
             )
             effects.append(Tuned(Granted(grant.name, grant.serial, grant.rate, grant.burst, until_us)))
         return effects
 
     def unanswered(self, now_us: int) -> tuple[int, ...]:
-        """The shards whose lease is to be looked at: no home is known, it is silent, or it says that it is none."""
+        """Return the shards whose lease must be read: the coordinator is unknown, silent, or denies being one."""
         return tuple(
-            shard
-            for shard, line in enumerate(self._lines)
-            if line.waits_us >= 0 and (line.astray or not line.home or now_us - line.waits_us >= SILENCE_US)
+            number
+            for number, shard in enumerate(self._shards)
+            if shard.unanswered_since_us >= 0
+            and (shard.is_rejected or not shard.coordinator or now_us - shard.unanswered_since_us >= SILENCE_US)
         )
 
-    def leaving(self, now_us: int) -> list[Effect]:
-        """Give back what is live, and ask no more: the gate's grants end first, then the homes hear of it.
+    def leave(self, now_us: int) -> list[Effect]:
+        """Return the live grants and stop asking: first the gate's grants end, then the coordinators are notified.
 
-        Effects must be carried out in this order. Nothing that the gate admits afterwards is more than its floor.
+        The effects must be carried out in this order. From then on the gate admits only from its floors.
         """
-        self._left = True
+        self._has_left = True
         ends: list[Effect] = []
-        back: dict[tuple[int, str], list[tuple[str, int]]] = {}
-        for name, held in self._held.items():
-            if held.until_us > now_us:
-                ends.append(Tuned(Granted(name, held.serial, 0.0, 0.0, held.until_us)))
-                back.setdefault((held.shard, held.home), []).append((name, held.serial))
-        self._held.clear()
-        return ends + [Tell(home, Returned(shard, tuple(grants))) for (shard, home), grants in back.items()]
+        returned: dict[tuple[int, str], list[tuple[str, int]]] = {}
+        for name, newest in self._newest.items():
+            if newest.until_us > now_us:
+                ends.append(Tuned(Granted(name, newest.serial, 0.0, 0.0, newest.until_us)))
+                returned.setdefault((newest.shard, newest.coordinator), []).append((name, newest.serial))
+        self._newest.clear()
+        return ends + [
+            Tell(coordinator, Returned(shard, tuple(grants))) for (shard, coordinator), grants in returned.items()
+        ]
 
     def _forget(self, now_us: int) -> None:
-        while self._questions:
-            first = next(iter(self._questions))
-            if now_us - self._questions[first].asked_us < GRANT_TERM_US:
+        while self._pending:
+            oldest = next(iter(self._pending))
+            if now_us - self._pending[oldest].asked_us < GRANT_TERM_US:
                 break
-            del self._questions[first]
-        # Any question whose answer has a lower serial than the newest one was asked before that one came.
-        for name in [name for name, held in self._held.items() if now_us - held.heard_us > GRANT_TERM_US]:
-            del self._held[name]
+            del self._pending[oldest]
+        # An answer with a lower serial than the newest one is to a request sent before the newest one arrived.
+        for name in [name for name, newest in self._newest.items() if now_us - newest.heard_us > GRANT_TERM_US]:
+            del self._newest[name]
--- a/oatlink/fleet/limits/shards.py
+++ b/oatlink/fleet/limits/shards.py
@@ -1,7 +1,8 @@
-"""Which shard a name belongs to, and which node is first in turn for a shard's home. Pure functions.
+"""Which shard an allowance belongs to, and in which order the nodes become coordinator of a shard. Pure functions.
 
-A shard's home is whoever holds its lease; the rank only says who should try for it, so that the homes are spread over
-the nodes and few move when a node comes or goes (rendezvous hashing: Thaler and Ravishankar, 1998).
+The coordinator of a shard is the node that holds its lease. The rank only decides which node tries first, so that the
+coordinators are spread over the nodes and few of them move when a node comes or goes (rendezvous hashing: Thaler and
+Ravishankar, 1998).
 """
 
 from collections.abc import Iterable
@@ -12,12 +13,12 @@
 
 
 def shard_of(name: str) -> int:
-    """The shard of an allowance; the same at every node."""
+    """Return the shard of an allowance, which is the same at every node."""
     return xxhash.xxh64_intdigest(name.encode("utf-8", "surrogateescape")) % SHARDS
 
 
 def rank(node: str, shard: int, nodes: Iterable[str]) -> int:
-    """How many of `nodes` come before this one at a shard: 0 is the first in turn."""
+    """Return how many of `nodes` precede this one at a shard; 0 is the first to try."""
     own = _weight(node, shard)
     return sum(1 for other in nodes if _weight(other, shard) > own)
 
--- a/oatlink/fleet/limits/tenants.py
+++ b/oatlink/fleet/limits/tenants.py
@@ -1,7 +1,7 @@
-"""Which tenant a command counts for: the first one of the settings whose `match` takes it. No I/O.
+"""The tenant that a command counts for: the first one in the settings whose `match` fits. No I/O.
 
-What decides is data; what may live here is how little of a command is looked at, so that the decisions that are kept
-are as few as the shapes of a site's traffic: a part that no `match` asks for is not part of the shape.
+Decisions are cached by those parts of a command that some `match` asks for. Parts that no `match` asks for are not in
+the cache key, so that the cache has no more entries than the traffic has distinct combinations.
 """
 
 from collections import OrderedDict
@@ -10,38 +10,38 @@
 from oatlink.settings.fleet import Tenant
 from oatlink.settings.matching import fits
 
-REMEMBERED = 4_096  # decisions kept
-LONGEST_KEY = 256  # bytes. Threat: keys of megabytes, kept 4,096 times
+MAX_CACHED_DECISIONS = 4_096
+MAX_CACHED_KEY_BYTES = 256  # prevents a cache with 4,096 keys of megabytes each
 
 
 class Tenants:
-    """The tenant of each command."""
+    """Finds the tenant of each command."""
 
     def __init__(self, tenants: Sequence[Tenant]) -> None:
         self._tenants = tuple(tenants)
-        self._by_key = any(one.match.keys for one in tenants)
-        self._by_user = any(one.match.users for one in tenants)
-        self._by_client = any(one.match.client_names for one in tenants)
-        self._found: OrderedDict[tuple[str, bytes, str, str], str] = OrderedDict()
+        self._by_key = any(tenant.match.keys for tenant in tenants)
+        self._by_user = any(tenant.match.users for tenant in tenants)
+        self._by_client = any(tenant.match.client_names for tenant in tenants)
+        self._cache: OrderedDict[tuple[str, bytes, str, str], str] = OrderedDict()
 
     def name_of(self, command: str, keys: Sequence[bytes], user: str, client: str) -> str:
-        """The tenant's name, empty where none takes the command. `command` is in small letters."""
+        """Return the tenant's name, empty if none fits. `command` is in lower case."""
         if not self._tenants:
             return ""
         key = keys[0] if keys and self._by_key else b""
         shape = command, key, user if self._by_user else "", client if self._by_client else ""
-        found = self._found.get(shape)
-        if found is None:
-            found = self._find(*shape)
-            if len(key) <= LONGEST_KEY:
-                self._found[shape] = found
-                if len(self._found) > REMEMBERED:
-                    self._found.popitem(last=False)
-        return found
+        name = self._cache.get(shape)
+        if name is None:
+            name = self._find(*shape)
+            if len(key) <= MAX_CACHED_KEY_BYTES:
+                self._cache[shape] = name
+                if len(self._cache) > MAX_CACHED_DECISIONS:
+                    self._cache.popitem(last=False)
+        return name
 
     def _find(self, command: str, key: bytes, user: str, client: str) -> str:
         text = key.decode("utf-8", "surrogateescape")
-        for one in self._tenants:
-            if fits(one.match, command, text, user, client):
-                return one.name
+        for tenant in self._tenants:
+            if fits(tenant.match, command, text, user, client):
+                return tenant.name
         return ""
--- a/oatlink/lab/scale/scenarios/limits.py
+++ b/oatlink/lab/scale/scenarios/limits.py
@@ -24,7 +24,7 @@
     """A node's questions."""
 
     def __init__(self, name: str, seed: int) -> None:
-        self.name, self.asker = name, requester.GrantRequester(name, seed)
+        self.name, self.requester = name, requester.GrantRequester(name, seed)
         self.serial, self.rate = 0, 0.0
 
 
@@ -47,13 +47,13 @@
     def _look(self, place: int, seat: Seat) -> None:
         now = self.time.now
         demand = f.Demand(TENANT, A_NODE, seat.serial)
-        for one in seat.asker.look((demand,), {self.shard: self.names[0]}, now):
+        for one in seat.requester.request((demand,), {self.shard: self.names[0]}, now):
             if isinstance(one, f.Tell) and isinstance(one.message, f.Want):
                 size = wire.frame_bytes(one.message)
                 self._count(place, size)
                 for wait_us in self._links.fates(seat.name, HOME, now):
                     self.time.after(wait_us, self._wanted, place, seat, one.message)
-        self.time.at(max(seat.asker.due_us, now + 1_000), self._look, place, seat)
+        self.time.at(max(seat.requester.due_us, now + 1_000), self._look, place, seat)
 
     def _count(self, place: int, size: int) -> None:
         for role, who in (("gateway", place), (HOME, 0)):
@@ -72,7 +72,7 @@
             if grant.rate > 0 and not seat.rate:
                 self.waits.saw("part", self.time.now)
             seat.serial, seat.rate = grant.serial, grant.rate
-        seat.asker.receive(self.names[0], message, self.time.now)
+        seat.requester.receive(self.names[0], message, self.time.now)
 
 
 def play(order: Order) -> Finding:
@@ -94,7 +94,7 @@
             waits.name(seat.name)
     found.in_force.append(waits.judged("a part of the tenant's rate"))
     found.notes += [
-        f"each node asks each home four times a second for each tenant in use ({at(requester.GrantRequester.look)}, "
+        f"each node asks each home four times a second for each tenant in use ({at(requester.GrantRequester.request)}, "
         "ASK_US): a home's messages grow with the gateways, and its book has a row for each "
         f"({at(ledger.AllowanceLedger.divide)})",
         f"a floor under one request a node is refused at the start ({at(settings._check_floor)})",
--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_sabotage.py
@@ -103,21 +103,21 @@
     return answered(self, answer, now_us)
 
 
-@instead_of(ledger.AllowanceLedger, "give", ("limits", "rights", 1))
+@instead_of(ledger.AllowanceLedger, "grant", ("limits", "rights", 1))
 def only_the_newest_grant_counts(
-    give: Any, self: ledger.AllowanceLedger, row: ledger.NodeShare, serial: int, end_us: int
+    grant: Any, self: ledger.AllowanceLedger, share: ledger.NodeShare, serial: int, end_us: int
 ) -> Any:
-    row.live.clear()
-    self._count(row)
-    return give(self, row, serial, end_us)
+    share.grants.clear()
+    self._count(share)
+    return grant(self, share, serial, end_us)
 
 
 @instead_of(requester.GrantRequester, "receive", ("limits", "rights", 3))
 def grant_counts_from_the_answer(
     receive: Any, self: requester.GrantRequester, sender: str, message: Any, now_us: int
 ) -> Any:
-    if message.ask in self._questions:
-        self._questions[message.ask].asked_us = now_us
+    if message.ask in self._pending:
+        self._pending[message.ask].asked_us = now_us
     return receive(self, sender, message, now_us)
 
 
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -27,7 +27,7 @@
     rate: float
     offset: int
     gate: Allowances | None = None
-    asker: GrantRequester | None = None
+    requester: GrantRequester | None = None
     homes: dict[int, LimitCoordinator] = field(default_factory=dict)
     lease_until: dict[int, int] = field(default_factory=dict)  # by its own clock
     stopped_until: int = 0  # true time
@@ -68,14 +68,14 @@
         one = self.machines[name]
         one.starts += 1
         one.gate = Allowances(RULES, len(self.names), one.starts)
-        one.asker = GrantRequester(name, one.starts)
+        one.requester = GrantRequester(name, one.starts)
         one.homes = {shard: LimitCoordinator(shard, RULES, self.names, self.drift) for shard in range(SHARDS)}
         one.lease_until.clear()
         one.waiting.clear()
 
     def stop_process(self, name: str) -> None:
         one = self.machines[name]
-        one.gate = one.asker = None
+        one.gate = one.requester = None
         one.homes = {}
         one.lease_until.clear()
 
@@ -127,7 +127,7 @@
 
     def deliver(self, sender: str, to: str, effect: Tell) -> None:
         one = self.machines[to]
-        if one.asker is None:
+        if one.requester is None:
             return
         if one.stopped_until > self.now:
             one.waiting.append((sender, effect))
@@ -142,7 +142,7 @@
         elif isinstance(message, Returned):
             self.carry(to, one.homes[message.shard].returned(sender, message, clock))
         elif isinstance(message, Grants | NotHome):
-            self.carry(to, one.asker.receive(sender, message, clock))
+            self.carry(to, one.requester.receive(sender, message, clock))
 
     # ---- Time ----
 
@@ -177,7 +177,7 @@
         waiting, one.waiting = one.waiting, []
         for sender, effect in waiting:
             self.deliver(sender, one.name, effect)
-        assert one.gate is not None and one.asker is not None
+        assert one.gate is not None and one.requester is not None
         held = False
         clock = one.clock(self.now)
         for name, rate in one.greed.items():
@@ -191,9 +191,9 @@
                     break
                 debt -= 1
             one.debt[name] = debt
-        if held or clock >= one.asker.due_us:
+        if held or clock >= one.requester.due_us:
             homes = {shard: who for shard, (who, _, _) in self.holder.items()}
-            self.carry(one.name, one.asker.look(one.gate.demands(clock), homes, clock))
+            self.carry(one.name, one.requester.request(one.gate.demands(clock), homes, clock))
 
     # ---- Judgement ----
 
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -10,7 +10,7 @@
 from oatlink.fleet.gate import ADMITTED, HELD, Granted
 from oatlink.fleet.limits import buckets, coordinator, ledger, node, requester, shards
 from oatlink.fleet.limits.allowance import REQUEST_UNITS, floor_of, pool_of
-from oatlink.fleet.limits.division import bursts, divide, seated
+from oatlink.fleet.limits.division import divide, divide_burst, nodes_in_turn
 from oatlink.fleet.limits.tenants import Tenants
 from oatlink.fleet.messages import NEVER_US, Demand, Grant, Grants, Returned, Tell, Tuned, Want
 from oatlink.settings.fleet import Tenant
@@ -47,7 +47,7 @@
 
 class LastToCome(requester.GrantRequester):
     def receive(self, sender: str, message: Any, now_us: int) -> list[Any]:
-        self._held.clear()
+        self._newest.clear()
         return super().receive(sender, message, now_us)
 
 
@@ -167,11 +167,11 @@
         assert all(parts[one] >= max(parts.values()) - 12 for one, demand in demands if parts[one] < demand)
     else:
         assert all(parts[one] >= demand for one, demand in demands)
-    levels = bursts(burst * REQUEST_UNITS, parts)
+    levels = divide_burst(burst * REQUEST_UNITS, parts)
     assert sum(levels.values()) <= burst * REQUEST_UNITS and min(levels.values()) >= REQUEST_UNITS
     for count in range(1, len(asked)):  # nobody starves where there are fewer seats than nodes
         turns = range(turn, turn - (-len(asked) // count))
-        assert {one for at in turns for one in seated(list(parts), count, at)} == set(parts)
+        assert {one for at in turns for one in nodes_in_turn(list(parts), count, at)} == set(parts)
 
 
 @given(st.tuples(st.floats(0.001, 1e9), st.floats(1, 1e9), st.floats(0, 1)), st.integers(1, 4_096))
@@ -185,29 +185,21 @@
 
 @given(st.lists(st.tuples(st.integers(0, 10**6), st.integers(0, 10**8), st.integers(0, 10**7), st.integers(0, 3))))
 def test_a_bucket_is_exact_and_tells_when_to_come(steps: list[tuple[int, int, int, int]]) -> None:
-    bucket, level, rate, burst, now = (
-        buckets.Bucket(7, 3 * REQUEST_UNITS, 0),
-        Fraction(0),
-        7,
-        3 * REQUEST_UNITS,
-        0,
-    )
+    rate, burst, now = 7, 3 * REQUEST_UNITS, 0
+    bucket, level = buckets.Bucket(rate, burst, now), Fraction(0)
     for passed, new_rate, new_burst, cost in steps:
         now += passed
         level = min(level + Fraction(rate * passed, 10**6), Fraction(burst))
         if cost:
             wait = bucket.wait_us(cost, now)
             if 0 < wait < NEVER_US:
-                assert (
-                    level + Fraction(rate * (wait - 1), 10**6)
-                    < cost * REQUEST_UNITS
-                    <= level + Fraction(rate * wait, 10**6)
-                )
+                need = cost * REQUEST_UNITS
+                assert level + Fraction(rate * (wait - 1), 10**6) < need <= level + Fraction(rate * wait, 10**6)
             taken = bucket.take(cost, now)
             assert taken == (level >= cost * REQUEST_UNITS) == (wait == 0)
             level -= cost * REQUEST_UNITS if taken else 0
         rate, burst = new_rate, new_burst
-        bucket.set(rate, burst, now)
+        bucket.set_limits(rate, burst, now)
         level = min(level, Fraction(burst))
         assert bucket.level + Fraction(bucket.rest, 10**6) == level
 
@@ -236,8 +228,8 @@
         _asked(one, "n0", 0, Demand("a", rate, 2**62))
     for now in range(0, 900_000, 1_000):  # a node that floods has a bounded row, and its lost answers all count
         _asked(one, "n0", now, Demand("a", 500.0))
-    book = one._ledgers["a"]
-    assert len(book.rows["n0"].live) <= ledger.MAX_LIVE_GRANTS
+    allowance = one._ledgers["a"]
+    assert len(allowance.shares["n0"].grants) <= ledger.MAX_LIVE_GRANTS
     assert _asked(one, "n1", 900_000, Demand("a", 500.0)).grants[0].rate == 0
     assert _asked(one, "n0", 960_000, Demand("a", 500.0, 2**62)).grants[0].rate < 401  # cut, but not yet free
     assert _asked(one, "n1", 960_000, Demand("a", 500.0)).grants[0].rate == 0
@@ -269,26 +261,26 @@
     shard, demands = shards.shard_of("a"), (Demand("a", 9.0), Demand("b", 9.0))
     homes = dict.fromkeys(range(shards.SHARDS), "h")
     one = requester.GrantRequester("n0", 1)
-    (first,) = [tell for tell in one.look(demands, homes, 0) if tell.message.shard == shard]  # type: ignore
+    (first,) = [tell for tell in one.request(demands, homes, 0) if tell.message.shard == shard]  # type: ignore
     assert isinstance(first, Tell) and isinstance(first.message, Want) and one.due_us <= requester.ASK_US
     ask = first.message.ask
-    assert one.look(demands, homes, 10_000) == [] == list(one.unanswered(10_000))
+    assert one.request(demands, homes, 10_000) == [] == list(one.unanswered(10_000))
     assert shard in one.unanswered(requester.SILENCE_US)
 
     def answer(serial: int, fence: int = 1, number: int = ask) -> Grants:
         return Grants(number, shard, fence, (Grant("a", serial, 9.0, 2.0, 2 * TERM), Grant("zz", 1, 9.0, 2.0, TERM)))
 
     reborn = requester.GrantRequester("n0", 2)  # a new process: its numbers are others
-    reborn.look(demands, homes, 500_000)
+    reborn.request(demands, homes, 500_000)
     assert reborn.receive("h", answer(5), 510_000) == []
     assert one.receive("x", answer(5), 500_000) == one.receive("h", answer(5, number=0), 500_000) == []
     assert one.receive("h", answer(5, 3), 500_000) == [Tuned(Granted("a", 5, 9.0, 2.0, TERM))]
     assert one.receive("h", answer(4, 3), 500_000) == one.receive("h", answer(6, 2), 500_000) == []
     assert one.receive("h", answer(6, 3), TERM) == []  # over before it came
     assert shard not in one.unanswered(500_000)
-    ended, back = one.leaving(600_000)
+    ended, back = one.leave(600_000)
     assert ended == Tuned(Granted("a", 5, 0.0, 0.0, TERM)) and back == Tell("h", Returned(shard, (("a", 5),)))
-    assert one.look(demands, homes, 10**7) == [] == one.receive("h", answer(9, 3), 600_000)
+    assert one.request(demands, homes, 10**7) == [] == one.receive("h", answer(9, 3), 600_000)
 
 
 def _plain(value: object) -> bool:
@@ -330,7 +322,7 @@
     for number in range(5_000):
         one.name_of("get", [b"%d" % number, b"k:1"], "u", f"client {number}")
     one.name_of("get", [b"x" * 10_000], "u", "")
-    assert len(one._found) == 4_096 and max(len(shape[1]) for shape in one._found) < 10
+    assert len(one._cache) == 4_096 and max(len(shape[1]) for shape in one._cache) < 10
     nodes = [f"n{number}" for number in range(9)]
     for shard in range(shards.SHARDS):
         order = sorted(nodes, key=lambda name, shard=shard: shards.rank(name, shard, nodes))  # type: ignore
