--- a/oatlink/fleet/leases/__init__.py
+++ b/oatlink/fleet/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on registers: terms without a common clock. No I/O."""
+"""Leases on registers, with terms that need no common clock. No I/O."""
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -95,7 +95,7 @@
 
 class AnyIncarnation(Holder):
     @property
-    def _own(self) -> bool:
+    def _is_own(self) -> bool:
         lease = self._observer.lease
         return lease is not None and not lease.released and lease.node == self._node
 
@@ -124,18 +124,18 @@
     # The holder asked, its change was made and seen, all at true time 0, the tightest there is.
     observer = Observer(drift)
     lease = Lease("n", 1, 1, term_us)
-    assert observer.saw(1, msgspec.msgpack.encode(lease), offset)
+    assert observer.observe(1, msgspec.msgpack.encode(lease), offset)
     taken = (observer.free_us - offset) / (1 + drift)
     ended = term_us / (1 - drift)
     assert ended <= taken <= ended * (1 + 1e-9) + 3
-    assert not observer.saw(1, msgspec.msgpack.encode(lease), offset + 10**6)  # the same version counts on
+    assert not observer.observe(1, msgspec.msgpack.encode(lease), offset + 10**6)  # the same version counts on
 
 
 @given(st.binary(max_size=64))
 def test_what_cannot_be_read_is_nobodys_and_never_over(value: bytes) -> None:
     lease = read_lease(value)
     observer = Observer(0.001)
-    observer.saw(3, value, 7)
+    observer.observe(3, value, 7)
     assert lease is not None or observer.free_us == f.NEVER_US
 
 
@@ -168,7 +168,7 @@
 
 def test_a_lease_is_taken_renewed_and_counts_from_before_it_was_asked_for() -> None:
     one, change = taken()
-    began = one._waiting_us
+    began = one._asked_us
     assert one.answered(answer(change, "changed", 1, change.value), began + 300 * MS) == []
     assert one.until_us == began + TERM_US and one.fence == 1 and one.seen == "n"
     assert one.holds(one.until_us - 1) and not one.holds(one.until_us)
@@ -176,11 +176,11 @@
     (renewal,) = one.tick(one.due_us)
     assert isinstance(renewal, f.Change) and renewal.fence == 1
     # Its end is unknown: it counts only once it is seen, and then from when it was asked for.
-    renewed, until = one._waiting_us, one.until_us
+    renewed, until = one._asked_us, one.until_us
     one.answered(answer(renewal, "unknown", 0), renewed + 500 * MS)
     assert one.until_us == until
     (again,) = one.tick(one.due_us)
-    one.answered(answer(again, "differs", 2, renewal.value), one._waiting_us + MS)
+    one.answered(answer(again, "differs", 2, renewal.value), one._asked_us + MS)
     assert one.until_us == renewed + TERM_US and one.fence == 1
 
 
@@ -189,7 +189,7 @@
     one.answered(answer(change, "changed", 1, change.value), one.due_us - 9 * 10**6)
     (renewal,) = one.tick(one.due_us)
     other = msgspec.msgpack.encode(Lease("m", 1, 1, TERM_US))
-    now = one._waiting_us + MS
+    now = one._asked_us + MS
     one.answered(answer(renewal, "differs", 2, other), now)
     assert not one.holds(now) and one.seen == "m"
     one.wanting = False
@@ -216,10 +216,10 @@
 def test_a_release_in_the_middle_of_a_renewal_is_asked_for_after_it() -> None:
     one, change = taken()
     one.body = b"v" * (MAX_BODY_BYTES + 1)
-    one.answered(answer(change, "changed", 1, change.value), one._waiting_us)
+    one.answered(answer(change, "changed", 1, change.value), one._asked_us)
     note, renewal = one.tick(one.due_us)
     assert isinstance(note, f.Note) and isinstance(renewal, f.Change)
-    now = one._waiting_us
+    now = one._asked_us
     assert one.release(now) == [] and not one.holds(now)
     (release,) = one.answered(answer(renewal, "changed", 2, renewal.value), now + MS)
     assert isinstance(release, f.Change) and release.fence == 2 and not one.holds(now + MS)
