--- a/oatlink/fleet/registers/__init__.py
+++ b/oatlink/fleet/registers/__init__.py
@@ -1,1 +1,1 @@
-"""Agreed registers: CASPaxos over a fixed odd set of keepers. No I/O."""
+"""Registers that all nodes agree on: CASPaxos over a fixed, odd number of keepers (acceptors). No I/O."""
--- a/oatlink/fleet/registers/acceptor.py
+++ b/oatlink/fleet/registers/acceptor.py
@@ -1,25 +1,26 @@
-"""One keeper of registers: it votes, hands over what it has, and finds its way back after a lost file. No I/O.
+"""A keeper of registers: it votes, hands over its registers, and recovers after its file was lost. No I/O.
 
-What may live here: which part a message is for. `voting` has the votes, `recovery` the lives; both work on the same
-registers, which are what the keeper's file held and then what was kept.
+`voting` has the votes, `recovery` the lives. Both work on the same registers: those of the keeper's file, and those
+written since. This module passes each message to the part that it is for.
 """
 
 from collections.abc import Iterable
 from random import Random
 
 from oatlink.fleet.messages import Copied, Copy, Effect, Kept, Message, Standing
-from oatlink.fleet.registers.recovery import Recovery, drawn
+from oatlink.fleet.registers.recovery import Recovery, draw_life
 from oatlink.fleet.registers.voting import Voting
 
 
 class Acceptor:
-    """What a keeper does.
+    """The acceptor of a keeper.
 
-    `kept` and `standing` are what its file held; `standing` None where there was no file, or none that could be read.
-    `seed` must come from the system's randomness: a life is drawn from it, and two of one keeper must differ.
-    `trusted`: an operator says that nothing was ever voted, or that what was is lost: it votes at once.
+    `kept` and `standing` are the content of its file; `standing` is None if there was no file or no readable one.
+    `seed` must come from the system's randomness: a life is drawn from it, and two lives of one keeper must differ.
+    `trusted`: an operator states that nothing was ever voted, or that what was voted is lost, so that it may vote
+    without the copies of a majority.
 
-    The shell carries out one `Keep` after the other (`voting`), and writes `Keep.standing` with the registers.
+    The caller carries out one `Keep` after the other (see `voting`), and writes `Keep.standing` with the registers.
     """
 
     def __init__(
@@ -32,7 +33,7 @@
         trusted: bool = False,
     ) -> None:
         rng = Random(seed)
-        self._voting = Voting(kept, standing or Standing(drawn(rng)))
+        self._voting = Voting(kept, standing or Standing(draw_life(rng)))
         self._recovery = Recovery(node, keepers, self._voting, rng, trusted)
 
     @property
@@ -46,7 +47,7 @@
         return self._voting.standing.begun
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
-        """Take a message of another node or of the own one; what is not for a keeper has no answer."""
+        """Take a message of another node or of this one. A message that is not for a keeper has no answer."""
         if isinstance(message, Copy | Copied):
             return self._recovery.receive(sender, message, now_us)
         return self._voting.receive(sender, message)
--- a/oatlink/fleet/registers/interface.py
+++ b/oatlink/fleet/registers/interface.py
@@ -1,4 +1,4 @@
-"""What limits, leases and versions need of agreement; a backend on another store's transactions would fit it too."""
+"""What limits, leases and versions need of an agreed store; another store with transactions could implement it too."""
 
 from typing import Protocol
 
@@ -6,19 +6,19 @@
 
 
 class Registers(Protocol):
-    """Named registers that all nodes agree on. Each call's `Answer` comes among the effects of a later one.
+    """Named registers that all nodes agree on. The `Answer` to a call is among the effects of a later call.
 
-    Reads and changes are linearizable. A change that ended `unknown` may be read by others before or after.
+    Reads and changes are linearizable. A change that ended `unknown` may take effect before or after a read by others.
     """
 
     due_us: int  # when `tick` has something to do
 
     def read(self, ask: int, key: str, now_us: int) -> list[Effect]:
-        """Ask for a register's fence and value; fence 0 where it was never changed."""
+        """Read a register's fence and value; fence 0 if it was never changed."""
         ...
 
     def change(self, ask: int, key: str, fence: int, value: bytes, now_us: int) -> list[Effect]:
-        """Put `value` there if the fence is `fence`; the new fence is one more."""
+        """Set the value if the fence is `fence`; the new fence is one higher."""
         ...
 
     def tick(self, now_us: int) -> list[Effect]:
--- a/oatlink/fleet/registers/quorum.py
+++ b/oatlink/fleet/registers/quorum.py
@@ -1,35 +1,35 @@
 """Which votes count together. No state.
 
-A vote bears the life of its keeper and the newest life that this keeper has met of each other one. A vote of a life
-that another vote of the same try knows to be over counts for nothing; `recovery` has the proof that this is what
-keeps a lost file from being a lost promise.
+A vote carries the life of its keeper (see `recovery`) and the newest life that this keeper has met of each other one. A
+vote from a life that another vote of the same round knows to be over does not count. `recovery` proves that this keeps
+a lost file from being a lost promise.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 from oatlink.fleet.messages import Ballot, Record
-from oatlink.fleet.registers.ballots import NOTHING
+from oatlink.fleet.registers.ballots import NO_BALLOT
 
 
 class Vote(NamedTuple):
-    """What one keeper answered. `real`: it accepted the record itself, rather than took it over."""
+    """One keeper's answer. `is_own`: the keeper accepted the record itself and did not copy it from another."""
 
     life: int
     met: tuple[tuple[str, int], ...]
-    accepted: Ballot = NOTHING
+    accepted: Ballot = NO_BALLOT
     record: Record = Record()
-    real: bool = True
-    next: Ballot = NOTHING
+    is_own: bool = True
+    next: Ballot = NO_BALLOT
 
 
 def majority(keepers: int) -> int:
-    """How many votes decide among so many keepers."""
+    """Return how many votes decide among so many keepers."""
     return keepers // 2 + 1
 
 
-def sound(votes: Mapping[str, Vote]) -> dict[str, Vote]:
-    """The votes of lives that none of the others knows to be over."""
+def valid_votes(votes: Mapping[str, Vote]) -> dict[str, Vote]:
+    """Return the votes of lives that none of the other votes knows to be over."""
     newest: dict[str, int] = {}
     for vote in votes.values():
         for keeper, life in vote.met:
--- a/oatlink/fleet/registers/voting.py
+++ b/oatlink/fleet/registers/voting.py
@@ -1,15 +1,15 @@
 """How one keeper votes. No I/O.
 
-What may live here: what a keeper promises, accepts and shows, and that it fits. The two rules of Paxos, for each key:
-never promise or accept a ballot below the one promised, and say what was accepted with each promise.
+The two rules of Paxos hold for each key: never promise or accept a ballot below the one promised, and report what was
+accepted with each promise. Messages that are out of bounds are dropped.
 
-**On disk before it is shown.** A vote is the `then` of the `Keep` that holds it. Memory runs ahead of the disk: a later
-request meets a state that may not be kept yet. The shell keeps one `Keep` after the other, and sends nothing of a later
-one before the earlier ones are on disk; so every vote here, also one that changes nothing, is the `then` of a `Keep`
-(an empty one, if need be), and never shows what a crash can take back. `Outbid` alone goes at once: it is no vote, a
-proposer only learns from it what to outbid.
+**On disk before it is sent.** A vote is the `then` of the `Keep` that stores it. The state in memory is ahead of the
+disk: a later request may meet a state that is not stored yet. The caller carries out one `Keep` after the other, and
+sends nothing of a later one before the earlier ones are on disk. So every vote here, also one that changes nothing, is
+the `then` of a `Keep` (an empty one, if need be), and never shows what a crash can undo. Only `Outbid` is sent at once:
+it is no vote, and a proposer learns from it nothing but the ballot to exceed.
 
-A keeper that has not begun (`recovery`) says nothing. Memory is bounded by `MAX_REGISTERS` registers of
+A keeper that has not begun (`recovery`) answers nothing. Memory is bounded by `MAX_REGISTERS` registers of
 `MAX_VALUE_BYTES` bytes.
 """
 
@@ -32,87 +32,96 @@
     Standing,
     Tell,
 )
-from oatlink.fleet.registers.ballots import NOTHING, fits, names, usable
+from oatlink.fleet.registers.ballots import NO_BALLOT, is_valid_ballot, is_valid_key, is_valid_record
 
 MAX_REGISTERS = 4_096
 
 
 class Voting:
-    """The registers of one keeper and its votes. `standing` is set by `recovery` alone."""
+    """The registers of one keeper and its votes. `standing` is set only by `recovery`."""
 
     def __init__(self, kept: Iterable[Kept], standing: Standing, max_registers: int = MAX_REGISTERS) -> None:
-        self.registers = {one.key: one for one in kept}
+        self.registers = {register.key: register for register in kept}
         self.standing = standing
-        self._most_keys = max_registers
-        self._noted: dict[str, None] = {}
+        self._max_registers = max_registers
+        self._logged: dict[str, None] = {}
 
     @property
     def met(self) -> tuple[tuple[str, int], ...]:
-        """The newest life of each keeper met, as votes bear it."""
-        return tuple((one.keeper, one.life) for one in self.standing.met)
+        """The newest life of each keeper met, as votes carry it."""
+        return tuple((met.keeper, met.life) for met in self.standing.met)
 
     def receive(self, sender: str, message: Message) -> list[Effect]:
-        """Answer a `Prepare`, `Accept` or `Look`; anything else, and what does not fit, has no answer."""
+        """Answer a `Prepare`, `Accept` or `Look`; other messages, and those out of bounds, have no answer."""
         if not self.standing.begun or not isinstance(message, Prepare | Accept | Look):
             return []
-        if not names(message.key) or not usable(message.ballot):
+        if not is_valid_key(message.key) or not is_valid_ballot(message.ballot):
             return self._drop("key or ballot")
         if isinstance(message, Look):
             return self._look(sender, message)
-        if message.key not in self.registers and len(self.registers) >= self._most_keys:
+        if message.key not in self.registers and len(self.registers) >= self._max_registers:
             return self._drop("register")
         if isinstance(message, Prepare):
             return self._prepare(sender, message)
-        if not fits(message.record) or (message.next != NOTHING and not usable(message.next)):
+        if not is_valid_record(message.record) or (message.next != NO_BALLOT and not is_valid_ballot(message.next)):
             return self._drop("record")
         return self._accept(sender, message)
 
     def _prepare(self, sender: str, asked: Prepare) -> list[Effect]:
-        held = self._held(asked.key)
-        if asked.ballot < held.promised:
-            return [Tell(sender, Outbid(asked.key, asked.ballot, held.promised))]
-        vote = Promise(asked.key, asked.ballot, held.accepted, held.record, self.standing.life, self.met)
-        return self._keep(held, Kept(held.key, asked.ballot, held.accepted, held.record, held.copied), sender, vote)
+        register = self._register(asked.key)
+        if asked.ballot < register.promised:
+            return [Tell(sender, Outbid(asked.key, asked.ballot, register.promised))]
+        vote = Promise(asked.key, asked.ballot, register.accepted, register.record, self.standing.life, self.met)
+        updated = Kept(register.key, asked.ballot, register.accepted, register.record, register.copied)
+        return self._keep(register, updated, sender, vote)
 
     def _accept(self, sender: str, asked: Accept) -> list[Effect]:
-        held = self._held(asked.key)
+        register = self._register(asked.key)
         promised = max(asked.ballot, asked.next)
-        # The same once more: this vote was given already, and the promise above it is the same proposer's.
-        again = asked.ballot == held.accepted and promised == held.promised and not held.copied
-        if asked.ballot < held.promised and not again:
-            return [Tell(sender, Outbid(asked.key, asked.ballot, held.promised))]
+        # A repeated request: this vote was given already, and the promise above it was given to the same proposer.
+        is_repeated = asked.ballot == register.accepted and promised == register.promised and not register.copied
+        if asked.ballot < register.promised and not is_repeated:
+            return [Tell(sender, Outbid(asked.key, asked.ballot, register.promised))]
         vote = Accepted(asked.key, asked.ballot, self.standing.life, self.met, asked.next)
-        return self._keep(held, Kept(held.key, promised, asked.ballot, asked.record), sender, vote)
+        return self._keep(register, Kept(register.key, promised, asked.ballot, asked.record), sender, vote)
 
     def _look(self, sender: str, asked: Look) -> list[Effect]:
-        held = self._held(asked.key)
-        seen = Looked(asked.key, asked.ballot, held.accepted, held.record, self.standing.life, self.met, held.copied)
-        return [Keep((), (Tell(sender, seen),))]
-
-    def _held(self, key: str) -> Kept:
-        return self.registers.get(key) or Kept(key, NOTHING, NOTHING, Record())
-
-    def _keep(self, held: Kept, now: Kept, sender: str, vote: Message) -> list[Effect]:
+        register = self._register(asked.key)
+        looked = Looked(
+            asked.key,
+            asked.ballot,
+            register.accepted,
+            register.record,
+            self.standing.life,
+            self.met,
+            register.copied,
+        )
+        return [Keep((), (Tell(sender, looked),))]
+
+    def _register(self, key: str) -> Kept:
+        return self.registers.get(key) or Kept(key, NO_BALLOT, NO_BALLOT, Record())
+
+    def _keep(self, before: Kept, after: Kept, sender: str, vote: Message) -> list[Effect]:
         then = (Tell(sender, vote),)
-        if now == held:
+        if after == before:
             return [Keep((), then)]
-        self.registers[now.key] = now
-        return [Keep((now,), then)]
+        self.registers[after.key] = after
+        return [Keep((after,), then)]
 
     def _drop(self, kind: str) -> list[Effect]:
-        # Threat: a line for each message of a node gone wrong. The first of a kind tells it.
-        if kind in self._noted:
+        # Prevents a log line for each message of a faulty node: only the first of a kind is logged.
+        if kind in self._logged:
             return []
-        self._noted[kind] = None
-        return [Note("register_dropped", f"{kind} out of bounds; others of this kind are not told")]
-
-
-def joined(one: Kept | None, other: Kept) -> Kept:
-    """The highest promise and the highest accepted record of two keepers' registers."""
-    if one is None:
-        one = Kept(other.key, NOTHING, NOTHING, Record())
-    best = other if other.accepted > one.accepted else one
-    promised = max(one.promised, other.promised, best.accepted)
-    # Under a higher promise, which may be one that a life before gave, this is nothing that this keeper voted for.
-    copied = best.accepted > NOTHING and promised > best.accepted
-    return Kept(other.key, promised, best.accepted, best.record, copied)
+        self._logged[kind] = None
+        return [Note("register_dropped", f"{kind} out of bounds; further ones are not logged")]
+
+
+def merge(own: Kept | None, other: Kept) -> Kept:
+    """Return the highest promise and the highest accepted record of two keepers' registers."""
+    if own is None:
+        own = Kept(other.key, NO_BALLOT, NO_BALLOT, Record())
+    newest = other if other.accepted > own.accepted else own
+    promised = max(own.promised, other.promised, newest.accepted)
+    # Under a higher promise, which may be one of an earlier life, the record is not one that this keeper voted for.
+    copied = newest.accepted > NO_BALLOT and promised > newest.accepted
+    return Kept(other.key, promised, newest.accepted, newest.record, copied)
--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_sabotage.py
@@ -52,8 +52,8 @@
 
 @instead_of(Voting, "_accept", ("registers", "registers", 0))
 def lower_ballots_are_accepted(accept: Any, self: Voting, sender: str, asked: f.Accept) -> Any:
-    held = self._held(asked.key)
-    self.registers[asked.key] = f.Kept(held.key, asked.ballot, held.accepted, held.record, held.copied)
+    kept = self._register(asked.key)
+    self.registers[asked.key] = f.Kept(kept.key, asked.ballot, kept.accepted, kept.record, kept.copied)
     return accept(self, sender, asked)
 
 
@@ -123,7 +123,7 @@
 
 @instead_of(proposer.Proposer, "receive", ("limits", "a core raised", 0))
 def votes_of_a_round_that_is_over(receive: Any, self: proposer.Proposer, sender: str, message: Any, now: int) -> Any:
-    assert self._lines[message.key]
+    assert self._queues[message.key]
     return receive(self, sender, message, now)
 
 
--- a/tests/fleet/test_registers.py
+++ b/tests/fleet/test_registers.py
@@ -11,7 +11,7 @@
 from oatlink.fleet.registers.acceptor import Acceptor
 from oatlink.fleet.registers.interface import Registers
 from oatlink.fleet.registers.proposer import Proposer
-from oatlink.fleet.registers.quorum import sound
+from oatlink.fleet.registers.quorum import valid_votes
 from tests.fleet.registers_world import Asked, Sabotage, World, judge
 
 A, B, C, D, K = names = ("a", "b", "c", "d", "k")
@@ -43,26 +43,26 @@
 
 
 def any_promise(self: attempt.Attempt, need: int) -> f.Record | None:
-    votes = sound(self.votes)
+    votes = valid_votes(self.votes)
     return next(iter(votes.values())).record if len(votes) >= need else None
 
 
 def without_promise(one: f.Kept | None, other: f.Kept) -> f.Kept:
-    both = joined(one, other)
+    both = merge(one, other)
     return f.Kept(both.key, f.Ballot(), both.accepted, both.record)
 
 
-settle, agreed, joined = attempt.Attempt.settle, attempt.Attempt.agreed, voting.joined
+settle, agreed, merge = attempt.Attempt.settle, attempt.Attempt.agreed, voting.merge
 PATCHES: dict[str, tuple[object, str, object]] = {
     "one other's copy is enough": (recovery, "majority", lambda keepers: 1),
-    "promises are not copied": (recovery, "joined", without_promise),
+    "promises are not copied": (recovery, "merge", without_promise),
     "a look believes a minority": (attempt.Attempt, "agreed", lambda self, need: agreed(self, need - 1)),
     "any promise's record is taken": (attempt.Attempt, "promised", any_promise),
     "offered and overtaken is a no": (attempt.Attempt, "settle", offered_or_not),
 }
 # Chance comes upon these once in a hundred histories: below, by hand.
 LIVES: dict[str, tuple[object, str, object]] = {
-    "votes of dead lives count": (attempt, "sound", lambda votes: votes),
+    "votes of dead lives count": (attempt, "valid_votes", lambda votes: votes),
     "votes do not bear who was met": (voting.Voting, "met", property(lambda self: ())),
 }
 
