--- a/oatlink/fleet/membership/__init__.py
+++ b/oatlink/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there, as far as others need it. No I/O."""
+"""Which nodes of the fleet are alive, as far as others need it. No I/O."""
--- a/oatlink/fleet/membership/suspicion.py
+++ b/oatlink/fleet/membership/suspicion.py
@@ -1,14 +1,16 @@
-"""One node as another sees it: there, silent, gone, or back too often. No I/O.
+"""The state of one node as another sees it: present, silent, gone, or returning too often. No I/O.
 
-What may live here: what makes a node count as there at a moment. All times are the watcher's clock.
+All times are the clock of the observing node.
 
-- *There*: heard of within the patience, not known to be leaving, and its link has not failed since it last spoke to us.
-  What others say of it lengthens the patience only: where our own link to it failed, nothing but its own word counts.
+- A node is *present* if it was heard of within the patience, is not known to be leaving, and its link has not failed
+  since it last sent us a message. Reports of other nodes only extend the patience: if our own link to a node failed,
+  only a message from that node itself counts.
 - A node that came back under its name has a new incarnation. Incarnations are drawn at random and have no order, so the
-  one that spoke last counts: it has nothing of what the old one had, its leaving included.
-- Hysteresis. The first return is taken at its word; one more within `CALM_US` counts only after a time without another,
-  `HOLD_US`, twice that the next time, `MAX_HOLD_US` at most. Threat: a link that works one way only, or a process that
-  dies each second: it would be chosen and lost over and over. A node that restarts once is back at once.
+  one that sent the last message counts. It inherits nothing from the old one, not even that the old one was leaving.
+- Hysteresis: the first return counts at once. A further one within `CALM_US` counts only after `HOLD_US` without
+  another return, twice that the next time, up to `MAX_HOLD_US`. This prevents that a node with a link that works in one
+  direction only, or a process that dies each second, is chosen and lost over and over. A node that restarts once is
+  present again at once.
 """
 
 from dataclasses import dataclass
@@ -20,38 +22,38 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """What is known of one node. Before it has spoken it is given the benefit of the doubt, from `heard_us` on."""
+    """What is known of one node. Until its first message it counts as heard at `heard_us`, when the view began."""
 
     heard_us: int
-    known: bool = False  # somebody has heard of it
+    known: bool = False  # some node has heard of it
     incarnation: int | None = None
     left: bool = False
-    failed: bool = False
+    failed: bool = False  # our link to it
     returns: int = 0
     return_us: int = 0
-    trusted_us: int = 0  # not there before
+    trusted_us: int = 0  # not present before this time
 
-    def silent(self, now_us: int, patience_us: int) -> bool:
-        """Whether nothing shows that it is there; one that has left in order is not called silent."""
+    def is_silent(self, now_us: int, patience_us: int) -> bool:
+        """Whether nothing shows that it is alive; a node that left in an orderly way does not count as silent."""
         return not self.left and (self.failed or now_us - self.heard_us > patience_us)
 
-    def there(self, now_us: int, patience_us: int) -> bool:
-        """Whether it counts as there."""
-        return not self.left and not self.silent(now_us, patience_us) and now_us >= self.trusted_us
+    def is_present(self, now_us: int, patience_us: int) -> bool:
+        """Whether it counts as present."""
+        return not self.left and not self.is_silent(now_us, patience_us) and now_us >= self.trusted_us
 
     def heard(self, incarnation: int, now_us: int, patience_us: int) -> bool:
-        """It spoke to us; returns whether it is another incarnation than before, or the first."""
-        new = incarnation != self.incarnation
-        if (new and self.incarnation is not None) or self.silent(now_us, patience_us):
+        """It sent us a message; returns whether it is another incarnation than before, or the first."""
+        is_new = incarnation != self.incarnation
+        if (is_new and self.incarnation is not None) or self.is_silent(now_us, patience_us):
             self._returned(now_us)
-        if new:
+        if is_new:
             self.incarnation, self.left = incarnation, False
         self.known, self.failed = True, False
         self.heard_us = max(self.heard_us, now_us)
-        return new
+        return is_new
 
-    def told(self, heard_us: int) -> None:
-        """Another node has heard of it then."""
+    def heard_by_other(self, heard_us: int) -> None:
+        """Another node heard of it at that time."""
         self.known = True
         self.heard_us = max(self.heard_us, heard_us)
 
--- a/oatlink/fleet/node.py
+++ b/oatlink/fleet/node.py
@@ -1,8 +1,8 @@
-"""One node of a fleet: its parts put together. No I/O.
+"""One node of a fleet, composed of its parts. No I/O.
 
-What may live here: which part a message or a register's answer is for. The parts know nothing of one another; their
-effects are carried from one to the next, and what is left is the shell's: `Tell`, `Keep`, `Note`, `Tuned`, `Replied`,
-`RunStep`, `AskMarker`.
+This module passes each message and each register's answer to the part that it is for. The parts know nothing of one
+another: their effects are passed from one to the next, and the rest is left to the caller to carry out: `Tell`, `Keep`,
+`Note`, `Tuned`, `Replied`, `RunStep`, `AskMarker`.
 """
 
 from collections import deque
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """What one gateway is in its fleet. Effects come back in the order in which they must be carried out."""
+    """The node of one gateway. Effects are returned in the order in which they must be carried out."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         now_us: int,
         keeper: Acceptor | None = None,
     ) -> None:
-        """`members`: those of the settings, with their banks; `keeper`: this node's own, where it is one."""
+        """`members`: those of the settings, with their banks; `keeper`: this node's acceptor, if it is a keeper."""
         self.name = fleet.node
         self.keeper = keeper
         self._proposer = Proposer(fleet.node, incarnation, fleet.keepers, seed)
@@ -48,16 +48,16 @@
 
     @property
     def due_us(self) -> int:
-        """When `tick` has something to do, if nothing comes before."""
+        """When `tick` has something to do, if nothing else happens before."""
         parts = (self.keeper, self._proposer, self._limits, self._layouts, self._verdicts)
-        return min(one.due_us for one in parts if one is not None)
+        return min(part.due_us for part in parts if part is not None)
 
     def receive(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
-        """A message has come."""
+        """Take a message."""
         return self._run(self._take(sender, message, now_us), now_us)
 
     def tick(self, demands: tuple[f.Demand, ...], busy: tuple[int, ...], now_us: int) -> list[f.Effect]:
-        """Time has passed, or the gateway has something to ask for (`Gate.demands`, versions with requests out)."""
+        """Time has passed, or demands (`Gate.demands`) or `busy`, the versions with pending requests, have changed."""
         effects = self.keeper.tick(now_us) if self.keeper is not None else []
         effects += self._proposer.tick(now_us)
         effects += self._limits.tick(demands, now_us)
@@ -68,39 +68,39 @@
         return self._run(effects, now_us)
 
     def listed(self, members: Mapping[str, str], now_us: int) -> list[f.Effect]:
-        """Discovery has spoken: the members that this gateway has, each with its bank."""
+        """Take the members that discovery lists for this gateway, each with its bank."""
         return self._run(self._verdicts.listed(members, now_us) if self._verdicts is not None else [], now_us)
 
     def saw(self, member: str, kind: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """Own evidence on a member (`messages.Evidence`)."""
+        """Take this gateway's own evidence on a member (`messages.Evidence`)."""
         if self._verdicts is None:
             return []
         return self._run(self._verdicts.saw(member, kind, history, offset, now_us), now_us)
 
     def failed_over(self, bank: str, now_us: int) -> list[f.Effect]:
-        """Another primary was seen in a bank, by this gateway."""
+        """Take note that this gateway has seen another primary in a bank."""
         return self._run(self._layouts.failed_over(bank, now_us) if self._layouts is not None else [], now_us)
 
     def ran(self, ask: int, how: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """A `RunStep` has ended."""
+        """Take the result of a `RunStep`."""
         return self._run(
             self._layouts.ran(ask, how, history, offset, now_us) if self._layouts is not None else [], now_us
         )
 
     def marked(self, ask: int, number: int, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """An `AskMarker` has ended."""
+        """Take the result of an `AskMarker`."""
         return self._run(
             self._layouts.marked(ask, number, history, offset, now_us) if self._layouts is not None else [], now_us
         )
 
     def word(self, word: str, ticket: int, text: bytes, now_us: int) -> list[f.Effect]:
-        """An operator's word about versions; a `Replied` follows."""
+        """Take an operator's command about versions; a `Replied` follows."""
         if self._layouts is None:
             return [f.Replied(ticket, "no versions in the fleet's settings")]
         return self._run(self._layouts.word(word, ticket, text, now_us), now_us)
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """An orderly end: what is held goes back, so that nobody waits a term for it."""
+        """Stop in an orderly way: give back grants and leases, so that no other node waits for their terms."""
         effects = self._limits.leave(now_us)
         for part in (self._layouts, self._verdicts):
             if part is not None:
@@ -108,11 +108,11 @@
         return self._run(effects, now_us)
 
     def gone(self, now_us: int) -> bool:
-        """After `leave`: whether all has been given back."""
+        """Whether everything has been given back after `leave`."""
         return self._limits.gone and (self._layouts is None or self._layouts.gone(now_us))
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """What this node believes, for operators: name and text."""
+        """Return the state of this node for operators, as (name, text)."""
         rows = [("node", self.name)]
         if self.keeper is not None:
             rows.append(("keeper", "votes" if self.keeper.begun else "does not vote yet"))
@@ -122,33 +122,33 @@
         return rows
 
     def _run(self, effects: list[f.Effect], now_us: int) -> list[f.Effect]:
-        """Carry effects from part to part until only the shell's are left."""
-        queue, out = deque(effects), []
+        """Pass effects from part to part until only those for the caller are left."""
+        queue, remaining = deque(effects), []
         while queue:
-            one = queue.popleft()
-            if isinstance(one, f.Read):
-                queue.extend(self._proposer.read(one.ask, one.key, now_us))
-            elif isinstance(one, f.Change):
-                queue.extend(self._proposer.change(one.ask, one.key, one.fence, one.value, now_us))
-            elif isinstance(one, f.Answer):
-                queue.extend(self._answered(one, now_us))
-            elif isinstance(one, f.Tell) and one.to == self.name:
-                queue.extend(self._take(self.name, one.message, now_us))
+            effect = queue.popleft()
+            if isinstance(effect, f.Read):
+                queue.extend(self._proposer.read(effect.ask, effect.key, now_us))
+            elif isinstance(effect, f.Change):
+                queue.extend(self._proposer.change(effect.ask, effect.key, effect.fence, effect.value, now_us))
+            elif isinstance(effect, f.Answer):
+                queue.extend(self._answered(effect, now_us))
+            elif isinstance(effect, f.Tell) and effect.to == self.name:
+                queue.extend(self._take(self.name, effect.message, now_us))
             else:
-                out.append(one)
-        return out
+                remaining.append(effect)
+        return remaining
 
     def _answered(self, answer: f.Answer, now_us: int) -> list[f.Effect]:
-        found = self._limits.answered(answer, now_us)
-        if found is None and self._layouts is not None:
-            found = self._layouts.answered(answer, now_us)
-        return found or []
+        effects = self._limits.answered(answer, now_us)
+        if effects is None and self._layouts is not None:
+            effects = self._layouts.answered(answer, now_us)
+        return effects or []
 
     def _take(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
         for part in (self._limits, self._layouts, self._verdicts):
-            found = part.take(sender, message, now_us) if part is not None else None
-            if found is not None:
-                return found
+            effects = part.take(sender, message, now_us) if part is not None else None
+            if effects is not None:
+                return effects
         if isinstance(message, f.Promise | f.Accepted | f.Outbid | f.Looked):
             return self._proposer.receive(sender, message, now_us)
         return self.keeper.receive(sender, message, now_us) if self.keeper is not None else []
--- a/oatlink/lab/scale/scenarios/idle.py
+++ b/oatlink/lab/scale/scenarios/idle.py
@@ -43,8 +43,8 @@
     found.steady["s until a dead node is missed"] = view.patience_us(size.gateways) / 1e6
     found.notes += [
         f"each node keeps a record of every other ({at(view.View.__init__, '_others')}) and walks through all of them "
-        f"each 2 s, and each time that it is ticked ({at(view.View.alive)}, {at(view.View._words)})",
-        f"who is told is drawn anew from all ({at(view.View.tick, 'sample(there')}), so in a large fleet nearly each "
+        f"each 2 s, and each time that it is ticked ({at(view.View.alive)}, {at(view.View._heard_entries)})",
+        f"who is told is drawn anew from all ({at(view.View.tick, 'sample(present')}), so in a large fleet nearly each "
         "message is a dial",
         f"a dead node is missed later in a larger fleet, by 25 times its turn among the words ({at(view.patience_us)})",
     ]
--- a/oatlink/lab/scale/scenarios/twins.py
+++ b/oatlink/lab/scale/scenarios/twins.py
@@ -97,7 +97,7 @@
         )
         found.notes.append(
             f"two are told apart by a door that hears both within 3 s ({at(listener.Listener._admit)}), and a node "
-            f"speaks to three drawn from all each 2 s ({at(View.tick, 'sample(there')}): "
+            f"speaks to three drawn from all each 2 s ({at(View.tick, 'sample(present')}): "
             "the larger the fleet, the rarer"
         )
     disturbed(order, found, "twin")
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -81,15 +81,15 @@
 def test_the_smaller_part_of_a_cut_knows_it_and_all_meet_again() -> None:
     net = Net(30, 1)
     net.run(patience_us(30))
-    assert not any(one.cut_off(net.clock(name)) for name, one in net.views.items())
+    assert not any(one.is_cut_off(net.clock(name)) for name, one in net.views.items())
     net.part = {name: 1 for name in net.names[:8]}
     net.run(_bound(30))
     for name, one in net.views.items():
-        assert one.cut_off(net.clock(name)) == (name in net.part)
+        assert one.is_cut_off(net.clock(name)) == (name in net.part)
         assert all((other in net.part) == (name in net.part) for other in net.alive(name))
     net.part = {}
     net.run(_bound(30))
-    assert net.missed() == 0 and not any(one.cut_off(net.clock(name)) for name, one in net.views.items())
+    assert net.missed() == 0 and not any(one.is_cut_off(net.clock(name)) for name, one in net.views.items())
 
 
 def test_ages_that_do_not_grow_keep_the_dead_alive(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,10 +122,10 @@
     one.receive("c", Alive(9, False, ((1, 0),)), 10_000)  # what c hears does not mend our link
     assert one.alive(11_000) == ("c",)
     one.receive("b", Alive(6, True), 12_000)
-    assert one.alive(13_000) == ("c",) and not one.cut_off(14_000) and one.cut_off(QUIET_US + 20_000)
+    assert one.alive(13_000) == ("c",) and not one.is_cut_off(14_000) and one.is_cut_off(QUIET_US + 20_000)
     assert [x.to for x in one.leave(15_000) if isinstance(x, Tell)] == ["c"]
     many = View("n0", 1, tuple(f"n{n}" for n in range(50)), 1, DRIFT, 0)
-    assert not many.cut_off(QUIET_US) and many.cut_off(QUIET_US + 1) and len(many.alive(QUIET_US + 1)) == 49
+    assert not many.is_cut_off(QUIET_US) and many.is_cut_off(QUIET_US + 1) and len(many.alive(QUIET_US + 1)) == 49
 
 
 def _there_while_flapping(returns: int) -> int:
@@ -134,11 +134,11 @@
     for n in range(1, returns + 1):
         node.failed = True
         node.heard(1, n * 1_000_000, 10**9)
-        counted += node.there(n * 1_000_000, 10**9)
-    assert node.there((returns * 1_000_000) + MAX_HOLD_US, 10**9)
+        counted += node.is_present(n * 1_000_000, 10**9)
+    assert node.is_present((returns * 1_000_000) + MAX_HOLD_US, 10**9)
     node.failed = True
     node.heard(1, 3 * CALM_US, 10**9)
-    assert node.there(3 * CALM_US, 10**9)  # a long calm, and it is trusted at once again
+    assert node.is_present(3 * CALM_US, 10**9)  # a long calm, and it is trusted at once again
     return counted
 
 
@@ -159,4 +159,4 @@
     for at, (sender, incarnation, heard) in enumerate(words):
         one.receive(sender, Alive(incarnation, False, tuple(heard)), at)
     assert one.alive(patience_us(3) + len(words) + 1) == ()
-    assert one.cut_off(patience_us(3) + len(words) + 1)
+    assert one.is_cut_off(patience_us(3) + len(words) + 1)
