--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -16,103 +16,104 @@
 from oatlink.settings.fleet import Tenant
 from oatlink.settings.parts import Match
 from tests.fleet import fleetsim_sabotage, limits_world
-from tests.fleet.limits_world import DRIFT, RULES, Machine, World, trouble
+from tests.fleet.limits_world import DRIFT, RULES, Machine, World, inject_faults
 
 TERM = coordinator.GRANT_TERM_US
-ONE_HAS_ALL = "greed of one"
+ONE_HAS_ALL = "greed of one"  # the kind of fault that moves all load to one node
 
 
-def troubled(seed: int, drift: float = DRIFT, faults: tuple[str, ...] = ()) -> World:
-    """Four seconds in which what may fail (of `faults`, else drawn) does, and everyone asks for more than there is."""
+def run_with_faults(seed: int, drift: float = DRIFT, faults: tuple[str, ...] = ()) -> World:
+    """Run four seconds in which faults occur (`faults`, or random kinds), and each node wants more than there is."""
     world = World(seed, drift=drift)
     world.faults = list(faults) or world.faults
-    greedy(world)
-    world.run(4_000_000, trouble)
+    put_load(world)
+    world.run(4_000_000, inject_faults)
     return world
 
 
-def greedy(world: World, rate: float = 3_000.0) -> list[Machine]:
-    for one in world.machines.values():
-        one.greed = dict.fromkeys(RULES, rate)
+def put_load(world: World, rate: float = 3_000.0) -> list[Machine]:
+    """Have every node send this rate for each allowance; returns the machines."""
+    for machine in world.machines.values():
+        machine.load = dict.fromkeys(RULES, rate)
     return list(world.machines.values())
 
 
-def over(world: World) -> bool:
-    """Whether a window had too much, or live buckets that would have let it."""
+def is_exceeded(world: World) -> bool:
+    """Whether a window admitted too much, or the live buckets would have allowed it."""
     return world.rights > 1 or any(world.excess(name) > burst for name, (_, burst, _) in RULES.items())
 
 
-# ---- Never over ----
+# ---- Limits are never exceeded ----
 
 
-class LastToCome(requester.GrantRequester):
+class TakesOvertakenGrants(requester.GrantRequester):
     def receive(self, sender: str, message: Any, now_us: int) -> list[Any]:
         self._newest.clear()
         return super().receive(sender, message, now_us)
 
 
-class TakesAny(node.Allowances):
+class TakesAnySerial(node.Allowances):
     def hear(self, news: Granted, now_us: int) -> None:
         if news.name in self.active:
             self.active[news.name].serial = min(self.active[news.name].serial, news.serial - 1)
         super().hear(news, now_us)
 
 
-class Undying(node.Allowances):
+class ExtendsGrants(node.Allowances):
     def hear(self, news: Granted, now_us: int) -> None:
         super().hear(news, now_us)
         if news.name in self.active:
             self.active[news.name].until_us += TERM
 
 
-def overtaken(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(limits_world, "GrantRequester", LastToCome)
-    patch.setattr(limits_world, "Allowances", TakesAny)
+def take_overtaken_grants(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(limits_world, "GrantRequester", TakesOvertakenGrants)
+    patch.setattr(limits_world, "Allowances", TakesAnySerial)
 
 
-def endless(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(limits_world, "Allowances", Undying)
+def extend_grants(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(limits_world, "Allowances", ExtendsGrants)
 
 
-def missing(guard: str) -> Callable[[pytest.MonkeyPatch], None]:
-    return fleetsim_sabotage.SABOTAGES[guard][1]
+def mutation(name: str) -> Callable[[pytest.MonkeyPatch], None]:
+    return fleetsim_sabotage.SABOTAGES[name][1]
 
 
 SABOTAGES: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], float, tuple[str, ...]]] = {
-    "a grant outlives its home": (missing("grant_outlives_its_home"), DRIFT, ("no lease", ONE_HAS_ALL)),
-    "drift is not counted": (missing("drift_is_not_counted"), 0.1, ("cut", ONE_HAS_ALL)),
-    "only the newest grant counts": (missing("only_the_newest_grant_counts"), DRIFT, ("loss", ONE_HAS_ALL)),
-    "a new bucket is full": (missing("a_new_bucket_is_full"), DRIFT, ("restart",)),
-    "a term counts from the answer": (missing("grant_counts_from_the_answer"), DRIFT, ("stop", ONE_HAS_ALL)),
-    "an overtaken answer is taken": (overtaken, DRIFT, ("slow", ONE_HAS_ALL)),
-    "a grant does not end": (endless, DRIFT, ("cut", ONE_HAS_ALL)),
-    "floors are not inside the rate": (missing("floors_are_not_inside_the_rate"), DRIFT, ("greed",)),
+    "a grant outlives its home": (mutation("grant_outlives_its_home"), DRIFT, ("no lease", ONE_HAS_ALL)),
+    "drift is not counted": (mutation("drift_is_not_counted"), 0.1, ("cut", ONE_HAS_ALL)),
+    "only the newest grant counts": (mutation("only_the_newest_grant_counts"), DRIFT, ("loss", ONE_HAS_ALL)),
+    "a new bucket is full": (mutation("a_new_bucket_is_full"), DRIFT, ("restart",)),
+    "a term counts from the answer": (mutation("grant_counts_from_the_answer"), DRIFT, ("stop", ONE_HAS_ALL)),
+    "an overtaken answer is taken": (take_overtaken_grants, DRIFT, ("slow", ONE_HAS_ALL)),
+    "a grant does not end": (extend_grants, DRIFT, ("cut", ONE_HAS_ALL)),
+    "floors are not inside the rate": (mutation("floors_are_not_inside_the_rate"), DRIFT, ("greed",)),
 }
 
 
 @pytest.mark.parametrize("name", SABOTAGES)
 def test_each_guard_matters(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     take_out, drift, faults = SABOTAGES[name]
-    assert not any(over(troubled(seed, drift, faults)) for seed in range(2))
+    assert not any(is_exceeded(run_with_faults(seed, drift, faults)) for seed in range(2))
     take_out(monkeypatch)
-    assert any(over(troubled(seed, drift, faults)) for seed in range(20))
+    assert any(is_exceeded(run_with_faults(seed, drift, faults)) for seed in range(20))
 
 
 def test_whatever_fails_no_window_has_more_than_burst_and_rate() -> None:
     most = 0.0
     for seed in range(8):
-        world = troubled(seed, (DRIFT, 0.1)[seed % 2])
-        assert not over(world), seed
+        world = run_with_faults(seed, (DRIFT, 0.1)[seed % 2])
+        assert not is_exceeded(world), seed
         most = max(most, world.excess("a") / RULES["a"][1])
-    assert most > 0.5  # the worlds come near enough to the bound for a mistake to show
+    assert most > 0.5  # the simulation comes close enough to the bound to reveal a violation
 
 
-# ---- Bounded under, and fair ----
+# ---- Use and fairness ----
 
 
 def test_a_node_cut_off_serves_its_floor_and_all_is_used_two_terms_after_links_heal() -> None:
     world = World(5)
-    greedy(world)
+    put_load(world)
     world.run(2_000_000)
     away = [name for name in world.names if name not in {who for who, _, _ in world.holder.values()}][:2]
     world.cut = dict.fromkeys(away, True)
@@ -123,7 +124,7 @@
         own = floor * rate / len(world.names)
         for one in away:
             assert 0.93 * own <= world.served(name, since, world.now, one) <= 1.03 * own
-        # Those who are not cut off have the whole pool.
+        # The nodes that are not cut off have the whole pool.
         assert world.served(name, since, world.now) >= 0.95 * rate
     world.cut = {}
     world.run(2 * TERM)
@@ -139,17 +140,17 @@
 def test_unequal_and_shifting_demand_has_nine_tenths_of_the_rate(hammer: bool) -> None:
     world = World(3)
     world.hammer = hammer
-    greeds = [3_000.0, 100.0, 60.0, 600.0]
+    loads = [3_000.0, 100.0, 60.0, 600.0]
     world.run(100_000)
     start = world.now
     for _ in range(3):
-        for one, greed in zip(world.machines.values(), greeds, strict=True):
-            one.greed = {"a": greed, "b": greed}
+        for machine, load in zip(world.machines.values(), loads, strict=True):
+            machine.load = {"a": load, "b": load}
         world.run(5_000_000)
         settled = [world.served("a", world.now - 2_000_000, world.now, one) for one in world.names]
-        for greed, part in zip(greeds, settled, strict=True):  # max-min: 100 and 60 in full, the others 420 each
-            assert 0.9 * min(greed, 420) < part <= 1.05 * min(greed, 420)
-        greeds = greeds[1:] + greeds[:1]
+        for load, part in zip(loads, settled, strict=True):  # max-min: 100 and 60 in full, the others 420 each
+            assert 0.9 * min(load, 420) < part <= 1.05 * min(load, 420)
+        loads = loads[1:] + loads[:1]
     for name, (rate, _, _) in RULES.items():
         assert world.served(name, start, world.now) >= 0.9 * rate
 
@@ -162,14 +163,14 @@
     demands = [(f"n{number}", demand) for number, demand in enumerate(asked)]
     parts = divide(rate, demands)
     assert rate - len(asked) <= sum(parts.values()) <= rate
-    if sum(asked) >= rate:  # whoever has less than it asks has, but for rounding, no less than anyone
+    if sum(asked) >= rate:  # a node with less than it asks for has, but for rounding, no less than any other
         assert all(parts[one] <= demand for one, demand in demands)
         assert all(parts[one] >= max(parts.values()) - 12 for one, demand in demands if parts[one] < demand)
     else:
         assert all(parts[one] >= demand for one, demand in demands)
     levels = divide_burst(burst * REQUEST_UNITS, parts)
     assert sum(levels.values()) <= burst * REQUEST_UNITS and min(levels.values()) >= REQUEST_UNITS
-    for count in range(1, len(asked)):  # nobody starves where there are fewer seats than nodes
+    for count in range(1, len(asked)):  # no node starves where there are fewer seats than nodes
         turns = range(turn, turn - (-len(asked) // count))
         assert {one for at in turns for one in nodes_in_turn(list(parts), count, at)} == set(parts)
 
@@ -204,83 +205,84 @@
         assert bucket.level + Fraction(bucket.rest, 10**6) == level
 
 
-def _home(nodes: int = 3) -> coordinator.LimitCoordinator:
-    one = coordinator.LimitCoordinator(
+def _coordinator(nodes: int = 3) -> coordinator.LimitCoordinator:
+    core = coordinator.LimitCoordinator(
         shards.shard_of("a"), dict.fromkeys("abcdefgh", RULES["a"]), [f"n{n}" for n in range(nodes)], DRIFT
     )
-    one.began(7, 0)
-    return one
+    core.began(7, 0)
+    return core
 
 
-def _asked(one: coordinator.LimitCoordinator, who: str, now: int, *demands: Demand, lease: int = 10**9) -> Any:
-    (told,) = one.want(who, Want(1, one.shard, demands), lease, now)
-    assert isinstance(told, Tell)
-    return told.message
+def _answer_to(core: coordinator.LimitCoordinator, who: str, now: int, *demands: Demand, lease: int = 10**9) -> Any:
+    (tell,) = core.want(who, Want(1, core.shard, demands), lease, now)
+    assert isinstance(tell, Tell)
+    return tell.message
 
 
 def test_a_home_gives_to_those_it_knows_what_it_has() -> None:
-    one, other = _home(), next(name for name in "bcdefgh" if shards.shard_of(name) != shards.shard_of("a"))
-    assert one.want("stranger", Want(1, one.shard, (Demand("a", 1.0),)), 10**9, 0) == []
-    assert one.want("n0", Want(1, one.shard + 1, (Demand("a", 1.0),)), 10**9, 0) == []
+    core, other = _coordinator(), next(name for name in "bcdefgh" if shards.shard_of(name) != shards.shard_of("a"))
+    assert core.want("stranger", Want(1, core.shard, (Demand("a", 1.0),)), 10**9, 0) == []
+    assert core.want("n0", Want(1, core.shard + 1, (Demand("a", 1.0),)), 10**9, 0) == []
     odd = [float("nan"), float("inf"), -1.0, 1e300]
-    assert [grant.name for grant in _asked(one, "n0", 0, Demand("?", 9.0), Demand(other, 9.0)).grants] == []
+    assert [grant.name for grant in _answer_to(core, "n0", 0, Demand("?", 9.0), Demand(other, 9.0)).grants] == []
     for rate in odd:
-        _asked(one, "n0", 0, Demand("a", rate, 2**62))
-    for now in range(0, 900_000, 1_000):  # a node that floods has a bounded row, and its lost answers all count
-        _asked(one, "n0", now, Demand("a", 500.0))
-    allowance = one._ledgers["a"]
+        _answer_to(core, "n0", 0, Demand("a", rate, 2**62))
+    # A flooding node has a bounded number of live grants, and its lost answers all count.
+    for now in range(0, 900_000, 1_000):
+        _answer_to(core, "n0", now, Demand("a", 500.0))
+    allowance = core._ledgers["a"]
     assert len(allowance.shares["n0"].grants) <= ledger.MAX_LIVE_GRANTS
-    assert _asked(one, "n1", 900_000, Demand("a", 500.0)).grants[0].rate == 0
-    assert _asked(one, "n0", 960_000, Demand("a", 500.0, 2**62)).grants[0].rate < 401  # cut, but not yet free
-    assert _asked(one, "n1", 960_000, Demand("a", 500.0)).grants[0].rate == 0
-    one.returned("n0", Returned(one.shard, (("a", 2**62), ("?", 1))), 960_000)
-    assert _asked(one, "n1", 960_001, Demand("a", 500.0)).grants[0].rate == 0  # no serial of this home
-    one.returned("n0", Returned(one.shard, (("a", one._serial),)), 960_002)
-    assert _asked(one, "n1", 960_003, Demand("a", 500.0)).grants[0].rate > 199
-    assert type(_asked(one, "n1", 960_004, Demand("a", 5.0), lease=960_005)).__name__ == "NotHome"
-    one.want("n2", Want(1, one.shard, ()), 10**9, 10_000_000)
-    assert not one._ledgers
+    assert _answer_to(core, "n1", 900_000, Demand("a", 500.0)).grants[0].rate == 0
+    assert _answer_to(core, "n0", 960_000, Demand("a", 500.0, 2**62)).grants[0].rate < 401  # reduced, but not yet free
+    assert _answer_to(core, "n1", 960_000, Demand("a", 500.0)).grants[0].rate == 0
+    core.returned("n0", Returned(core.shard, (("a", 2**62), ("?", 1))), 960_000)
+    assert _answer_to(core, "n1", 960_001, Demand("a", 500.0)).grants[0].rate == 0  # not a serial of this coordinator
+    core.returned("n0", Returned(core.shard, (("a", core._serial),)), 960_002)
+    assert _answer_to(core, "n1", 960_003, Demand("a", 500.0)).grants[0].rate > 199
+    assert type(_answer_to(core, "n1", 960_004, Demand("a", 5.0), lease=960_005)).__name__ == "NotHome"
+    core.want("n2", Want(1, core.shard, ()), 10**9, 10_000_000)
+    assert not core._ledgers
 
 
 def test_a_few_seats_go_round() -> None:
     names = [f"n{number}" for number in range(5)]
-    one = coordinator.LimitCoordinator(shards.shard_of("a"), {"a": (100.0, 2.0, 0.0)}, names)
-    one.began(1, 0)
-    had: dict[str, int] = dict.fromkeys(names, 0)
+    core = coordinator.LimitCoordinator(shards.shard_of("a"), {"a": (100.0, 2.0, 0.0)}, names)
+    core.began(1, 0)
+    grant_counts: dict[str, int] = dict.fromkeys(names, 0)
     serials = dict.fromkeys(names, 0)
     for now in range(0, 40_000_000, 250_000):
         for name in names:
-            (grant,) = _asked(one, name, now, Demand("a", 50.0, serials[name])).grants
+            (grant,) = _answer_to(core, name, now, Demand("a", 50.0, serials[name])).grants
             serials[name] = grant.serial
-            had[name] += grant.burst >= 1
+            grant_counts[name] += grant.burst >= 1
             assert grant.burst >= 1 or grant.burst == grant.rate == 0
-    assert min(had.values()) >= 20
+    assert min(grant_counts.values()) >= 20
 
 
 def test_a_node_takes_only_answers_to_its_own_questions() -> None:
     shard, demands = shards.shard_of("a"), (Demand("a", 9.0), Demand("b", 9.0))
-    homes = dict.fromkeys(range(shards.SHARDS), "h")
-    one = requester.GrantRequester("n0", 1)
-    (first,) = [tell for tell in one.request(demands, homes, 0) if tell.message.shard == shard]  # type: ignore
-    assert isinstance(first, Tell) and isinstance(first.message, Want) and one.due_us <= requester.ASK_US
+    coordinators = dict.fromkeys(range(shards.SHARDS), "h")
+    core = requester.GrantRequester("n0", 1)
+    (first,) = [tell for tell in core.request(demands, coordinators, 0) if tell.message.shard == shard]  # type: ignore
+    assert isinstance(first, Tell) and isinstance(first.message, Want) and core.due_us <= requester.ASK_US
     ask = first.message.ask
-    assert one.request(demands, homes, 10_000) == [] == list(one.unanswered(10_000))
-    assert shard in one.unanswered(requester.SILENCE_US)
+    assert core.request(demands, coordinators, 10_000) == [] == list(core.unanswered(10_000))
+    assert shard in core.unanswered(requester.SILENCE_US)
 
     def answer(serial: int, fence: int = 1, number: int = ask) -> Grants:
         return Grants(number, shard, fence, (Grant("a", serial, 9.0, 2.0, 2 * TERM), Grant("zz", 1, 9.0, 2.0, TERM)))
 
-    reborn = requester.GrantRequester("n0", 2)  # a new process: its numbers are others
-    reborn.request(demands, homes, 500_000)
+    reborn = requester.GrantRequester("n0", 2)  # a new process, whose request numbers differ
+    reborn.request(demands, coordinators, 500_000)
     assert reborn.receive("h", answer(5), 510_000) == []
-    assert one.receive("x", answer(5), 500_000) == one.receive("h", answer(5, number=0), 500_000) == []
-    assert one.receive("h", answer(5, 3), 500_000) == [Tuned(Granted("a", 5, 9.0, 2.0, TERM))]
-    assert one.receive("h", answer(4, 3), 500_000) == one.receive("h", answer(6, 2), 500_000) == []
-    assert one.receive("h", answer(6, 3), TERM) == []  # over before it came
-    assert shard not in one.unanswered(500_000)
-    ended, back = one.leave(600_000)
+    assert core.receive("x", answer(5), 500_000) == core.receive("h", answer(5, number=0), 500_000) == []
+    assert core.receive("h", answer(5, 3), 500_000) == [Tuned(Granted("a", 5, 9.0, 2.0, TERM))]
+    assert core.receive("h", answer(4, 3), 500_000) == core.receive("h", answer(6, 2), 500_000) == []
+    assert core.receive("h", answer(6, 3), TERM) == []  # ended before it arrived
+    assert shard not in core.unanswered(500_000)
+    ended, back = core.leave(600_000)
     assert ended == Tuned(Granted("a", 5, 0.0, 0.0, TERM)) and back == Tell("h", Returned(shard, (("a", 5),)))
-    assert one.request(demands, homes, 10**7) == [] == one.receive("h", answer(9, 3), 600_000)
+    assert core.request(demands, coordinators, 10**7) == [] == core.receive("h", answer(9, 3), 600_000)
 
 
 def _plain(value: object) -> bool:
@@ -297,9 +299,9 @@
     assert gate.admit("a", 1, 0) == HELD and gate.demands(0)[0].serial == 0
     assert gate.admit("a", 1, node.PATIENCE_US) > 0
     assert gate.admit("a", 1, 200_000) == ADMITTED  # 0.1 x 100 / 2 a second
-    assert gate.admit("a", 20, 200_000) == node.MAX_RETRY_US  # nobody can ever hold so much here
+    assert gate.admit("a", 20, 200_000) == node.MAX_RETRY_US  # more than the buckets of this allowance can ever hold
     gate.hear(Granted("a", 1, 50.0, 4.0, 1_000_000), 200_000)
-    gate.hear(Granted("a", 2, 50.0, 2.0, 900_000), 260_000)  # 3 are there, 2 stay
+    gate.hear(Granted("a", 2, 50.0, 2.0, 900_000), 260_000)  # the level of 3 is cut to 2
     gate.hear(Granted("a", 1, 90.0, 9.0, 2_000_000), 260_000)  # overtaken
     gate.hear(Granted("a", 2, 90.0, 9.0, 2_000_000), 260_000)  # the same again gives nothing
     assert (gate.active["a"].grant.burst, gate.active["a"].until_us) == (2 * REQUEST_UNITS, 900_000)
@@ -307,9 +309,9 @@
     backs = [gate.admit("a", 1, 260_000) for _ in range(200)]
     assert all(node.MIN_RETRY_US <= back <= node.MAX_RETRY_US for back in backs) and len(set(backs)) > 100
     assert gate.demands(260_000)[0].rate <= node.MAX_GROWTH_FACTOR * 55
-    gate.hear(Granted("a", 3, 50.0, 9.0, 3_000_000), 2_000_000)  # the one before is over: a new bucket, empty
+    gate.hear(Granted("a", 3, 50.0, 9.0, 3_000_000), 2_000_000)  # the previous grant has ended: a new, empty bucket
     assert gate.active["a"].grant.level == 0 and _plain(gate)
-    assert gate.admit("b", 1, 20_000_000) == HELD and list(gate.active) == ["b"]  # what is idle is dropped
+    assert gate.admit("b", 1, 20_000_000) == HELD and list(gate.active) == ["b"]  # idle allowances are dropped
     assert gate.admit("b", -5, 20_000_000) == ADMITTED and gate.active["b"].floor.level == 0
     gate.hear(Granted("b", 1, 50.0, 9.0, 99_000_000), 20_000_000)
     gate.alone()
@@ -317,12 +319,13 @@
 
 
 def test_the_first_tenant_that_fits_and_shards_spread() -> None:
-    one = Tenants([Tenant("k", Match(keys=("k:*",)), 1, 1), Tenant("u", Match(users=("u",)), 1, 1)])
-    assert [one.name_of("get", [key], user, "") for key in (b"k:1", b"x") for user in ("u", "v")] == ["k", "k", "u", ""]
+    tenants = Tenants([Tenant("k", Match(keys=("k:*",)), 1, 1), Tenant("u", Match(users=("u",)), 1, 1)])
+    found = [tenants.name_of("get", [key], user, "") for key in (b"k:1", b"x") for user in ("u", "v")]
+    assert found == ["k", "k", "u", ""]
     for number in range(5_000):
-        one.name_of("get", [b"%d" % number, b"k:1"], "u", f"client {number}")
-    one.name_of("get", [b"x" * 10_000], "u", "")
-    assert len(one._cache) == 4_096 and max(len(shape[1]) for shape in one._cache) < 10
+        tenants.name_of("get", [b"%d" % number, b"k:1"], "u", f"client {number}")
+    tenants.name_of("get", [b"x" * 10_000], "u", "")
+    assert len(tenants._cache) == 4_096 and max(len(shape[1]) for shape in tenants._cache) < 10
     nodes = [f"n{number}" for number in range(9)]
     for shard in range(shards.SHARDS):
         order = sorted(nodes, key=lambda name, shard=shard: shards.rank(name, shard, nodes))  # type: ignore
