--- a/oatlink/fleet/limits/coordinator.py
+++ b/oatlink/fleet/limits/coordinator.py
@@ -90,9 +90,9 @@
         share.heard_us = ledger.heard_us = now_us
         max_demand = MAX_DEMAND_FACTOR * (ledger.pool_rate + len(self._nodes) * ledger.floor_rate)
         asked = demand.rate * REQUEST_UNITS
+        # Neither comparison holds for NaN, which counts as 0.
         share.demand = int(asked) if 0 <= asked < max_demand else (int(max_demand) if asked >= max_demand else 0)
-        # NaN counts as 0 above. A serial that this coordinator has not given out is that of another coordinator, and
-        # does not confirm any grant of this one.
+        # A serial that this coordinator has not given out comes from another one, and confirms no grant of this one.
         ledger.confirm(share, demand.serial if demand.serial <= self._serial else 0, now_us)
         if now_us - ledger.divided_us >= min(MAX_DIVIDE_US, max(DIVIDE_US, DIVIDE_PER_NODE_US * len(ledger.shares))):
             ledger.divide(now_us, GRANT_TERM_US)
@@ -119,6 +119,6 @@
     def _sweep(self, now_us: int) -> None:
         self._swept_us = now_us
         longest_us = self._counted_us(GRANT_TERM_US)
-        # A grant is made only in answer to a request, so one that nobody asked for in this time has no live grant.
+        # Grants are made only in answer to requests, so a ledger without a request in this time has no live grant.
         for name in [name for name, ledger in self._ledgers.items() if now_us - ledger.heard_us > longest_us]:
             del self._ledgers[name]
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -8,9 +8,9 @@
 - The first request after an idle period finds empty buckets. For `PATIENCE_US` it is `HELD` where waiting may help: no
   grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is admitted
   or refused.
-- A refused request is told when the buckets could pay, plus a random part of the time that all recently refused
+- A refused request gets the time until the buckets could pay, plus a random part of the time that all recently refused
   requests need together, so that they do not all come back at the same moment.
-- A request whose cost exceeds what the buckets of the floor and of a whole pool can ever hold is told the longest time.
+- A request whose cost exceeds what the buckets of the floor and of a whole pool can ever hold gets the longest time.
 - Demand is what was asked for per second, admitted or not, as an average over about `AVERAGING_US`. Requests that come
   again count again, so the demand is capped at `MAX_DEMAND_FACTOR` times the rate of the allowance and at
   `MAX_GROWTH_FACTOR` times what the node may serve at present: clients that retry in a tight loop make a small demand
--- a/oatlink/fleet/membership/suspicion.py
+++ b/oatlink/fleet/membership/suspicion.py
@@ -25,21 +25,21 @@
     """What is known of one node. Until its first message it counts as heard at `heard_us`, when the view began."""
 
     heard_us: int
-    known: bool = False  # some node has heard of it
+    is_known: bool = False  # some node has heard of it
     incarnation: int | None = None
-    left: bool = False
-    failed: bool = False  # our link to it
+    has_left: bool = False
+    has_link_failed: bool = False  # our own link to the node
     returns: int = 0
     return_us: int = 0
     trusted_us: int = 0  # not present before this time
 
     def is_silent(self, now_us: int, patience_us: int) -> bool:
         """Whether nothing shows that it is alive; a node that left in an orderly way does not count as silent."""
-        return not self.left and (self.failed or now_us - self.heard_us > patience_us)
+        return not self.has_left and (self.has_link_failed or now_us - self.heard_us > patience_us)
 
     def is_present(self, now_us: int, patience_us: int) -> bool:
         """Whether it counts as present."""
-        return not self.left and not self.is_silent(now_us, patience_us) and now_us >= self.trusted_us
+        return not self.has_left and not self.is_silent(now_us, patience_us) and now_us >= self.trusted_us
 
     def heard(self, incarnation: int, now_us: int, patience_us: int) -> bool:
         """It sent us a message; returns whether it is another incarnation than before, or the first."""
@@ -47,14 +47,14 @@
         if (is_new and self.incarnation is not None) or self.is_silent(now_us, patience_us):
             self._returned(now_us)
         if is_new:
-            self.incarnation, self.left = incarnation, False
-        self.known, self.failed = True, False
+            self.incarnation, self.has_left = incarnation, False
+        self.is_known, self.has_link_failed = True, False
         self.heard_us = max(self.heard_us, now_us)
         return is_new
 
     def heard_by_other(self, heard_us: int) -> None:
         """Another node heard of it at that time."""
-        self.known = True
+        self.is_known = True
         self.heard_us = max(self.heard_us, heard_us)
 
     def _returned(self, now_us: int) -> None:
--- a/oatlink/fleet/membership/view.py
+++ b/oatlink/fleet/membership/view.py
@@ -7,9 +7,9 @@
 `FAN_OUT` others, with how long ago it heard of up to `MAX_HEARD` more, the most recent first: at most `FAN_OUT`
 messages of under 1,200 bytes in that time, whatever the number of nodes. `patience_us(nodes)` is how long to wait for
 news of a node: a few `ALIVE_US` for lost messages, one for each doubling of the nodes for the steps of the gossip, and
-25 times the mean time until its turn among the entries, so that a live node is hardly ever missed: 18 s at 5 nodes, 30
-s at 50, 94 s at 500. A node that died is missed by all others after that time plus `2 x ALIVE_US` for each doubling.
-One that our own link fails to (`silent`) is missed at once, which is what matters for the nodes in use.
+25 times the mean time until its turn among the entries, so that a live node is hardly ever missed: 18 s at 5 nodes,
+30 s at 50, 94 s at 500. A node that died is missed by all others after that time plus `2 x ALIVE_US` for each
+doubling. One that our own link fails to (`link_failed`) is missed at once, which matters for the nodes in use.
 
 An age that is passed on grows while it is kept, by our clock x (1 + drift), and by `HOP_US` for the transfer. So news
 of a node that has died gets older at each step and dies out.
@@ -62,12 +62,12 @@
         """A node announced that it is about to stop; later messages of this incarnation do not make it present."""
         self.heard(node, incarnation, now_us)
         if node in self._others:
-            self._others[node].left = True
+            self._others[node].has_left = True
 
-    def silent(self, node: str, now_us: int) -> None:
+    def link_failed(self, node: str, now_us: int) -> None:
         """Our link to a node failed: it counts as silent until it sends us a message again."""
         if node in self._others:
-            self._others[node].failed = True
+            self._others[node].has_link_failed = True
 
     def receive(self, sender: str, alive: Alive, now_us: int) -> None:
         """Take an `Alive` message."""
@@ -75,7 +75,7 @@
             return
         self.heard(sender, alive.incarnation, now_us)
         if alive.leaving:
-            self._others[sender].left = True
+            self._others[sender].has_left = True
         for place, age_ms in alive.heard[:MAX_HEARD]:
             if 0 <= place < len(self._names) and 0 <= age_ms < MAX_AGE_MS and self._names[place] in self._others:
                 self._others[self._names[place]].heard_by_other(now_us - self._grown(age_ms * 1_000) - HOP_US)
@@ -91,7 +91,7 @@
         sent a message for `QUIET_US`. With only one other node the two cases cannot be distinguished, and this node
         counts as the one cut off.
         """
-        remaining = [other for other in self._others.values() if not other.left]
+        remaining = [other for other in self._others.values() if not other.has_left]
         silent_count = sum(other.is_silent(now_us, self._patience_us) for other in remaining)
         is_quiet = now_us - self._last_heard_us > QUIET_US
         return bool(remaining) and (2 * silent_count > len(remaining) or is_quiet)
@@ -103,7 +103,7 @@
         self.due_us = now_us + ALIVE_US + self._draw.randrange(-ALIVE_US // 10, ALIVE_US // 10)
         present = self.alive(now_us)
         lookup = dict.fromkeys(present)
-        absent = [name for name, other in self._others.items() if not other.left and name not in lookup]
+        absent = [name for name, other in self._others.items() if not other.has_left and name not in lookup]
         # At least one message goes to an absent node, if there is one: otherwise it would never be found again.
         targets = self._draw.sample(absent, min(len(absent), max(1, FAN_OUT - len(present))))
         targets += self._draw.sample(present, min(len(present), FAN_OUT - len(targets)))
@@ -122,7 +122,7 @@
         Nodes that nobody has heard of are left out. Otherwise a node that never existed would be kept alive by every
         node that starts and counts it as heard at its start.
         """
-        known = [name for name in present if self._others[name].known]
+        known = [name for name in present if self._others[name].is_known]
         newest = nsmallest(MAX_HEARD, known, key=lambda name: now_us - self._others[name].heard_us)
         return tuple(
             (self._place[name], self._grown(now_us - self._others[name].heard_us) // 1_000 + 1) for name in newest
--- a/oatlink/fleet/registers/attempt.py
+++ b/oatlink/fleet/registers/attempt.py
@@ -17,7 +17,7 @@
 **A change is identified by its writer**, which is unique to it. It may be offered in several rounds, always with the
 same fence. If it is found at that fence after all, it has happened. If another record is found at that fence and agreed
 again under a higher ballot, the change has not happened and never will. If the fence is further on and the change was
-offered before, nobody can tell: the result is unknown.
+offered before, the result cannot be determined: it is unknown.
 """
 
 from dataclasses import dataclass, field
--- a/oatlink/fleet/registers/recovery.py
+++ b/oatlink/fleet/registers/recovery.py
@@ -13,18 +13,22 @@
 **Why this is safe.** A proposer counts only votes that are valid together (`quorum`): none of them knows of a newer
 life of another. Let V be such a set of f + 1 votes, promises of ballot b or acceptances at b, one of them by K in life
 L, and let K later vote in life L' > L. Claim: K in L' begins with a promise, or an accepted record, at b or higher.
+
 Proof: V has f voters besides K, and K copied from f + 1 of the 2f others, so some X did both. If X voted for V before
 it handed over to L', what it handed over includes the vote (pages wait for the `Keep` of all before them). If X voted
 afterwards, its vote carries (K, L') and the vote of K's life L is not valid in V. If X voted in one life and handed
 over in a later one, X had copied the vote when that life began, by this claim for X. If X handed over in one life and
 voted in a later one, that later life had copied from f + 1 others, of which some Z had also handed over to K's L'.
 Either Z met K first, and X got (K, L') with the `met` of Z, so that its vote carries it; or Z met the later life of X
-first and told K so, and K did not count what the earlier life of X handed over. [] Now let b be accepted by a valid
-majority, and let b' > b be promised by another one. They have a keeper K in common. If both votes are of one life, K
-accepted first (the promise reports it), or it would have refused. If it accepted in the earlier life, the later one
-began with that record and its promise reports it. If it promised in the earlier life, the later one began with that
-promise and refused b. So a proposer with a majority for b' has seen what was accepted at b or since, as in Paxos. A
-record that was copied under a higher promise is marked `copied`: it is reported with promises, but is no vote for it.
+first and reported it to K, and K did not count what the earlier life of X handed over. (End of proof.)
+
+Now let b be accepted by a valid majority, and let b' > b be promised by another one. They have a keeper K in common. If
+both votes are of one life, K accepted first (the promise reports it), or it would have refused. If it accepted in the
+earlier life, the later one began with that record and its promise reports it. If it promised in the earlier life, the
+later one began with that promise and refused b. So a proposer with a majority for b' has seen what was accepted at b or
+since, as in Paxos.
+
+A record that was copied under a higher promise is marked `copied`: it is reported with promises, but is no vote for it.
 
 It is not enough that an acceptor refuses requests based on a life of K that it knows to be over: with five keepers, one
 that K did not copy from knows nothing of it, and one acceptance at a higher ballot misleads the next majority.
@@ -34,7 +38,7 @@
 one of them. A keeper that voted and lost its file states the same. So the proof needs that of all the other keepers at
 least one has kept its file since the fleet began. If fewer are left, an operator has to state that a keeper may begin
 (`trusted`): it then asks for a while and begins with what it got. The same applies to a single keeper, whose new file
-cannot be told from a lost one.
+cannot be distinguished from a lost one.
 
 An old file that reappears after a newer life began has votes that are not valid together with those of any of the f + 1
 keepers that met the newer life, so it decides nothing. An older copy of a file of the same life is not detected.
@@ -105,11 +109,11 @@
         if self._trusted:
             self._trust_us = min(self._trust_us, now_us + TRUSTED_ASK_US)
             if now_us >= self._trust_us or not self._others:
-                return self._begin({}, "by an operator's word")
+                return self._begin({}, "by an operator's command")
         self.due_us = now_us + self._pause_us + self._rng.randrange(ASK_US // 2)
         self._pause_us = min(2 * self._pause_us, MAX_ASK_US)
         waiting = [name for name in self._others if name not in self._sources or not self._sources[name].done]
-        # This life is stored before others learn of it: a life that is told and forgotten is one more for everyone.
+        # This life is stored before others learn of it: a life that is announced and then forgotten is one more.
         return [Keep((), tuple(self._question(name) for name in waiting), self._voting.standing)]
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -123,7 +123,7 @@
     node_view.receive("c", Alive(9, False, ((1, 0),)), 5_000)  # c has heard of b
     assert node_view.alive(6_000) == ("c",)
     assert node_view.heard("b", 6, 7_000) and node_view.alive(8_000) == ("b", "c")  # another process with the same name
-    node_view.silent("b", 9_000)
+    node_view.link_failed("b", 9_000)
     node_view.receive(
         "c", Alive(9, False, ((1, 0),)), 10_000
     )  # what c has heard does not count while our link has failed
@@ -143,11 +143,11 @@
     """Return at how many of its returns a node, which returns each second and fails at once, counts as present."""
     node, count = Suspicion(0), 0
     for n in range(1, returns + 1):
-        node.failed = True
+        node.has_link_failed = True
         node.heard(1, n * 1_000_000, 10**9)
         count += node.is_present(n * 1_000_000, 10**9)
     assert node.is_present((returns * 1_000_000) + MAX_HOLD_US, 10**9)
-    node.failed = True
+    node.has_link_failed = True
     node.heard(1, 3 * CALM_US, 10**9)
     assert node.is_present(3 * CALM_US, 10**9)  # after a long calm it is trusted at once again
     return count
