--- a/oatlink/lab/fleetsim/limits_checker.py
+++ b/oatlink/lab/fleetsim/limits_checker.py
@@ -12,7 +12,7 @@
 
 from oatlink.fleet.gate import Granted
 from oatlink.fleet.gating import TENANT, allowances_of
-from oatlink.fleet.limits.allowance import ONE, floor_of
+from oatlink.fleet.limits.allowance import REQUEST_UNITS, floor_of
 from oatlink.lab.fleetsim import views
 from oatlink.lab.fleetsim.violation import Violation
 
@@ -79,7 +79,10 @@
         floors = {name: floor_of(rule, len(world.names)) for name, rule in self._rules.items()}
         node_count = len(world.names)
         self._pools = {
-            name: (int(rule[0] * ONE) - node_count * floors[name][0], int(rule[1] * ONE) - node_count * floors[name][1])
+            name: (
+                int(rule[0] * REQUEST_UNITS) - node_count * floors[name][0],
+                int(rule[1] * REQUEST_UNITS) - node_count * floors[name][1],
+            )
             for name, rule in self._rules.items()
         }
         self._live: dict[str, dict[Process, tuple[int, int, int]]] = {}  # name: true end, rate and burst of grants
--- a/tests/fleet/control/test_source.py
+++ b/tests/fleet/control/test_source.py
@@ -243,7 +243,7 @@
             name, self.incarnations[name], self.registers_world.keepers, self.incarnations[name]
         )
         self.registers_world.nodes[name] = SimpleNamespace(  # type: ignore[assignment]
-            take=lambda sender, message: self.route(
+            receive=lambda sender, message: self.route(
                 name, self.proposers[name].receive(sender, message, self.registers_world.now)
             )
         )
@@ -253,7 +253,7 @@
         for name in self.cores:
             self.route(name, self.proposers[name].tick(self.registers_world.now))
         if self.rng.random() < 0.01:
-            self.registers_world.break_one(self.rng.choice(self.acceptors), self.acceptors, 0)
+            self.registers_world.crash_one(self.rng.choice(self.acceptors), self.acceptors, 0)
         self.schedule(5 * MS, self.step)
 
     def ask_register(self, name: str, question: f.Read | f.Change) -> None:
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -12,7 +12,7 @@
 from oatlink.core.shared import GroupState
 from oatlink.core.snapshot import Head, read_head, restore_engine, take_snapshot
 from oatlink.fleet.gate import Served
-from oatlink.fleet.limits.node import Use
+from oatlink.fleet.limits.node import AllowanceState
 
 DATA = Path(__file__).parent / "data"
 SNAPSHOT = (DATA / "snapshot-0.3.0.bin").read_bytes()
@@ -86,7 +86,7 @@
 
 
 def test_the_names_in_recordings_and_heads_are_the_stored_ones() -> None:
-    names = outer_names(Header, Entry, Head, Use, Served)
+    names = outer_names(Header, Entry, Head, AllowanceState, Served)
     assert "\n".join(names) + "\n" == (DATA / "names-0.3.0.txt").read_text()
 
 
