--- a/oatlink/fleet/verdicts/remembered.py
+++ b/oatlink/fleet/verdicts/evidence_store.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Item:
+class StoredEvidence:
     """A word as it was at `kept_us`. `seen_us`: when it was seen, by our clock, at the latest but for the way here."""
 
     evidence: Evidence
@@ -35,12 +35,12 @@
     sent: bool = False
 
 
-class Remembered:
+class EvidenceStore:
     """What is known, by topic and witness. `dropped` counts what found no room, a witness too many aside."""
 
     def __init__(self, drift: float) -> None:
         self._drift = drift
-        self._topics: dict[Topic, dict[str, Item]] = {}
+        self._topics: dict[Topic, dict[str, StoredEvidence]] = {}
         self._ranks: dict[str, dict[Topic, None]] = {kind: {} for kind in KINDS}  # by kind, oldest topic first
         self._of: dict[str, int] = {}  # topics by witness
         self._sweep_us = 0
@@ -50,16 +50,16 @@
     def __len__(self) -> int:
         return sum(len(held) for held in self._topics.values())
 
-    def items(self) -> Iterator[Item]:
+    def items(self) -> Iterator[StoredEvidence]:
         """All that is kept, the dead not yet swept among it."""
         for held in self._topics.values():
             yield from held.values()
 
-    def known(self, evidence: Evidence) -> Item | None:
+    def known(self, evidence: Evidence) -> StoredEvidence | None:
         """The word of the same witness on the same topic."""
         return self._topics.get(topic_of(evidence), {}).get(evidence.witness)
 
-    def put(self, evidence: Evidence, now_us: int) -> Item | None:
+    def put(self, evidence: Evidence, now_us: int) -> StoredEvidence | None:
         """Keep a word that fits; None where it is not newer than what is known, or there is no room."""
         if now_us >= self._sweep_us:
             self._sweep(now_us)
@@ -77,13 +77,13 @@
         elif not self._room(topic, held, witness, seen_us):
             return None
         self._count += 1
-        item = Item(evidence, now_us, seen_us, dies_us, self._count)
+        item = StoredEvidence(evidence, now_us, seen_us, dies_us, self._count)
         self._topics.setdefault(topic, {})[witness] = item
         self._ranks[evidence.kind][topic] = None
         self._of[witness] = self._of.get(witness, 0) + 1
         return item
 
-    def enough(self, item: Item) -> bool:
+    def enough(self, item: StoredEvidence) -> bool:
         """Whether as many others as anyone needs said the same before it, and not long before.
 
         Threat: a member that hangs is seen by all gateways at once, and a word of each would go to each.
@@ -94,7 +94,7 @@
             others += one.number < item.number and one.seen_us >= item.seen_us - SAME_US
         return others >= ENOUGH
 
-    def _room(self, topic: Topic, held: dict[str, Item], witness: str, seen_us: int) -> bool:
+    def _room(self, topic: Topic, held: dict[str, StoredEvidence], witness: str, seen_us: int) -> bool:
         if self._of.get(witness, 0) >= MOST_A_WITNESS:
             self.dropped += 1
             return False
@@ -137,7 +137,7 @@
             self._out(topic, name)
 
 
-def _newer(evidence: Evidence, seen_us: int, old: Item) -> bool:
+def _newer(evidence: Evidence, seen_us: int, old: StoredEvidence) -> bool:
     if evidence.incarnation == old.evidence.incarnation:
         return evidence.serial > old.evidence.serial
     return seen_us > old.seen_us
--- a/oatlink/fleet/verdicts/spread.py
+++ b/oatlink/fleet/verdicts/spread.py
@@ -14,7 +14,8 @@
   to those cut off, and of the rest the bound holds, counted from when the first node knows that the cut has healed.
 - Bytes: in any second a node sends at most `MOST_BYTES_A_S`, whatever the number of nodes, counted as msgpack and with
   `ENVELOPE` for each message. Under it words go by the rank of their kind, then the newest first; what dies unsent is
-  counted (`dropped`). What several say of the same member is passed on for a few witnesses only (`Remembered.enough`).
+  counted (`dropped`). What several say of the same member is passed on for a few witnesses only
+  (`EvidenceStore.enough`).
 """
 
 import random
@@ -24,7 +25,7 @@
 
 from oatlink.fleet.messages import NEVER_US, Effect, Evidence, Gossip, Tell
 from oatlink.fleet.verdicts.evidence import KINDS, Topic, fits, grown, topic_of
-from oatlink.fleet.verdicts.remembered import Item, Remembered
+from oatlink.fleet.verdicts.evidence_store import EvidenceStore, StoredEvidence
 
 FAN_OUT = 3
 ROUND_US = 100_000
@@ -56,8 +57,8 @@
         self._draw = random.Random(seed)
         self._drift = drift
         self._rounds = most_rounds(len(self._peers) + 1)
-        self._known = Remembered(drift)
-        self._hot: dict[tuple[Topic, str], Item] = {}
+        self._known = EvidenceStore(drift)
+        self._hot: dict[tuple[Topic, str], StoredEvidence] = {}
         self._serial = 0
         self._level = float(BURST)
         self._level_us: int | None = None
@@ -204,7 +205,7 @@
         return words, cost
 
 
-def _first(item: Item) -> tuple[int, int]:
+def _first(item: StoredEvidence) -> tuple[int, int]:
     return KINDS[item.evidence.kind].rank, -item.seen_us
 
 
--- a/oatlink/fleet/verdicts/words.py
+++ b/oatlink/fleet/verdicts/statements.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Words:
+class Statements:
     """One side: when each witness last said so, and until when that lives."""
 
     said: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -34,11 +34,11 @@
 
 
 @dataclass(slots=True)
-class Side:
+class MemberStatements:
     """Both sides of one member. A witness is on the side of its newest word."""
 
-    against: Words = field(default_factory=Words)
-    served: Words = field(default_factory=Words)
+    against: Statements = field(default_factory=Statements)
+    served: Statements = field(default_factory=Statements)
 
     def put(self, witness: str, accuses: bool, at_us: int, until_us: int) -> None:
         """Take in a word; one older than the witness's newest says nothing more."""
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Reach:
+class HistoryOffsets:
     """How far a member is in one history, by each witness: (offset, when, until when that word lives)."""
 
     by: dict[str, tuple[int, int, int]] = field(default_factory=dict)
@@ -86,14 +86,14 @@
 
 
 @dataclass(slots=True)
-class Reaches:
+class MemberOffsets:
     """One member's histories, the one last spoken of at the end; an old one is let go."""
 
-    of: dict[str, Reach] = field(default_factory=dict)
+    of: dict[str, HistoryOffsets] = field(default_factory=dict)
 
-    def reach(self, history: str) -> Reach:
+    def reach(self, history: str) -> HistoryOffsets:
         """That history's, new where it is not known."""
-        reach = self.of.pop(history, None) or Reach()
+        reach = self.of.pop(history, None) or HistoryOffsets()
         self.of[history] = reach
         while len(self.of) > MOST_HISTORIES:
             del self.of[next(iter(self.of))]
--- a/oatlink/fleet/verdicts/weigh.py
+++ b/oatlink/fleet/verdicts/weigh.py
@@ -34,7 +34,7 @@
 from oatlink.fleet.gate import Seen
 from oatlink.fleet.messages import Evidence
 from oatlink.fleet.verdicts.evidence import CHECK, CLEARS, KINDS, LATER, LONGEST_US, POSITION, fits, grown, left_us
-from oatlink.fleet.verdicts.words import STANDS_US, Reaches, Side
+from oatlink.fleet.verdicts.statements import STANDS_US, MemberOffsets, MemberStatements
 
 ACTS = ("check", "later", "position")
 WITNESSES = 2
@@ -56,8 +56,8 @@
         self._draw = random.Random(seed)
         self._bank: dict[str, str] = {}
         self._members: dict[str, list[str]] = {}  # by bank
-        self._sides: dict[str, Side] = {}
-        self._reaches: dict[str, Reaches] = {}
+        self._sides: dict[str, MemberStatements] = {}
+        self._reaches: dict[str, MemberOffsets] = {}
         self._own: dict[str, Own] = {}
         self._anew: dict[str, int] = {}  # when our link to it last ended so that it may have begun anew
         self._later: dict[str, int] = {}  # until when
@@ -91,7 +91,7 @@
             return self._position(evidence, at_us, until_us, now_us)
         if kind.may == CHECK:
             return self._check(member, at_us, now_us, evidence.kind == "primary")
-        side = self._sides.setdefault(member, Side())
+        side = self._sides.setdefault(member, MemberStatements())
         side.put(evidence.witness, kind.may == LATER, at_us, until_us)
         if kind.may == CLEARS:
             return self._cleared(member, now_us)
@@ -156,7 +156,7 @@
         return [Seen(member, "check", at_us)] if won else []
 
     def _position(self, word: Evidence, at_us: int, until_us: int, now_us: int) -> list[Seen]:
-        reach = self._reaches.setdefault(word.member, Reaches()).reach(word.history)
+        reach = self._reaches.setdefault(word.member, MemberOffsets()).reach(word.history)
         reach.put(word.witness, word.offset, at_us, until_us)
         anew_us = self._anew.get(word.member, -STANDS_US) + STANDS_US
         attested = reach.attested(now_us, anew_us, WITNESSES)
--- a/oatlink/fleet/versions/errands.py
+++ b/oatlink/fleet/versions/bank_tasks.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Errand:
+class BankTask:
     """What is known of one bank's errands."""
 
     ask: int = 0  # on its way, 0 without one
@@ -34,13 +34,13 @@
     silent: bool = False  # the last look at the marker came to nothing
 
 
-class Errands:
+class BankTasks:
     """All banks'."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
         self._ask = 0
-        self._banks: dict[str, Errand] = {}
+        self._banks: dict[str, BankTask] = {}
 
     def forget(self) -> None:
         """No answer to what was asked counts any more."""
@@ -60,7 +60,7 @@
             del self._banks[bank]
         out: list[Effect] = []
         for bank, shard in state.shards.items():
-            errand = self._banks.setdefault(bank, Errand())
+            errand = self._banks.setdefault(bank, BankTask())
             if errand.ask and now_us - errand.asked_us < (STEP_US if errand.step else ASK_US):
                 continue
             errand.ask = 0
@@ -79,7 +79,7 @@
                 out.append(RunStep(ask, bank, step.number, after, step.version, step.kind, commands))
         return out
 
-    def _sent(self, errand: Errand, now_us: int) -> int:
+    def _sent(self, errand: BankTask, now_us: int) -> int:
         self._ask += 1
         errand.ask, errand.asked_us = self._ask, now_us
         return self._ask
--- a/oatlink/fleet/versions/desk.py
+++ b/oatlink/fleet/versions/operator_requests.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Job:
+class OperatorRequest:
     """One operator's word on its way."""
 
     ticket: int
@@ -32,13 +32,13 @@
     says: str = ""  # once it is written
 
 
-class Desk:
+class OperatorRequests:
     """The operators' words on their way at one node."""
 
     def __init__(self, banks: tuple[str, ...], first_version: int) -> None:
         self._banks, self._first = banks, first_version
         self._ask = FIRST_ASK
-        self._jobs: list[Job] = []
+        self._jobs: list[OperatorRequest] = []
 
     @property
     def due_us(self) -> int:
@@ -50,19 +50,19 @@
         plan = read_plan(text)
         if isinstance(plan, str):
             return [Replied(ticket, plan)]
-        return self._start(Job(ticket, "propose", now_us, plan))
+        return self._start(OperatorRequest(ticket, "propose", now_us, plan))
 
     def resume(self, ticket: int, now_us: int) -> list[Effect]:
         """Go on, or forward again."""
-        return self._start(Job(ticket, "resume", now_us))
+        return self._start(OperatorRequest(ticket, "resume", now_us))
 
     def back(self, ticket: int, now_us: int) -> list[Effect]:
         """Go back."""
-        return self._start(Job(ticket, "back", now_us))
+        return self._start(OperatorRequest(ticket, "back", now_us))
 
     def look(self, ticket: int, now_us: int) -> list[Effect]:
         """Say what the registers hold."""
-        return self._start(Job(ticket, "look", now_us))
+        return self._start(OperatorRequest(ticket, "look", now_us))
 
     def tick(self, now_us: int) -> list[Effect]:
         """Let go of what is not answered."""
@@ -89,27 +89,27 @@
         return self._end(job, self._lost(job))
 
     @staticmethod
-    def _lost(job: Job) -> str:
+    def _lost(job: OperatorRequest) -> str:
         if job.says:
             return "no majority of the keepers answered: it may have been written or not; look before saying it again"
         return "no majority of the keepers answered: nothing was written"
 
-    def _start(self, job: Job) -> list[Effect]:
+    def _start(self, job: OperatorRequest) -> list[Effect]:
         if len(self._jobs) >= MOST_JOBS:
             return [Replied(job.ticket, f"refused: {MOST_JOBS} are on their way")]
         self._jobs.append(job)
         return [Read(self._next(job, key), key) for key in (STATE, PLAN)]
 
-    def _next(self, job: Job, key: str) -> int:
+    def _next(self, job: OperatorRequest, key: str) -> int:
         self._ask += 1
         job.asks[self._ask] = key
         return self._ask
 
-    def _end(self, job: Job, text: str) -> list[Effect]:
+    def _end(self, job: OperatorRequest, text: str) -> list[Effect]:
         self._jobs = [one for one in self._jobs if one is not job]
         return [Replied(job.ticket, text)]
 
-    def _decide(self, job: Job) -> list[Effect]:
+    def _decide(self, job: OperatorRequest) -> list[Effect]:
         value = job.found[STATE].value
         state = states.decode(value) if value else states.first(self._first)
         if state is None:
@@ -123,7 +123,7 @@
         word, name, plan, job.says = decided
         return [Change(self._next(job, PLAN), PLAN, job.found[PLAN].fence, encoded(word, name, plan))]
 
-    def _word(self, job: Job, state: State, want: Wanted | None) -> str | tuple[str, str, Plan | None, str]:
+    def _word(self, job: OperatorRequest, state: State, want: Wanted | None) -> str | tuple[str, str, Plan | None, str]:
         """What is to be written and said, or why not."""
         plan = want.plan if want is not None else None
         if job.word == "propose" and job.plan is not None:
--- a/oatlink/fleet/versions/shelf.py
+++ b/oatlink/fleet/versions/register_cache.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class CachedRegister:
     """One register. `fence` -1: not read yet."""
 
     fence: int = -1
@@ -25,18 +25,18 @@
     asked_us: int = 0  # of the later of reading and changing
 
 
-class Shelf:
+class RegisterCache:
     """These registers, by their names."""
 
     def __init__(self, keys: tuple[str, ...], first_ask: int) -> None:
         self._keys = keys
         self._ask = first_ask
-        self._known: dict[str, Known] = {}
+        self._known: dict[str, CachedRegister] = {}
         self.forget()
 
     def forget(self) -> None:
         """Nothing is known any more, and no answer to what was asked counts."""
-        self._known = {key: Known() for key in self._keys}
+        self._known = {key: CachedRegister() for key in self._keys}
 
     def fence(self, key: str) -> int:
         """The fence last known, -1 before the first answer."""
--- a/oatlink/fleet/versions/sequencer.py
+++ b/oatlink/fleet/versions/sequencer.py
@@ -24,13 +24,13 @@
 
 from oatlink.fleet.messages import NEVER_US, Adopt, Adopted, Answer, Effect, Note, NotSequencer, Tell
 from oatlink.fleet.versions import state as states
-from oatlink.fleet.versions.books import Books
-from oatlink.fleet.versions.desk import Desk
-from oatlink.fleet.versions.errands import Errands
+from oatlink.fleet.versions.bank_tasks import BankTasks
 from oatlink.fleet.versions.ledger import Ledger
 from oatlink.fleet.versions.moves import begin, move, settled
+from oatlink.fleet.versions.operator_requests import OperatorRequests
 from oatlink.fleet.versions.plan import check, name_of
 from oatlink.fleet.versions.state import State
+from oatlink.fleet.versions.version_registers import VersionRegisters
 
 VERSION_TERM_US = 8_000_000
 """A fleet serves on for this long without a sequencer: longer than its lease and the taking of the next one last. No
@@ -56,11 +56,11 @@
         term_us: int = VERSION_TERM_US,
     ) -> None:
         self.node = node
-        self.desk = Desk(banks, first_version)
+        self.desk = OperatorRequests(banks, first_version)
         self.ledger = Ledger(drift, longest_deadline_us, term_us)
         self._banks, self._term_us = banks, term_us
-        self._books = Books(first_version)
-        self._errands = Errands(seed)
+        self._books = VersionRegisters(first_version)
+        self._errands = BankTasks(seed)
         self._lease = 0  # its fence; 0 without one
         self._shown: dict[str, tuple[int, str, int]] = {}  # what a bank's primary showed last: number, place
         self._moved_us = NEVER_US  # since when both versions are served with the new one as default
--- a/oatlink/fleet/versions/books.py
+++ b/oatlink/fleet/versions/version_registers.py
@@ -8,21 +8,21 @@
 
 from oatlink.fleet.messages import Answer, Effect
 from oatlink.fleet.versions import state as states
-from oatlink.fleet.versions.desk import PLAN, STATE
+from oatlink.fleet.versions.operator_requests import PLAN, STATE
 from oatlink.fleet.versions.plan import Commands, Plan, Wanted, name_of, wanted
 from oatlink.fleet.versions.plan import read as read_plan
-from oatlink.fleet.versions.shelf import Shelf
+from oatlink.fleet.versions.register_cache import RegisterCache
 from oatlink.fleet.versions.state import State, Step
 
 RUNS = ("versions/run/0", "versions/run/1")
 
 
-class Books:
+class VersionRegisters:
     """The registers' values; `state` and `wanted` are None until they were read, and where they make no sense."""
 
     def __init__(self, first_version: int) -> None:
         self._first = first_version
-        self._shelf = Shelf((STATE, PLAN, *RUNS), first_ask=0)
+        self._shelf = RegisterCache((STATE, PLAN, *RUNS), first_ask=0)
         self.state: State | None = None
         self.wanted: Wanted | None = None
         self._plans: dict[str, tuple[bytes, Plan | None]] = {}
--- a/oatlink/lab/fleetsim/judge_verdicts.py
+++ b/oatlink/lab/fleetsim/judge_verdicts.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from oatlink.fleet.gate import Seen
+from oatlink.fleet.verdicts.statements import STANDS_US
 from oatlink.fleet.verdicts.weigh import ACTS, LATER_US
-from oatlink.fleet.verdicts.words import STANDS_US
 from oatlink.lab.fleetsim import views
 from oatlink.lab.fleetsim.violation import Violation
 
--- a/oatlink/lab/scale/scenarios/old_news.py
+++ b/oatlink/lab/scale/scenarios/old_news.py
@@ -8,7 +8,8 @@
 from random import Random
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.verdicts import remembered, spread
+from oatlink.fleet.verdicts import spread
+from oatlink.fleet.verdicts.evidence_store import EvidenceStore
 from oatlink.lab.fleetsim.time import Timeline
 from oatlink.lab.scale.judge import Finding, peaks
 from oatlink.lab.scale.lines import at
@@ -61,8 +62,8 @@
     if dead:
         found.broken.append(f"words that had died were taken for new {dead:,} times")
         found.notes.append(
-            f"an age is reckoned from when a word came ({at(remembered.Remembered.put, 'seen_us')}) and what has died "
-            f"is forgotten with its serial ({at(remembered.Remembered._sweep, 'def ')}): said again, it lives "
+            f"an age is reckoned from when a word came ({at(EvidenceStore.put, 'seen_us')}) and what has died "
+            f"is forgotten with its serial ({at(EvidenceStore._sweep, 'def ')}): said again, it lives "
             "again, at every node"
         )
     disturbed(order, found, "replay")
--- a/oatlink/lab/scale/scenarios/verdicts.py
+++ b/oatlink/lab/scale/scenarios/verdicts.py
@@ -3,7 +3,8 @@
 from random import Random
 
 from oatlink.fleet import messages as f
-from oatlink.fleet.verdicts import remembered, spread
+from oatlink.fleet.verdicts import spread
+from oatlink.fleet.verdicts.evidence_store import MOST_TOPICS, EvidenceStore
 from oatlink.lab.fleetsim.time import Timeline
 from oatlink.lab.scale.judge import Finding, Waits, peaks
 from oatlink.lab.scale.lines import at
@@ -52,7 +53,7 @@
     found.steady["words kept at the fullest node"] = float(max(len(one) for one in rumours.cores.values()))
     found.notes.append(
         f"each node may send {spread.MOST_BYTES_A_S:,} bytes a second ({at(spread.Spread._bytes)}) and "
-        f"keeps {remembered.MOST_TOPICS:,} topics ({at(remembered.Remembered._room)}): a zone's loss takes all bytes"
+        f"keeps {MOST_TOPICS:,} topics ({at(EvidenceStore._room)}): a zone's loss takes all bytes"
     )
     return found
 
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -11,10 +11,10 @@
 from oatlink.fleet.messages import NEVER_US, Evidence, Gossip, Tell
 from oatlink.fleet.verdicts import spread, weigh
 from oatlink.fleet.verdicts.evidence import KINDS, LATER, fits, grown, left_us
-from oatlink.fleet.verdicts.remembered import MOST_A_WITNESS, MOST_TOPICS, MOST_WITNESSES, Remembered
+from oatlink.fleet.verdicts.evidence_store import MOST_A_WITNESS, MOST_TOPICS, MOST_WITNESSES, EvidenceStore
 from oatlink.fleet.verdicts.spread import MOST_BYTES_A_S, ROUND_US, Spread, most_rounds
+from oatlink.fleet.verdicts.statements import STANDS_US
 from oatlink.fleet.verdicts.weigh import Weigher
-from oatlink.fleet.verdicts.words import STANDS_US
 
 DRIFT = 0.001
 STEP_US = 10_000
@@ -206,12 +206,12 @@
 
 
 def test_a_flood_finds_a_bound_and_what_matters_more_finds_room() -> None:
-    known = Remembered(DRIFT)
+    known = EvidenceStore(DRIFT)
     for n in range(30_000):
         known.put(Evidence(f"w{n % 300}", 1, n, f"m{n // 9}", "position", 0, "h", n), n)
     assert len(known) <= MOST_TOPICS * MOST_WITNESSES and known.dropped > 0
     assert known.put(Evidence("true", 1, 1, "m", "hung", 0), 30_000) is not None
-    alone = Remembered(DRIFT)
+    alone = EvidenceStore(DRIFT)
     kept = [alone.put(Evidence("w", 1, n, f"m{n}", "hung", 0), n) for n in range(1_000)]
     assert sum(one is not None for one in kept) == MOST_A_WITNESS
     assert alone.put(Evidence("v", 1, 1, "m0", "hung", 0), 1_000) is not None
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -13,11 +13,11 @@
 from oatlink.fleet.messages import MAX_VALUE_BYTES, NEVER_US, Marker, ShardOffer
 from oatlink.fleet.versions import marker, plan, state
 from oatlink.fleet.versions.asking import KEPT, MOST_TERM_US, Adopter
+from oatlink.fleet.versions.bank_tasks import FIRST_US, LONGEST_US, BankTasks
 from oatlink.fleet.versions.compatible import Place, applied
-from oatlink.fleet.versions.desk import MOST_JOBS, PLAN, STATE
-from oatlink.fleet.versions.errands import FIRST_US, LONGEST_US, Errands
 from oatlink.fleet.versions.ledger import Ledger, lasts
 from oatlink.fleet.versions.node import Layouts, worded
+from oatlink.fleet.versions.operator_requests import MOST_JOBS, PLAN, STATE
 from oatlink.fleet.versions.sequencer import VERSION_TERM_US, Sequencer
 from tests.fleet import versions_sabotage as sabotage
 from tests.fleet.versions_world import Violation, World
@@ -294,7 +294,7 @@
 
 def test_a_step_is_tried_again_as_soon_as_its_bank_is_there() -> None:
     shards = {"a": state.Shard((state.Step("expand", 2, 1),))}
-    one, known = Errands(5), msgspec.structs.replace(state.first(1), phase="expanding", new=2, shards=shards)
+    one, known = BankTasks(5), msgspec.structs.replace(state.first(1), phase="expanding", new=2, shards=shards)
 
     def work(now: int) -> f.AskMarker | f.RunStep | None:
         out = one.work(known, lambda bank, step: (), now)
--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -8,13 +8,13 @@
 from oatlink.fleet.messages import NEVER_US, Marker
 from oatlink.fleet.versions import marker, moves, sequencer
 from oatlink.fleet.versions.asking import Adopter
-from oatlink.fleet.versions.books import Books
+from oatlink.fleet.versions.bank_tasks import BankTask, BankTasks
 from oatlink.fleet.versions.compatible import Place
-from oatlink.fleet.versions.errands import Errand, Errands
 from oatlink.fleet.versions.ledger import Ledger
 from oatlink.fleet.versions.node import Layouts
 from oatlink.fleet.versions.sequencer import Sequencer
 from oatlink.fleet.versions.state import State, is_done
+from oatlink.fleet.versions.version_registers import VersionRegisters
 from tests.fleet import versions_scenes as scenes
 from tests.fleet import versions_world as world
 from tests.fleet.guards import Guards, Patch
@@ -25,7 +25,7 @@
 
 
 put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _out_until=lambda self, holder, version: 0)
-put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), Books, unsure=False)
+put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, unsure=False)
 
 
 @instead_of(Ledger, "_out_until", (scenes.cut_off, 0))
@@ -89,10 +89,10 @@
     patch.setitem(moves._FOLLOW, "expanding", expanding)
 
 
-@instead_of(Errands, "work", (world.by_chance, 10))
-def failover_not_asked_again(work: Any, self: Errands, state: State, *more: Any) -> Any:
+@instead_of(BankTasks, "work", (world.by_chance, 10))
+def failover_not_asked_again(work: Any, self: BankTasks, state: State, *more: Any) -> Any:
     for bank in state.shards:
-        self._banks.setdefault(bank, Errand()).look_us = NEVER_US
+        self._banks.setdefault(bank, BankTask()).look_us = NEVER_US
     return work(self, state, *more)
 
 
@@ -136,7 +136,7 @@
 
 @found_by((scenes.begun_late_by_another, 0))
 def no_claim_before_acting(patch: Patch) -> None:
-    answer, began = Books.answer, Sequencer.began
+    answer, began = VersionRegisters.answer, Sequencer.began
 
     def as_ours(self: Any, given: Any, now_us: int) -> bool:
         news = answer(self, given, now_us)
@@ -147,7 +147,7 @@
         began(self, fence, now_us)
         self._books.lease = fence
 
-    patch.setattr(Books, "answer", as_ours)
+    patch.setattr(VersionRegisters, "answer", as_ours)
     patch.setattr(Sequencer, "began", begins)
 
 
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.hollow import tables
 from benchmarks.scale.hollow.kept import keep, path_of, read, text_of
 from benchmarks.scale.hollow.play import play
-from oatlink.fleet.verdicts.remembered import Remembered
+from oatlink.fleet.verdicts.evidence_store import EvidenceStore
 from oatlink.lab.fleetsim.time import Timeline
 from oatlink.lab.scale import judge, lines, tally, wire
 from oatlink.lab.scale.carrier import Carrier, Maker, NoCarrier, Scope, World
@@ -145,7 +145,7 @@
 
 def test_words_that_had_died_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     assert any("had died" in text for text in PLAYS["old-news"](order()).broken)
-    monkeypatch.setattr(Remembered, "_sweep", lambda self, now_us: None)  # serials are never forgotten
+    monkeypatch.setattr(EvidenceStore, "_sweep", lambda self, now_us: None)  # serials are never forgotten
     assert PLAYS["old-news"](order()).broken == []
 
 
