--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -1,17 +1,17 @@
 """What the fleet says of a request before anything of it is sent: its tenant's quota, its version. No I/O.
 
 The gate (`oatlink.fleet.gate`) answers each question at once. A request that the quota refuses is refused before any
-state of it is kept. One for which the gate has no grant yet (`HELD`) takes its place in its client's order and waits
-here, for as long as the gate has patience (`limits.node.PATIENCE_US`); what its client sends after it waits as for any
-request that is unfinished. What was admitted is spent: a client that leaves gives nothing back, or it could ask, leave
-and ask again without end.
+state of it is kept. One for which the gate has no grant yet (`GRANT_PENDING`) takes its place in its client's order and
+waits here, for as long as the gate has patience (`limits.node.PATIENCE_US`); what its client sends after it waits as
+for any request that is unfinished. What was admitted is spent: a client that leaves gives nothing back, or
+it could ask, leave and ask again without end.
 """
 
 from oatlink.core import messages as m
 from oatlink.core.boxes import Boxes
 from oatlink.core.sessions import Ask, Session, failure, over_quota, unserved
 from oatlink.core.shared import BoxState
-from oatlink.fleet.gate import HELD, Seen
+from oatlink.fleet.gate import GRANT_PENDING, Seen
 from oatlink.fleet.messages import Marker
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.settings.model import RequestClass
@@ -100,7 +100,7 @@
                 self._probe(state)
 
     def _over_quota(self, session: Session, rule: RequestClass, command: str, keys: list[bytes], cost: int) -> int:
-        """0: go on; `HELD`: let it wait; above 0: refuse it, and when to come back, in microseconds."""
+        """0: go on; `GRANT_PENDING`: let it wait; above 0: refuse it, and when to come back, in microseconds."""
         back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now)
         if back_us > 0:
             self.counts["over_quota"] = self.counts.get("over_quota", 0) + 1
@@ -134,7 +134,7 @@
                 continue
             command, keys, cost = ask.gated
             back_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
-            if back_us == HELD:
+            if back_us == GRANT_PENDING:
                 self._gate_due = self._now + HELD_LOOK_US
                 self._at_gate[ask.id] = ask
                 continue
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -196,7 +196,7 @@
     version, numbers, gauss = book.random.getstate()
     drawn = [version, list(numbers), gauss]
     hashed = settings_hash(engine.settings)
-    head = Head(__version__, hashed, now_us, held, routed, drawn, engine.gate.remembered())
+    head = Head(__version__, hashed, now_us, held, routed, drawn, engine.gate.snapshot())
     payload = msgspec.msgpack.encode(head)
     return MAGIC + xxhash.xxh64_digest(payload) + payload
 
@@ -239,7 +239,7 @@
         version, numbers, gauss = head.random
         engine.router.book.random = random.Random()
         engine.router.book.random.setstate((version, tuple(numbers), gauss))
-        engine.gate.recall(head.gate)
+        engine.gate.restore(head.gate)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise SnapshotError(f"{name}: {type(error).__name__}: {error}") from None
     return engine
--- a/oatlink/fleet/gate.py
+++ b/oatlink/fleet/gate.py
@@ -14,7 +14,7 @@
 from oatlink.settings.model import Settings
 
 ADMITTED = 0
-HELD = -1
+GRANT_PENDING = -1
 """No grant is known yet and one was asked for: ask again soon. A gate says so for a short time only."""
 
 
@@ -89,9 +89,10 @@
     def admit(
         self, user: str, client: str, keys: list[bytes], command: str, cost: int, now_us: int, again: bool = False
     ) -> int:
-        """`ADMITTED`, `HELD`, or above 0: refused, and in how many microseconds to come back.
+        """`ADMITTED`, `GRANT_PENDING`, or above 0: refused, and in how many microseconds to come back.
 
-        What was admitted is spent, whatever becomes of the request. `cost` is in commands; `again`: it was `HELD`.
+        What was admitted is spent, whatever becomes of the request. `cost` is in commands; `again` says
+        that the answer was `GRANT_PENDING` before.
         """
         ...
 
@@ -124,16 +125,16 @@
         """What was asked of each allowance that is in use; changes nothing."""
         ...
 
-    def remembered(self) -> object:
+    def snapshot(self) -> object:
         """All that was heard and spent, as plain values, for a snapshot."""
         ...
 
-    def recall(self, value: object) -> None:
-        """Take over what `remembered` gave. Raises `ValueError` where it is nothing of the kind."""
+    def restore(self, value: object) -> None:
+        """Take over what `snapshot` gave. Raises `ValueError` where it is nothing of the kind."""
         ...
 
 
-class Open:
+class OpenGate:
     """No fleet: every question is answered so that nothing is other than without the question."""
 
     on = False
@@ -169,21 +170,21 @@
         """See `Gate.demands`."""
         return ()
 
-    def remembered(self) -> object:
-        """See `Gate.remembered`."""
+    def snapshot(self) -> object:
+        """See `Gate.snapshot`."""
         return None
 
-    def recall(self, value: object) -> None:
-        """See `Gate.recall`."""
+    def restore(self, value: object) -> None:
+        """See `Gate.restore`."""
 
 
-OPEN = Open()
+OPEN_GATE = OpenGate()
 
 
 def gate_of(settings: Settings) -> Gate:
     """The gate that the settings call for. Without a `fleet` part nothing of the fleet's cores is even imported."""
     if settings.fleet is None:
-        return OPEN
+        return OPEN_GATE
     from oatlink.fleet.gating import FleetGate
 
     members = (one.name for bank in settings.banks for one in bank.members)
--- a/oatlink/fleet/gating.py
+++ b/oatlink/fleet/gating.py
@@ -85,8 +85,8 @@
         """See `Gate.demands`."""
         return self._allowances.demands(now_us)
 
-    def remembered(self) -> object:
-        """See `Gate.remembered`."""
+    def snapshot(self) -> object:
+        """See `Gate.snapshot`."""
         held, layouts = self._allowances, self._layouts
         drawn = served = None
         if layouts is not None:
@@ -95,8 +95,8 @@
         active = {name: msgspec.to_builtins(one) for name, one in held.active.items()}
         return [active, held.draws, held.swept_us, held.nothing, drawn, served]
 
-    def recall(self, value: object) -> None:
-        """See `Gate.recall`."""
+    def restore(self, value: object) -> None:
+        """See `Gate.restore`."""
         read: tuple[dict[str, Use], int, int, bool, Any, Served | None] = msgspec.convert(
             value, tuple[dict[str, Use], int, int, bool, Any, Served | None]
         )
--- a/oatlink/fleet/limits/asking.py
+++ b/oatlink/fleet/limits/asking.py
@@ -76,7 +76,7 @@
 
     @property
     def due_us(self) -> int:
-        """When `look` is next worth calling; it is at once where the gate says that a request is `HELD`."""
+        """When `look` is next worth calling; it is at once where the gate says that a request is `GRANT_PENDING`."""
         if any(line.cut for line in self._lines):
             return self._looked_us + SOON_US
         next_us = min((line.asked_us for line in self._lines if line.home and line.names), default=self._looked_us)
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -4,8 +4,8 @@
 grant's end with all that is in it. Both begin empty, also after idleness and after a start (`buckets` has the proof
 that needs it). A request is paid from the floor first: what the home reckons is what a node lacks beyond its floor.
 
-- The first request after idleness finds empty buckets. For `PATIENCE_US` it is `HELD` where that may help: no grant
-  is live yet, or one has and the buckets can pay before the patience ends. After that: admitted or refused.
+- The first request after idleness finds empty buckets. For `PATIENCE_US` it is `GRANT_PENDING` where that may help: no
+  grant is live yet, or one has and the buckets can pay before the patience ends. After that: admitted or refused.
 - A refused request is told when the buckets could pay, and later by a drawn part of the time that all who were
   refused of late would need: they must not all come back in one instant.
 - A request that costs more than the floor's and a whole pool's bucket can ever hold is told the longest time.
@@ -23,7 +23,7 @@
 
 import xxhash
 
-from oatlink.fleet.gate import ADMITTED, HELD, Granted
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING, Granted
 from oatlink.fleet.limits.allowance import ONE, Allowance, floor_of, pool_of
 from oatlink.fleet.limits.buckets import SECOND_US, Bucket
 from oatlink.fleet.limits.home import GRANT_TERM_US, MOST_DEMAND
@@ -65,9 +65,9 @@
     nothing: bool = False
 
     def admit(self, name: str, cost: int, now_us: int, again: bool = False) -> int:
-        """`ADMITTED`, `HELD`, or in how many microseconds to come back. A name without a rule is not limited.
+        """`ADMITTED`, `GRANT_PENDING`, or in how many microseconds to come back. A name without a rule is not limited.
 
-        `again`: it was `HELD`, so it is asked for already.
+        `again`: it was `GRANT_PENDING`, so it is asked for already.
         """
         use = self.active.get(name) or self._open(name, now_us)
         if use is None:
@@ -107,7 +107,7 @@
         else:  # a grant may come at any time where there is none
             wait_us = LONGEST_US // 2 if live else GRANT_TERM_US
         if now_us < use.opened_us + PATIENCE_US and (not live or now_us + wait_us <= use.opened_us + PATIENCE_US):
-            return HELD
+            return GRANT_PENDING
         use.refused += count
         most = self._most(name, use, now_us)
         use.asked, use.refused = min(use.asked, most), min(use.refused, most)
--- a/oatlink/lab/fleetsim/load.py
+++ b/oatlink/lab/fleetsim/load.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from oatlink.fleet.gate import ADMITTED, HELD
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING
 
 if TYPE_CHECKING:
     from oatlink.lab.fleetsim.process import Process
@@ -80,7 +80,7 @@
                 continue
             while crowd.debt >= 1:
                 answer = admit(tenant, "", [], "get", 1, now, crowd.again)
-                crowd.again = answer == HELD
+                crowd.again = answer == GRANT_PENDING
                 if answer == ADMITTED:
                     self.admitted += 1
                     judge(process, tenant)
@@ -88,7 +88,7 @@
                     second[self._world.time.now // 1_000_000] = second.get(self._world.time.now // 1_000_000, 0) + 1
                 else:
                     self.refused += answer > 0
-                    held = held or answer == HELD
+                    held = held or answer == GRANT_PENDING
                     crowd.back_us = now + max(0, answer)
                     if crowd.mode != "once":
                         break
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -5,7 +5,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from oatlink.fleet.gate import ADMITTED, HELD, Granted
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING, Granted
 from oatlink.fleet.limits.allowance import ONE
 from oatlink.fleet.limits.asking import Asker
 from oatlink.fleet.limits.home import Home
@@ -184,7 +184,7 @@
             debt = min(one.debt.get(name, 0.0) + rate * STEP_US / 1e6, max(2.0, rate * 0.03))
             while debt >= 1:
                 answer = one.gate.admit(name, 1, clock)
-                held = held or answer == HELD
+                held = held or answer == GRANT_PENDING
                 if answer == ADMITTED:
                     self.admitted.append((self.now, name, one.name))
                 elif self.hammer:
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oatlink.fleet.gate import ADMITTED, HELD, Granted
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING, Granted
 from oatlink.fleet.limits import asking, buckets, home, ledger, node, shards
 from oatlink.fleet.limits.allowance import ONE, floor_of, pool_of
 from oatlink.fleet.limits.division import bursts, divide, seated
@@ -290,7 +290,7 @@
 def test_a_gate_holds_the_first_then_refuses_and_spreads() -> None:
     gate = node.Allowances({"a": (100.0, 20.0, 0.1), "b": (100.0, 20.0, 0.0)}, 2, 1)
     assert gate.admit("none", 5, 0) == ADMITTED and gate.demands(0) == ()
-    assert gate.admit("a", 1, 0) == HELD and gate.demands(0)[0].serial == 0
+    assert gate.admit("a", 1, 0) == GRANT_PENDING and gate.demands(0)[0].serial == 0
     assert gate.admit("a", 1, node.PATIENCE_US) > 0
     assert gate.admit("a", 1, 200_000) == ADMITTED  # 0.1 x 100 / 2 a second
     assert gate.admit("a", 20, 200_000) == node.LONGEST_US  # nobody can ever hold so much here
@@ -305,7 +305,7 @@
     assert gate.demands(260_000)[0].rate <= node.GROWTH * 55
     gate.hear(Granted("a", 3, 50.0, 9.0, 3_000_000), 2_000_000)  # the one before is over: a new bucket, empty
     assert gate.active["a"].grant.level == 0 and _plain(gate)
-    assert gate.admit("b", 1, 20_000_000) == HELD and list(gate.active) == ["b"]  # what is idle is dropped
+    assert gate.admit("b", 1, 20_000_000) == GRANT_PENDING and list(gate.active) == ["b"]  # what is idle is dropped
     assert gate.admit("b", -5, 20_000_000) == ADMITTED and gate.active["b"].floor.level == 0
     gate.hear(Granted("b", 1, 50.0, 9.0, 99_000_000), 20_000_000)
     gate.alone()
