--- a/benchmarks/scale/slopes/layouts.py
+++ b/benchmarks/scale/slopes/layouts.py
@@ -23,8 +23,8 @@
     size = LENGTH_BYTES + MIN_FRAME_BYTES + len(encode(Adopt(1 << 40, 3, (), 1 << 40, 1 << 40)))
     began = time.process_time()
     for at in range(TURNS):
-        ledger.heard(f"gw-{at:05}", 1, 0, (), at)
-        ledger.gave(f"gw-{at:05}", 1, at, state.served, TERM_US, at)
+        ledger.record_status(f"gw-{at:05}", 1, 0, (), at)
+        ledger.record_grant(f"gw-{at:05}", 1, at, state.served, TERM_US, at)
         told = Adopted(at, 3, TERM_US, state.served, 2, tuple(states.offer(state, bank) for bank in banks))
         body = encode(told)
     took = time.process_time() - began
--- a/oatlink/fleet/messages/effects.py
+++ b/oatlink/fleet/messages/effects.py
@@ -64,8 +64,8 @@
 class RunStep(Effect, frozen=True, gc=False):
     """Run one step of a plan on the primary of the bank, over one connection. The result goes to `Sequencer.ran`.
 
-    1. INFO replication; WATCH `marker.KEY`; GET it; call `marker.verdict`. If it returns run: MULTI, the commands, SET
-       the marker to begun (`marker.written`), EXEC. Any error, also one within the list of EXEC, means failed.
+    1. INFO replication; WATCH `marker.KEY`; GET it; call `marker.decide`. If it returns run: MULTI, the commands, SET
+       the marker to begun (`marker.encode`), EXEC. Any error, also one within the list of EXEC, means failed.
     2. WATCH, GET; if the marker still shows this step as begun: MULTI, SET it to done, EXEC. INFO replication again.
 
     The result is the verdict and, if done, history and offset of the last INFO. It is unknown where an answer is
@@ -84,7 +84,7 @@
 class AskMarker(Effect, frozen=True, gc=False):
     """Read the marker at the current primary of the bank: INFO replication, GET, INFO replication, as for `RunStep`.
 
-    The result goes to `Sequencer.marked`: the number that the marker shows (`marker.shown`), -1 if unknown.
+    The result goes to `Sequencer.marked`: the number that the marker shows (`marker.completed_step`), -1 if unknown.
     """
 
     ask: int
--- a/oatlink/fleet/shell/plan_steps.py
+++ b/oatlink/fleet/shell/plan_steps.py
@@ -48,14 +48,14 @@
         """See `RunStep`."""
         before = await self.replication()
         value = await self._watch_marker()
-        verdict = marker.verdict(value, step.step, step.after)
+        verdict = marker.decide(value, step.step, step.after)
         if verdict == "run":
-            begun = marker.written(step.step, step.version, done=False)
+            begun = marker.encode(step.step, step.version, done=False)
             if not await self._transaction([*step.commands, ("SET", marker.KEY, begun)]):
                 return "unknown", "", -1
             if await self._watch_marker() != begun:
                 return "unknown", "", -1
-            if not await self._transaction([("SET", marker.KEY, marker.written(step.step, step.version, done=True))]):
+            if not await self._transaction([("SET", marker.KEY, marker.encode(step.step, step.version, done=True))]):
                 return "unknown", "", -1
             verdict = "done"
         await self.ask("UNWATCH")
@@ -89,7 +89,7 @@
         after = await self.replication()
         if after.replid != before.replid or not (value is None or isinstance(value, bytes)):
             return -1, "", -1
-        return marker.shown(value), after.replid, after.offset
+        return marker.completed_step(value), after.replid, after.offset
 
 
 async def _converse(
--- a/oatlink/fleet/versions/ledger.py
+++ b/oatlink/fleet/versions/ledger.py
@@ -66,7 +66,7 @@
         """No sequencer was before this one: whoever grants has changed the state before, and only this one has."""
         self._began_us = -NEVER_US
 
-    def heard(self, node: str, since: int, heard: int, busy: tuple[int, ...], now_us: int) -> None:
+    def record_status(self, node: str, since: int, heard: int, busy: tuple[int, ...], now_us: int) -> None:
         """A node has said what it has out."""
         holder = self._holders.get((node, since))
         if holder is None:
@@ -80,7 +80,9 @@
                 for book in (holder.until, holder.last, holder.busy):
                     book.pop(version, None)
 
-    def gave(self, node: str, since: int, ask: int, versions: tuple[int, ...], term_us: int, now_us: int) -> bool:
+    def record_grant(
+        self, node: str, since: int, ask: int, versions: tuple[int, ...], term_us: int, now_us: int
+    ) -> bool:
         """Write down a grant, before it is sent. False where there is no room: it must not be sent."""
         holder = self._holders.get((node, since))
         if holder is None:
@@ -98,13 +100,13 @@
         """Whether no node can serve the version any more, and nothing of it is out."""
         if now_us < self._began_us + self._earlier_us:
             return False
-        return all(now_us >= self._out_until(holder, version) for holder in self._holders.values())
+        return all(now_us >= self._busy_until_us(holder, version) for holder in self._holders.values())
 
-    def _out_until(self, holder: Holder, version: int) -> int:
+    def _busy_until_us(self, holder: Holder, version: int) -> int:
         until_us = holder.until.get(version)
         return max(until_us, holder.busy.get(version, 0)) + self._out_us if until_us is not None else 0
 
     def _let_go(self, now_us: int) -> None:
         for key, holder in list(self._holders.items()):
-            if all(now_us >= self._out_until(holder, version) for version in holder.until):
+            if all(now_us >= self._busy_until_us(holder, version) for version in holder.until):
                 del self._holders[key]
--- a/oatlink/fleet/versions/marker.py
+++ b/oatlink/fleet/versions/marker.py
@@ -16,12 +16,12 @@
 MOST_NUMBER = 2**53
 
 
-def written(step: int, version: int, done: bool) -> bytes:
+def encode(step: int, version: int, done: bool) -> bytes:
     """What the key holds once a step has begun or is done."""
     return b"%d %d %s" % (step, version, DONE if done else BEGUN)
 
 
-def shown(value: bytes | None) -> int:
+def completed_step(value: bytes | None) -> int:
     """The step up to which all was done where the key holds this; 0 where it holds nothing, -1 for another's value."""
     if value is None:
         return 0
@@ -29,13 +29,13 @@
     if len(parts) != 3 or parts[2] not in (DONE, BEGUN) or not (parts[0].isdigit() and len(parts[0]) <= 16):
         return -1
     step = int(parts[0])
-    # What a step follows was done before it began (`verdict`), so one begun shows all below it.
+    # What a step follows was done before it began (`decide`), so one begun shows all below it.
     return step if parts[2] == DONE else step - 1
 
 
-def verdict(value: bytes | None, step: int, after: int) -> str:
+def decide(value: bytes | None, step: int, after: int) -> str:
     """Whether a step may run where the key holds `value`: run, done (it has), fenced, behind, or failed (not ours)."""
-    number = shown(value)
+    number = completed_step(value)
     if number < 0:
         return "failed"
     if number > step or (number == step and value is not None and value.endswith(BEGUN)):
--- a/oatlink/fleet/versions/sequencer.py
+++ b/oatlink/fleet/versions/sequencer.py
@@ -155,8 +155,8 @@
         state = self._claimed(lease_until_us, now_us)
         if state is None:
             return [Tell(sender, NotSequencer(message.ask))]
-        self.ledger.heard(sender, message.since, message.heard, message.busy, now_us)
-        if not self.ledger.gave(sender, message.since, message.ask, state.served, self._term_us, now_us):
+        self.ledger.record_status(sender, message.since, message.heard, message.busy, now_us)
+        if not self.ledger.record_grant(sender, message.since, message.ask, state.served, self._term_us, now_us):
             return [Tell(sender, NotSequencer(message.ask)), *self._note_now("too many nodes", "no room in the ledger")]
         offers = tuple(states.offer(state, bank) for bank in state.shards)
         told = Adopted(message.ask, self._lease, self._term_us, state.served, state.default, offers)
--- a/oatlink/lab/fleetsim/banks.py
+++ b/oatlink/lab/fleetsim/banks.py
@@ -148,12 +148,12 @@
 
     def _look(self, process: "Process", asked: f.AskMarker) -> None:
         one = self._reached(asked.bank)
-        told = (-1, "", -1) if self._fails(0.1) else (marker.shown(one.mark()), one.history, one.offset)
+        told = (-1, "", -1) if self._fails(0.1) else (marker.completed_step(one.mark()), one.history, one.offset)
         self._later(process.come, process.given, lambda node, now: node.marked(asked.ask, *told, now))
 
     def _begin(self, process: "Process", step: f.RunStep) -> None:
         member = self._reached(step.bank)
-        word = marker.verdict(member.mark(), step.step, step.after)
+        word = marker.decide(member.mark(), step.step, step.after)
         if word != "run" or self._fails(0.1):
             self._ends(process, step, "unknown" if word == "run" else word, member)
         else:
@@ -174,7 +174,7 @@
             self._later(self._seal, process, step, member, history)
 
     def _seal(self, process: "Process", step: f.RunStep, member: Member, history: str) -> None:
-        begun = marker.written(step.step, step.version, False)
+        begun = marker.encode(step.step, step.version, False)
         if not member.master or member.history != history or member.mark() != begun:
             self._ends(process, step, "unknown", member)
             return
--- a/oatlink/lab/fleetsim/members.py
+++ b/oatlink/lab/fleetsim/members.py
@@ -40,7 +40,7 @@
         if not self.log:
             return None
         what, number, version, _, _ = self.log[-1][1]
-        return marker.written(number, version, what == "seal")
+        return marker.encode(number, version, what == "seal")
 
     def write(self, *ops: Op) -> None:
         """One write, or one step's."""
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -228,8 +228,8 @@
         ("plan-register-without-plan", plan.encoded("back", "0123456789abcdef", None).decode()),
         ("plan-name", plan.name_of(PLAN)),
         ("marker-key", marker.KEY),
-        ("marker-begun", marker.written(5, 2, done=False).decode()),
-        ("marker-done", marker.written(5, 2, done=True).decode()),
+        ("marker-begun", marker.encode(5, 2, done=False).decode()),
+        ("marker-done", marker.encode(5, 2, done=True).decode()),
     ]
 
 
@@ -238,7 +238,8 @@
     assert texts() == lines("texts.txt")
     assert plan.wanted(stored["plan-register"].encode()) == plan.Wanted(word="go", name="0123456789abcdef", plan=PLAN)
     assert plan.wanted(stored["plan-register-without-plan"].encode()) == plan.Wanted("back", "0123456789abcdef")
-    assert marker.shown(stored["marker-done"].encode()) == 5 and marker.shown(stored["marker-begun"].encode()) == 4
+    assert marker.completed_step(stored["marker-done"].encode()) == 5
+    assert marker.completed_step(stored["marker-begun"].encode()) == 4
     frame = bytes.fromhex(stored["hello-frame"])[envelope.LENGTH_BYTES :]
     assert envelope.read_hello(frame) == dict(PARTS)["Hello"]
     assert envelope.read_challenge(bytes.fromhex(stored["challenge-frame"])[envelope.LENGTH_BYTES :]) is not None
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -110,15 +110,16 @@
 
 def test_a_marker_lets_a_step_run_once_in_its_turn() -> None:
     held: bytes | None = None
-    assert marker.verdict(held, 5, 0) == "run" and marker.verdict(held, 5, 3) == "behind"
-    held = marker.written(3, 2, True)
-    assert marker.shown(held) == 3 and marker.verdict(held, 3, 0) == "done" and marker.verdict(held, 5, 3) == "run"
-    held = marker.written(5, 2, False)  # begun: a command of it may have failed
-    assert marker.shown(held) == 4 and marker.verdict(held, 5, 3) == "run"
-    assert marker.verdict(held, 4, 0) == marker.verdict(held, 3, 0) == "fenced"
-    assert marker.verdict(held, 7, 5) == "behind"
+    assert marker.decide(held, 5, 0) == "run" and marker.decide(held, 5, 3) == "behind"
+    held = marker.encode(3, 2, True)
+    assert marker.completed_step(held) == 3
+    assert marker.decide(held, 3, 0) == "done" and marker.decide(held, 5, 3) == "run"
+    held = marker.encode(5, 2, False)  # begun: a command of it may have failed
+    assert marker.completed_step(held) == 4 and marker.decide(held, 5, 3) == "run"
+    assert marker.decide(held, 4, 0) == marker.decide(held, 3, 0) == "fenced"
+    assert marker.decide(held, 7, 5) == "behind"
     for strange in (b"", b"5", b"5 2 gone", b"-5 2 done", b"9" * 40 + b" 2 done", b"\xff"):
-        assert marker.shown(strange) == -1 and marker.verdict(strange, 5, 0) == "failed"
+        assert marker.completed_step(strange) == -1 and marker.decide(strange, 5, 0) == "failed"
 
 
 @given(st.lists(st.integers(0, 30), min_size=2, max_size=2), st.integers(0, 30), st.integers(0, 30), st.booleans())
@@ -150,23 +151,23 @@
     ledger.began(0)  # what another granted until then ends after 1_001, and what was begun then after 5_001 more
     assert not ledger.drained(1, 6_001) and ledger.drained(1, 6_002)
     now = 100_000
-    assert ledger.gave("n", 10, 10, (1, 2), 1_000, now)
-    ledger.heard("n", 10, 9, (), now + 100)
-    assert ledger.gave("n", 10, 11, (2,), 1_000, now + 100)
-    ledger.heard("n", 10, 10, (), now + 200)  # it serves by the answer that had it
+    assert ledger.record_grant("n", 10, 10, (1, 2), 1_000, now)
+    ledger.record_status("n", 10, 9, (), now + 100)
+    assert ledger.record_grant("n", 10, 11, (2,), 1_000, now + 100)
+    ledger.record_status("n", 10, 10, (), now + 200)  # it serves by the answer that had it
     assert not ledger.drained(1, now + 201)
-    ledger.heard("n", 7, 99, (), now + 210)  # another process
+    ledger.record_status("n", 7, 99, (), now + 210)  # another process
     assert not ledger.drained(1, now + 211)
-    ledger.heard("n", 10, 11, (1,), now + 220)  # it begins none, and has some out
+    ledger.record_status("n", 10, 11, (1,), now + 220)  # it begins none, and has some out
     assert not ledger.drained(1, now + 221) and not ledger.drained(1, now + 6_001)
-    ledger.heard("n", 10, 11, (), now + 230)  # within its term
+    ledger.record_status("n", 10, 11, (), now + 230)  # within its term
     assert ledger.drained(1, now + 231) and not ledger.drained(2, now + 231)
-    assert ledger.gave("n", 10, 9, (1,), 1_000, now + 240)  # which it will not take
+    assert ledger.record_grant("n", 10, 9, (1,), 1_000, now + 240)  # which it will not take
     assert not ledger.drained(1, now + 241)
-    ledger.heard("n", 10, 11, (), now + 250)
+    ledger.record_status("n", 10, 11, (), now + 250)
     assert ledger.drained(1, now + 251)
-    assert ledger.gave("n", 10, 12, (1, 2), 1_000, now + 300)
-    ledger.heard("n", 10, 11, (), now + 310)
+    assert ledger.record_grant("n", 10, 12, (1, 2), 1_000, now + 300)
+    ledger.record_status("n", 10, 11, (), now + 310)
     assert not ledger.drained(1, now + 6_301) and ledger.drained(1, now + 6_302)  # silent for term and deadline
     assert len(ledger) == 1
 
--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -24,11 +24,11 @@
 Busy = tuple[int, ...]
 
 
-put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _out_until=lambda self, holder, version: 0)
+put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _busy_until_us=lambda self, holder, version: 0)
 put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, unsure=False)
 
 
-@instead_of(Ledger, "_out_until", (scenes.cut_off, 0))
+@instead_of(Ledger, "_busy_until_us", (scenes.cut_off, 0))
 def what_is_out_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
     return holder.until.get(version, 0)
 
@@ -48,7 +48,7 @@
     return began(self, now - self._out_us)
 
 
-@instead_of(Ledger, "heard", (scenes.deaf, 0))
+@instead_of(Ledger, "record_status", (scenes.deaf, 0))
 def a_nodes_word_counts_whenever_it_was_sent(
     heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
@@ -57,7 +57,7 @@
     heard(self, node, since, 1, busy, now_us)
 
 
-@instead_of(Ledger, "heard", (scenes.deaf, 0))
+@instead_of(Ledger, "record_status", (scenes.deaf, 0))
 def a_nodes_word_counts_without_a_newer_answer(
     heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
@@ -124,12 +124,12 @@
     return receive(self, sender, message, now)
 
 
-@instead_of(marker, "verdict", (scenes.held_step, 0))
+@instead_of(marker, "decide", (scenes.held_step, 0))
 def marker_stops_no_older_step(word: Any, *asked: Any) -> Any:
     return {"fenced": "run"}.get(word(*asked), word(*asked))
 
 
-@instead_of(marker, "verdict", (scenes.gap, 0))
+@instead_of(marker, "decide", (scenes.gap, 0))
 def step_runs_on_a_gap(word: Any, value: bytes | None, step: int, after: int) -> Any:
     return word(value, step, 0)
 
--- a/tests/fleet/versions_world.py
+++ b/tests/fleet/versions_world.py
@@ -58,7 +58,7 @@
 
     def mark(self) -> bytes | None:
         what, number, version, _, _ = self.log[-1][1] if self.log else ("", 0, 0, "", False)
-        return marker.written(number, version, what == "seal") if self.log else None
+        return marker.encode(number, version, what == "seal") if self.log else None
 
     def write(self, *ops: Op) -> None:
         self.offset += 10
@@ -333,7 +333,7 @@
         def begin() -> None:
             member = self.reachable(self.banks[step.bank])
             history, value = member.history, member.mark()
-            word = marker.verdict(value, step.step, step.after)
+            word = marker.decide(value, step.step, step.after)
             if word != "run" or self.chance(0.1):
                 end("unknown" if word == "run" else word, member)
             else:
@@ -353,7 +353,7 @@
             self.later(self.latency(), lambda: seal(member, history))
 
         def seal(member: Member, history: str) -> None:
-            begun = marker.written(step.step, step.version, False)
+            begun = marker.encode(step.step, step.version, False)
             if not member.master or member.history != history or member.mark() != begun:
                 return end("unknown", member)
             member.write(("seal", step.step, step.version, step.kind, True))
@@ -366,7 +366,7 @@
 
         def look() -> None:
             one = self.reachable(self.banks[ask.bank])
-            told = (-1, "", -1) if self.chance(0.1) else (marker.shown(one.mark()), one.history, one.offset)
+            told = (-1, "", -1) if self.chance(0.1) else (marker.completed_step(one.mark()), one.history, one.offset)
             here = node.sequencer
             self.to(node, self.latency(), lambda: here.marked(ask.ask, *told, node.lease_until, node.clock()), process)
 
