--- a/benchmarks/scale/slopes/spread.py
+++ b/benchmarks/scale/slopes/spread.py
@@ -3,7 +3,7 @@
 from benchmarks.scale.measure import Measurement, Values
 from oatlink.fleet.envelope import encode
 from oatlink.fleet.messages import Evidence, Gossip, Tell
-from oatlink.fleet.verdicts.spread import ENVELOPE, ROUND_US, Spread
+from oatlink.fleet.verdicts.spread import ENVELOPE_BYTES, ROUND_US, Spread
 
 NODES = 3_600
 LONGEST_S = 120
@@ -23,7 +23,7 @@
         while now < end:
             for one in spread.tick(now):
                 if isinstance(one, Tell):
-                    sent += ENVELOPE + len(encode(one.message))
+                    sent += ENVELOPE_BYTES + len(encode(one.message))
                     messages += 1
             now += ROUND_US
         a_second.append(sent)
--- a/oatlink/fleet/parts/verdicts.py
+++ b/oatlink/fleet/parts/verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts at one node: what it saw, what others saw, who is there to be told. No I/O."""
+"""Health evidence at one node: what it observed, what others observed, and which nodes are there. No I/O."""
 
 from collections.abc import Mapping
 
@@ -11,11 +11,11 @@
 
 
 class Verdicts:
-    """See above."""
+    """The part of a node that gossips about members and weighs what others report."""
 
     def __init__(self, fleet: Fleet, incarnation: int, seed: int, now_us: int) -> None:
-        names = tuple(one.name for one in fleet.nodes)
-        peers = tuple(one for one in names if one != fleet.node)
+        names = tuple(node.name for node in fleet.nodes)
+        peers = tuple(name for name in names if name != fleet.node)
         self._spread = Spread(fleet.node, incarnation, peers, seed, fleet.drift)
         self._weigher = Weigher(fleet.drift, peers, seed)
         self._view = View(fleet.node, incarnation, names, seed, fleet.drift, now_us)
@@ -27,42 +27,44 @@
         return min(self._spread.due_us, self._view.due_us)
 
     def listed(self, members: Mapping[str, str], now_us: int) -> list[f.Effect]:
-        """The members that this gateway has, each with its bank."""
-        self._own = {name: one for name, one in self._own.items() if name in members}
-        return [f.Tuned(one) for one in self._weigher.listed(members, now_us)]
+        """Set the members that this gateway has, each with its bank."""
+        self._own = {name: own for name, own in self._own.items() if name in members}
+        return [f.Tuned(news) for news in self._weigher.listed(members, now_us)]
 
     def saw(self, member: str, kind: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """Own evidence on a member."""
-        # Threat: a claim or a position in the place of an answer of just before, and two false words count again.
-        if kind in KINDS and KINDS[kind].may in (CLEARS, LATER):
+        """Add own evidence on a member."""
+        # A claim of a role or a position must not replace an answer of just before: then two false reports would count
+        # again.
+        if kind in KINDS and KINDS[kind].allows in (CLEARS, LATER):
             self._own[member] = kind, now_us
         self._spread.saw(member, kind, now_us, history, offset)
         return self._spread.tick(now_us) if now_us >= self._spread.due_us else []
 
     def tick(self, now_us: int) -> list[f.Effect]:
-        """Time has passed."""
+        """Do what is due."""
         effects = self._view.tick(now_us)
-        self._spread.here(self._view.alive(now_us), now_us)
+        self._spread.set_alive(self._view.alive(now_us), now_us)
         return effects + (self._spread.tick(now_us) if now_us >= self._spread.due_us else [])
 
     def take(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect] | None:
-        """A message; None where it is not for this part."""
+        """Handle a message; None if it is not for this part."""
         if isinstance(message, f.Alive):
             self._view.receive(sender, message, now_us)
             return []
         if not isinstance(message, f.Gossip):
             return None
         new, effects = self._spread.receive(sender, message, now_us)
-        for word in new:
-            effects += [f.Tuned(one) for one in self._weigher.take(word, self._own.get(word.member), now_us)]
+        for evidence in new:
+            seen = self._weigher.take(evidence, self._own.get(evidence.member), now_us)
+            effects += [f.Tuned(news) for news in seen]
         return effects
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """Say that this node goes."""
+        """Announce that this node leaves."""
         return self._view.leave(now_us)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """For operators: who is there, and how much evidence is kept."""
+        """Rows for operators: which nodes are there, and how much evidence is stored."""
         return [
             ("nodes heard of", " ".join(self._view.alive(now_us)) or "none"),
             ("evidence kept", f"{len(self._spread)}, {self._spread.dropped} dropped"),
--- a/oatlink/fleet/verdicts/__init__.py
+++ b/oatlink/fleet/verdicts/__init__.py
@@ -1,1 +1,1 @@
-"""What others saw of a member, and what it may do here. No I/O."""
+"""What other nodes observed of a member, and what follows from it here. No I/O."""
--- a/oatlink/fleet/verdicts/evidence.py
+++ b/oatlink/fleet/verdicts/evidence.py
@@ -1,33 +1,33 @@
-"""The kinds of evidence: how long each lives, and what it may at most do where it is heard. No I/O.
+"""The kinds of evidence: how long each is valid, and what it may cause at most on the node that receives it. No I/O.
 
-What may live here: that table, what makes a piece of evidence fit to be taken in, and how it grows old.
+This module holds the table of kinds, the check that evidence is valid, and the arithmetic of its age.
 
-An age. Clocks run at a rate between 1 / (1 + drift) and 1 + drift of the true one. An age on the wire is in true
-microseconds and never too small: who keeps evidence for `passed` of its own time adds passed x (1 + drift), rounded
-up. A receiver's own time since then is at most age x (1 + drift). Not in it is the time under way between two
-processes, which no clock here has seen; hence nothing that follows from evidence may rest on how *recent* it is (see
-`weigh`), and a life of `life_us` is that plus the time under way.
+Clocks run at a rate between 1 / (1 + drift) and 1 + drift of true time. An age on the wire is in true microseconds and
+is never too small: a node that has kept evidence for `passed` of its own time adds passed x (1 + drift), rounded up. By
+a receiver's own clock, at most age x (1 + drift) has passed since then. The age does not include the time in transit
+between two processes, which no clock here has measured. So nothing that follows from evidence may depend on how
+*recent* it is (see `weigh`), and evidence is in fact valid for `life_us` plus the time in transit.
 """
 
 from typing import NamedTuple
 
 from oatlink.fleet.messages import Evidence
 
-CLEARS = "clears"  # speaks for the member
-CHECK = "check"  # the member may be asked now
-LATER = "later"  # with other witnesses: it may be put later in the turn for a while
-POSITION = "position"  # with other witnesses: a known position may be raised
+CLEARS = "clears"  # speaks in favour of the member
+CHECK = "check"  # the member may be checked now
+LATER = "later"  # with other witnesses: the member may be put later in the order of choice for a while
+POSITION = "position"  # with other witnesses: the known position of the member may be raised
 
-MOST_NAME = 128  # characters of a node's or member's name
-MOST_HISTORY = 64
-MOST_NUMBER = 2**63 - 1
+MAX_NAME_LENGTH = 128  # characters of a node's or member's name
+MAX_HISTORY_LENGTH = 64
+MAX_NUMBER = 2**63 - 1
 
 
 class Kind(NamedTuple):
-    """What a kind is good for. `rank` 0 is passed on before all others."""
+    """A kind of evidence: its lifetime, the most that it may cause, and its priority; rank 0 is sent on first."""
 
     life_us: int
-    may: str
+    allows: str
     rank: int
 
 
@@ -41,44 +41,44 @@
     "cold_fall": Kind(2_000_000, CHECK, 3),
     "position": Kind(4_000_000, POSITION, 4),
 }
-LONGEST_US = max(one.life_us for one in KINDS.values())
+MAX_LIFE_US = max(kind.life_us for kind in KINDS.values())
 
 
 Topic = tuple[str, str, str]  # member, kind, history of a position
 
 
 def topic_of(evidence: Evidence) -> Topic:
-    """What it is about: a newer word of one witness on one topic takes the place of the older one."""
+    """The topic: newer evidence of a witness on a topic replaces its older evidence on that topic."""
     return evidence.member, evidence.kind, evidence.history if evidence.kind == "position" else ""
 
 
-def fits(evidence: Evidence) -> bool:
-    """Whether it may be taken in. A kind that a newer node knows is passed over like anything else that does not fit.
+def is_valid(evidence: Evidence) -> bool:
+    """Whether it may be accepted. A kind that only a newer version knows is ignored like all that is not valid.
 
-    Threat: a name without an end, text that cannot be sent on, a number that no store takes, kept by every node.
+    Prevents that every node stores a name of any length, text that cannot be encoded, or a number that is too large.
     """
     kind = KINDS.get(evidence.kind)
     return (
         kind is not None
         and 0 <= evidence.age_us <= kind.life_us
-        and 0 < len(evidence.witness) <= MOST_NAME
-        and 0 < len(evidence.member) <= MOST_NAME
-        and len(evidence.history) <= MOST_HISTORY
+        and 0 < len(evidence.witness) <= MAX_NAME_LENGTH
+        and 0 < len(evidence.member) <= MAX_NAME_LENGTH
+        and len(evidence.history) <= MAX_HISTORY_LENGTH
         and (evidence.witness + evidence.member + evidence.history).isprintable()
-        and 0 <= evidence.serial <= MOST_NUMBER
-        and 0 <= evidence.incarnation <= MOST_NUMBER
-        and -1 <= evidence.offset <= MOST_NUMBER
-        and (kind.may != POSITION or (evidence.history != "" and evidence.offset >= 0))
+        and 0 <= evidence.serial <= MAX_NUMBER
+        and 0 <= evidence.incarnation <= MAX_NUMBER
+        and -1 <= evidence.offset <= MAX_NUMBER
+        and (kind.allows != POSITION or (evidence.history != "" and evidence.offset >= 0))
     )
 
 
-def grown(passed_us: int, drift: float) -> int:
-    """At least passed x (1 + drift), in microseconds; a time that seems negative is none."""
+def aged_us(passed_us: int, drift: float) -> int:
+    """At least passed x (1 + drift), in microseconds; a negative time counts as 0."""
     passed_us = max(0, passed_us)
     return passed_us + int(passed_us * drift) + 1
 
 
-def left_us(evidence: Evidence, drift: float) -> int:
-    """For how much of the receiver's own time it surely has not outlived its kind; 0 or less: it is dead."""
+def remaining_life_us(evidence: Evidence, drift: float) -> int:
+    """How much longer it is certainly valid by the receiver's clock; 0 or less: it has expired."""
     kind = KINDS.get(evidence.kind)
     return int((kind.life_us - evidence.age_us) / (1.0 + drift)) if kind is not None else 0
--- a/oatlink/fleet/verdicts/evidence_store.py
+++ b/oatlink/fleet/verdicts/evidence_store.py
@@ -1,143 +1,151 @@
-"""The evidence that a node knows, in bounded room. No I/O.
+"""The evidence that a node knows, in bounded memory. No I/O.
 
-What may live here: which evidence is new, which takes the place of which, and what goes where there is no room.
+This module decides which evidence is new, which evidence it replaces, and what is removed when the store is full.
 
-One word for each topic and witness: the newest. Words of one incarnation are ordered by their serial; incarnations are
-drawn at random, so between two of them the word seen later counts. Room: `MOST_TOPICS` topics of `MOST_WITNESSES`
-words each, `MOST_A_WITNESS` topics for each witness. A word takes the place of another witness's only if it is newer by
-`SAME_US`, and a topic that of one of no higher rank.
+The newest evidence is kept for each topic and witness. Evidence of one incarnation is ordered by its serial.
+Incarnations are drawn at random, so between two of them the evidence observed later counts. There are at most
+`MAX_TOPICS` topics with `MAX_WITNESSES` witnesses each, and `MAX_TOPICS_PER_WITNESS` topics of each witness. Evidence
+replaces that of another witness only if it is newer by `SAME_TIME_US`. A new topic replaces a topic only of the same
+rank or of a less urgent one.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from oatlink.fleet.messages import Evidence
-from oatlink.fleet.verdicts.evidence import KINDS, Topic, grown, left_us, topic_of
+from oatlink.fleet.verdicts.evidence import KINDS, Topic, aged_us, remaining_life_us, topic_of
 
-MOST_TOPICS = 1_024
-MOST_WITNESSES = 8  # a topic: more of them say nothing more
-MOST_A_WITNESS = 128  # topics: one that accuses the whole world does not put out what others say
-SWEEP_US = 500_000
-ENOUGH = 3  # witnesses of the same, at about the same time: what a fourth says is not passed on
-SAME_US = 1_000_000
+MAX_TOPICS = 1_024
+MAX_WITNESSES = 8  # of a topic; more of them add no information
+MAX_TOPICS_PER_WITNESS = 128  # so a witness that accuses every member does not evict the evidence of others
+SWEEP_INTERVAL_US = 500_000
+ENOUGH_WITNESSES = 3  # of the same topic at about the same time; evidence of a fourth is not sent on
+SAME_TIME_US = 1_000_000
 
 
 @dataclass(slots=True)
 class StoredEvidence:
-    """A word as it was at `kept_us`. `seen_us`: when it was seen, by our clock, at the latest but for the way here."""
+    """Evidence as it was at `kept_us`. `seen_us`: the latest time of the observation by our clock, less the transit."""
 
     evidence: Evidence
     kept_us: int
     seen_us: int
-    dies_us: int
-    number: int  # of arrival
-    left: int = 0  # rounds in which it is still to be sent
+    expires_us: int
+    number: int  # order of arrival
+    rounds_left: int = 0  # in which it is still to be sent
     sent: bool = False
 
 
 class EvidenceStore:
-    """What is known, by topic and witness. `dropped` counts what found no room, a witness too many aside."""
+    """Evidence by topic and witness. `dropped` counts what the limits removed, except `MAX_WITNESSES`."""
 
     def __init__(self, drift: float) -> None:
         self._drift = drift
         self._topics: dict[Topic, dict[str, StoredEvidence]] = {}
         self._ranks: dict[str, dict[Topic, None]] = {kind: {} for kind in KINDS}  # by kind, oldest topic first
-        self._of: dict[str, int] = {}  # topics by witness
+        self._topic_counts: dict[str, int] = {}  # by witness
         self._sweep_us = 0
-        self._count = 0
+        self._arrivals = 0
         self.dropped = 0
 
     def __len__(self) -> int:
-        return sum(len(held) for held in self._topics.values())
+        return sum(len(by_witness) for by_witness in self._topics.values())
 
     def items(self) -> Iterator[StoredEvidence]:
-        """All that is kept, the dead not yet swept among it."""
-        for held in self._topics.values():
-            yield from held.values()
+        """All evidence in the store, including what has expired and was not removed yet."""
+        for by_witness in self._topics.values():
+            yield from by_witness.values()
 
     def known(self, evidence: Evidence) -> StoredEvidence | None:
-        """The word of the same witness on the same topic."""
+        """The stored evidence of the same witness on the same topic."""
         return self._topics.get(topic_of(evidence), {}).get(evidence.witness)
 
     def put(self, evidence: Evidence, now_us: int) -> StoredEvidence | None:
-        """Keep a word that fits; None where it is not newer than what is known, or there is no room."""
+        """Store valid evidence; None if it is not newer than what is known, has expired, or exceeds a limit."""
         if now_us >= self._sweep_us:
             self._sweep(now_us)
         topic, witness = topic_of(evidence), evidence.witness
-        seen_us = now_us - grown(evidence.age_us, self._drift)
-        dies_us = now_us + left_us(evidence, self._drift)
-        if dies_us <= now_us:
+        seen_us = now_us - aged_us(evidence.age_us, self._drift)
+        expires_us = now_us + remaining_life_us(evidence, self._drift)
+        if expires_us <= now_us:
             return None
-        held = self._topics.get(topic, {})
-        old = held.get(witness)
+        by_witness = self._topics.get(topic, {})
+        old = by_witness.get(witness)
         if old is not None:
-            if not _newer(evidence, seen_us, old):
+            if not _is_newer(evidence, seen_us, old):
                 return None
-            self._out(topic, witness)
-        elif not self._room(topic, held, witness, seen_us):
+            self._remove(topic, witness)
+        elif not self._ensure_room(topic, by_witness, witness, seen_us):
             return None
-        self._count += 1
-        item = StoredEvidence(evidence, now_us, seen_us, dies_us, self._count)
+        self._arrivals += 1
+        item = StoredEvidence(evidence, now_us, seen_us, expires_us, self._arrivals)
         self._topics.setdefault(topic, {})[witness] = item
         self._ranks[evidence.kind][topic] = None
-        self._of[witness] = self._of.get(witness, 0) + 1
+        self._topic_counts[witness] = self._topic_counts.get(witness, 0) + 1
         return item
 
-    def enough(self, item: StoredEvidence) -> bool:
-        """Whether as many others as anyone needs said the same before it, and not long before.
+    def has_enough_witnesses(self, item: StoredEvidence) -> bool:
+        """Whether `ENOUGH_WITNESSES` others reported the same before this one arrived, and not much earlier.
 
-        Threat: a member that hangs is seen by all gateways at once, and a word of each would go to each.
+        When a member hangs, all gateways observe it at once. Without this limit the evidence of each would be sent to
+        each.
         """
-        held = self._topics.get(topic_of(item.evidence), {})
+        by_witness = self._topics.get(topic_of(item.evidence), {})
         others = 0
-        for one in held.values():
-            others += one.number < item.number and one.seen_us >= item.seen_us - SAME_US
-        return others >= ENOUGH
+        for other in by_witness.values():
+            others += other.number < item.number and other.seen_us >= item.seen_us - SAME_TIME_US
+        return others >= ENOUGH_WITNESSES
 
-    def _room(self, topic: Topic, held: dict[str, StoredEvidence], witness: str, seen_us: int) -> bool:
-        if self._of.get(witness, 0) >= MOST_A_WITNESS:
+    def _ensure_room(self, topic: Topic, by_witness: dict[str, StoredEvidence], witness: str, seen_us: int) -> bool:
+        if self._topic_counts.get(witness, 0) >= MAX_TOPICS_PER_WITNESS:
             self.dropped += 1
             return False
-        if len(held) >= MOST_WITNESSES:
-            name, oldest = min(held.items(), key=lambda pair: pair[1].seen_us)
-            # Threat: one put out that comes again by a slower way, looks newer by that, and is taken for new.
-            if oldest.seen_us >= seen_us - SAME_US:
+        if len(by_witness) >= MAX_WITNESSES:
+            name, oldest = min(by_witness.items(), key=lambda pair: pair[1].seen_us)
+            # Evidence that was removed may arrive again on a slower path: it looks newer by that, and without this
+            # condition it would count as new.
+            if oldest.seen_us >= seen_us - SAME_TIME_US:
                 return False
-            self._out(topic, name)
-        elif not held and len(self._topics) >= MOST_TOPICS:
-            return self._make_room(KINDS[topic[1]].rank)
+            self._remove(topic, name)
+        elif not by_witness and len(self._topics) >= MAX_TOPICS:
+            return self._evict(KINDS[topic[1]].rank)
         return True
 
-    def _make_room(self, rank: int) -> bool:
-        """Put out the oldest topic of the least kind, if that is not above `rank`."""
+    def _evict(self, rank: int) -> bool:
+        """Remove the oldest topic of the least urgent kind, unless it is more urgent than `rank`."""
         for kind in reversed(KINDS):
             if self._ranks[kind] and KINDS[kind].rank >= rank:
                 topic = next(iter(self._ranks[kind]))
                 for witness in list(self._topics[topic]):
                     self.dropped += 1
-                    self._out(topic, witness)
+                    self._remove(topic, witness)
                 return True
         self.dropped += 1
         return False
 
-    def _out(self, topic: Topic, witness: str) -> None:
-        held = self._topics[topic]
-        held.pop(witness).left = 0
-        if not held:
+    def _remove(self, topic: Topic, witness: str) -> None:
+        by_witness = self._topics[topic]
+        by_witness.pop(witness).rounds_left = 0
+        if not by_witness:
             del self._topics[topic]
             self._ranks[topic[1]].pop(topic, None)
-        self._of[witness] -= 1
-        if not self._of[witness]:
-            del self._of[witness]
+        self._topic_counts[witness] -= 1
+        if not self._topic_counts[witness]:
+            del self._topic_counts[witness]
 
     def _sweep(self, now_us: int) -> None:
-        self._sweep_us = now_us + SWEEP_US
-        dead = [(topic, name) for topic, held in self._topics.items() for name in held if held[name].dies_us <= now_us]
-        for topic, name in dead:
-            self._out(topic, name)
-
-
-def _newer(evidence: Evidence, seen_us: int, old: StoredEvidence) -> bool:
+        self._sweep_us = now_us + SWEEP_INTERVAL_US
+        expired = [
+            (topic, witness)
+            for topic, by_witness in self._topics.items()
+            for witness, item in by_witness.items()
+            if item.expires_us <= now_us
+        ]
+        for topic, witness in expired:
+            self._remove(topic, witness)
+
+
+def _is_newer(evidence: Evidence, seen_us: int, old: StoredEvidence) -> bool:
     if evidence.incarnation == old.evidence.incarnation:
         return evidence.serial > old.evidence.serial
     return seen_us > old.seen_us
--- a/oatlink/fleet/verdicts/statements.py
+++ b/oatlink/fleet/verdicts/statements.py
@@ -1,100 +1,104 @@
-"""What others say of one member: for it, against it, and how far it is known to be. No I/O.
+"""What other nodes report of one member: for it, against it, and which offset it has reached. No I/O.
 
-What may live here: which witnesses count at a moment. Nothing here decides what follows.
+This module decides which witnesses count at a moment; what follows from that is decided in `weigh`.
 """
 
 from dataclasses import dataclass, field
 
-MOST_WITNESSES = 16  # on each side
-MOST_HISTORIES = 2
-STANDS_US = 300_000  # a 'served' stands against a word that is this much newer, others' clocks and ways being unknown
-DEFENDERS = 4  # who say 'served' at about the same time are enough, however many say otherwise
+MAX_WITNESSES = 16  # for a member and against it, each
+MAX_HISTORIES = 2
+SERVED_PRIORITY_US = 300_000
+"""A 'served' outweighs an accusation that is newer by up to this, since the clocks of others and the time in transit
+are unknown."""
+DEFENDERS = 4
+"""So many witnesses of 'served' at about the same time outweigh any number of accusations."""
 
 
 @dataclass(slots=True)
 class Statements:
-    """One side: when each witness last said so, and until when that lives."""
+    """The statements for or against a member: when each witness last made one, and when it expires."""
 
-    said: dict[str, tuple[int, int]] = field(default_factory=dict)
+    by_witness: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def put(self, witness: str, at_us: int, until_us: int) -> None:
-        """Take in a word that is not older than the witness's last one."""
-        self.said.pop(witness, None)
-        if len(self.said) >= MOST_WITNESSES:
-            del self.said[min(self.said, key=lambda name: self.said[name][0])]
-        self.said[witness] = at_us, until_us
+        """Add a statement that is not older than the last one of the witness."""
+        self.by_witness.pop(witness, None)
+        if len(self.by_witness) >= MAX_WITNESSES:
+            del self.by_witness[min(self.by_witness, key=lambda name: self.by_witness[name][0])]
+        self.by_witness[witness] = at_us, until_us
 
-    def at(self, witness: str) -> int:
-        """When the witness last said so, -1 where it did not."""
-        return self.said.get(witness, (-1, 0))[0]
+    def time_of(self, witness: str) -> int:
+        """The time of the last statement of the witness, -1 if there is none."""
+        return self.by_witness.get(witness, (-1, 0))[0]
 
-    def living(self, now_us: int, since_us: int) -> list[int]:
-        """When each said so, of what lives still and was seen after `since_us`; the newest first."""
-        return sorted((at for at, until in self.said.values() if until > now_us and at > since_us), reverse=True)
+    def live_times(self, now_us: int, since_us: int) -> list[int]:
+        """The times of the statements that have not expired and are newer than `since_us`; the newest first."""
+        return sorted((at for at, until in self.by_witness.values() if until > now_us and at > since_us), reverse=True)
 
 
 @dataclass(slots=True)
 class MemberStatements:
-    """Both sides of one member. A witness is on the side of its newest word."""
+    """The statements for and against one member. A witness counts on the side of its newest statement."""
 
     against: Statements = field(default_factory=Statements)
     served: Statements = field(default_factory=Statements)
 
     def put(self, witness: str, accuses: bool, at_us: int, until_us: int) -> None:
-        """Take in a word; one older than the witness's newest says nothing more."""
-        if at_us < max(self.against.at(witness), self.served.at(witness)):
+        """Add a statement, unless it is older than the newest one of the witness."""
+        if at_us < max(self.against.time_of(witness), self.served.time_of(witness)):
             return
-        here, other = (self.against, self.served) if accuses else (self.served, self.against)
-        other.said.pop(witness, None)
-        here.put(witness, at_us, until_us)
+        side, opposite = (self.against, self.served) if accuses else (self.served, self.against)
+        opposite.by_witness.pop(witness, None)
+        side.put(witness, at_us, until_us)
 
     def suspected(self, now_us: int, since_us: int, needed: int) -> bool:
-        """Whether `needed` witnesses accuse it of something after `since_us`, and too few say that it served them."""
-        accusing = self.against.living(now_us, since_us)
+        """Whether `needed` witnesses accuse it of a fault after `since_us`, and too few report that it served them."""
+        accusing = self.against.live_times(now_us, since_us)
         if len(accusing) < needed:
             return False
-        defending = self.served.living(now_us, accusing[0] - STANDS_US)
+        defending = self.served.live_times(now_us, accusing[0] - SERVED_PRIORITY_US)
         return len(defending) < min(len(accusing), DEFENDERS)
 
 
 @dataclass(slots=True)
 class HistoryOffsets:
-    """How far a member is in one history, by each witness: (offset, when, until when that word lives)."""
+    """The offset of a member in one history by each witness: (offset, time of the statement, time when it expires)."""
 
-    by: dict[str, tuple[int, int, int]] = field(default_factory=dict)
-    told: int = -1  # the offset that was last passed to the gateway
+    by_witness: dict[str, tuple[int, int, int]] = field(default_factory=dict)
+    reported: int = -1  # the offset that was last passed to the gateway
 
     def put(self, witness: str, offset: int, at_us: int, until_us: int) -> None:
-        """Take in a word. One who sees the member go back ends what all said before: it may have begun anew."""
-        last = self.by.pop(witness, None)
+        """Add a statement. A witness that sees the offset fall voids all others: the member may have restarted."""
+        last = self.by_witness.pop(witness, None)
         if last is not None and last[1] > at_us:
-            self.by[witness] = last
+            self.by_witness[witness] = last
             return
         if last is not None and offset < last[0]:
-            self.by.clear()
-            self.told = -1
-        elif len(self.by) >= MOST_WITNESSES:
-            del self.by[min(self.by, key=lambda name: self.by[name][1])]
-        self.by[witness] = offset, at_us, until_us
+            self.by_witness.clear()
+            self.reported = -1
+        elif len(self.by_witness) >= MAX_WITNESSES:
+            del self.by_witness[min(self.by_witness, key=lambda name: self.by_witness[name][1])]
+        self.by_witness[witness] = offset, at_us, until_us
 
     def attested(self, now_us: int, since_us: int, needed: int) -> tuple[int, int] | None:
-        """The offset that `needed` witnesses say it holds or more, and the time by the oldest of these words."""
-        words = sorted(((o, at) for o, at, until in self.by.values() if until > now_us and at > since_us), reverse=True)
-        if len(words) < needed:
+        """The offset that `needed` witnesses confirm as reached, and the time of the oldest of these statements."""
+        live = [(offset, at) for offset, at, until in self.by_witness.values() if until > now_us and at > since_us]
+        live.sort(reverse=True)
+        if len(live) < needed:
             return None
-        return words[needed - 1][0], min(at for _, at in words[:needed])
+        return live[needed - 1][0], min(at for _, at in live[:needed])
 
 
 @dataclass(slots=True)
 class MemberOffsets:
-    """One member's histories, the one last spoken of at the end; an old one is let go."""
+    """The offsets of one member by history. The most recently reported are kept, at most `MAX_HISTORIES`."""
 
-    of: dict[str, HistoryOffsets] = field(default_factory=dict)
+    by_history: dict[str, HistoryOffsets] = field(default_factory=dict)
 
-    def reach(self, history: str) -> HistoryOffsets:
-        """That history's, new where it is not known."""
-        reach = self.of.pop(history, None) or HistoryOffsets()
-        self.of[history] = reach
-        while len(self.of) > MOST_HISTORIES:
-            del self.of[next(iter(self.of))]
-        return reach
+    def offsets(self, history: str) -> HistoryOffsets:
+        """The offsets in this history, empty if it is not known."""
+        offsets = self.by_history.pop(history, None) or HistoryOffsets()
+        self.by_history[history] = offsets
+        while len(self.by_history) > MAX_HISTORIES:
+            del self.by_history[next(iter(self.by_history))]
+        return offsets
--- a/oatlink/fleet/verdicts/weigh.py
+++ b/oatlink/fleet/verdicts/weigh.py
@@ -1,31 +1,36 @@
-"""What others' evidence may do here. No I/O.
+"""What the evidence of other nodes may cause here. No I/O.
 
-What may live here: the rules by which evidence becomes news for the gate, and nothing that looks at one's own links.
+This module holds the rules by which evidence becomes news for the gate. It does not look at this node's own links.
 
 The only acts are *check*, *later* and *position* (`ACTS`). No evidence ends a drain, proves a role, or makes a read
-fresh: a role claim is a reason to ask the member oneself, and `at_us` is no sample of a primary. It is reckoned from an
-age that leaves out the time under way, so it bounds when the thing was seen from above: "at `at_us`, or before".
-
-- **check**: one witness suffices, and never for more. At most one a member each `CHECK_EACH_US`. Not all gateways need
-  to ask at once what one of them can tell the others: each draws, and asks with a chance of CHECKERS x 2^k / gateways,
-  k the draws it has lost since it last won. So about `CHECKERS` gateways ask at once; while evidence goes on coming,
-  all have asked within ceil(log2(gateways / CHECKERS)) + 1 draws. Own evidence newer than the word: nothing to ask,
-  but for a role, which nothing but an answer to the question shows.
-- **later**: `WITNESSES` different ones whose newest words, still alive, accuse it. A word counts only if it is newer
-  than our own newest evidence, and by `STANDS_US` where that was 'served'. It is void if as many others, or
-  `DEFENDERS` of them, say 'served', not more than `STANDS_US` before the newest accusation. It lasts `LATER_US`, with
-  a check at once, and an own 'served' ends it (for the gate to do). It is about the turn only: no member is left out.
-  Bound: *a member that has served us within the last `STANDS_US` is never put later, whatever is said and by however
-  many.* One that we have not asked for longer is put later for at most `LATER_US` after the last of two false
-  witnesses' words, unless as many true ones (or `DEFENDERS`) defend it: with a third of the nodes false and the others
-  served, it is untouched too. One false witness never does.
-- With half or more of a bank's members under suspicion, by others' words or our own, suspicion is void for that bank:
-  none is put later, and what was is taken back (*later* with `until_us` now). So at any time under half of a bank is.
-- **position**: what a member has applied of one history only grows, so old news is safe: "it holds `offset` or more".
-  An offset is passed on as far as `WITNESSES` attest it, and not on words from before our own 'refused' or 'reset', or
-  less than `STANDS_US` after it: a member that began anew may hold less.
-
-Words of unlisted members or witnesses are passed over. Room: a bounded number of words for each listed member.
+fresh: a claim of a role is a reason to ask the member itself, and `at_us` is no sample of a primary. It is computed
+from an age that leaves out the time in transit, so it is an upper bound: the observation was made "at `at_us`, or
+before".
+
+- **check**: one witness suffices, and suffices for nothing else. A member is checked at most once each
+  `CHECK_INTERVAL_US`. Not all gateways need to check at once what one of them can tell the others: each draws, and
+  checks with a probability of CHECKERS x 2^k / gateways, where k is the number of draws it lost since it last won. So
+  about `CHECKERS` gateways check at once; while evidence continues to arrive, all have checked within
+  ceil(log2(gateways / CHECKERS)) + 1 draws. If own evidence is newer, there is nothing to check, except for a role,
+  which only an answer to the question shows.
+- **later**: needs `WITNESSES` different witnesses whose newest evidence is still valid and accuses the member.
+  Evidence counts only if it is newer than our own newest evidence, and by `SERVED_PRIORITY_US` if that was 'served'.
+  It is void if as many others, or `DEFENDERS` of them, report 'served', not more than `SERVED_PRIORITY_US` before the
+  newest accusation. It lasts `LATER_US`, with a check at once, and an own 'served' ends it (in the gate). It only
+  changes the order in which members are chosen: no member is left out.
+  Bound: *a member that has served us within the last `SERVED_PRIORITY_US` is never put later, whatever is reported and
+  by however many.* One that we have not asked for longer is put later for at most `LATER_US` after the last evidence of
+  two false witnesses, unless as many true ones (or `DEFENDERS`) defend it: if a third of the nodes are false and the
+  others are served, it is not affected either. One false witness never has this effect.
+- If half or more of the members of a bank are suspected, by others' evidence or our own, suspicion is void for that
+  bank: none is put later, and what was is taken back (*later* with `until_us` now). So at any time less than half of a
+  bank is put later.
+- **position**: the offset of a member within one history only grows, so old news is safe: "it has reached `offset` or
+  more". An offset is passed on as far as `WITNESSES` confirm it. Evidence from before our own 'refused' or 'reset', or
+  less than `SERVED_PRIORITY_US` after it, does not count: a member that restarted may have less.
+
+Evidence on unlisted members or from unlisted witnesses is ignored. Memory: a bounded number of statements for each
+listed member.
 """
 
 import random
@@ -33,134 +38,151 @@
 
 from oatlink.fleet.gate import Seen
 from oatlink.fleet.messages import Evidence
-from oatlink.fleet.verdicts.evidence import CHECK, CLEARS, KINDS, LATER, LONGEST_US, POSITION, fits, grown, left_us
-from oatlink.fleet.verdicts.statements import STANDS_US, MemberOffsets, MemberStatements
+from oatlink.fleet.verdicts.evidence import (
+    CHECK,
+    CLEARS,
+    KINDS,
+    LATER,
+    MAX_LIFE_US,
+    POSITION,
+    aged_us,
+    is_valid,
+    remaining_life_us,
+)
+from oatlink.fleet.verdicts.statements import SERVED_PRIORITY_US, MemberOffsets, MemberStatements
 
 ACTS = ("check", "later", "position")
 WITNESSES = 2
-CHECKERS = 8  # gateways that ask at once
-CHECK_EACH_US = 200_000
+CHECKERS = 8  # gateways that check at once, in the mean
+CHECK_INTERVAL_US = 200_000
 LATER_US = 2_000_000
-ANEW = ("refused", "reset")
+RESTART_KINDS = ("refused", "reset")  # after which a member may have restarted
 
 Own = tuple[str, int]
-"""The kind of our own newest evidence on a member, and when."""
+"""The kind and the time of our own newest evidence on a member."""
 
 
 class Weigher:
-    """What one gateway makes of others' evidence. `peers`: the other nodes; `seed` differs from gateway to gateway."""
+    """Weighs others' evidence for one gateway. `peers`: the other nodes; `seed` differs from gateway to gateway."""
 
     def __init__(self, drift: float, peers: tuple[str, ...], seed: int = 0) -> None:
         self._drift = drift
         self._peers = dict.fromkeys(peers)
-        self._draw = random.Random(seed)
+        self._random = random.Random(seed)
         self._bank: dict[str, str] = {}
         self._members: dict[str, list[str]] = {}  # by bank
-        self._sides: dict[str, MemberStatements] = {}
-        self._reaches: dict[str, MemberOffsets] = {}
+        self._statements: dict[str, MemberStatements] = {}
+        self._offsets: dict[str, MemberOffsets] = {}
         self._own: dict[str, Own] = {}
-        self._anew: dict[str, int] = {}  # when our link to it last ended so that it may have begun anew
-        self._later: dict[str, int] = {}  # until when
-        self._drawn: dict[str, tuple[int, int]] = {}  # when, and how many draws were lost one after the other
+        self._restarted_us: dict[str, int] = {}  # when our link last ended in a way that a restart explains
+        self._later_until_us: dict[str, int] = {}
+        self._draws: dict[str, tuple[int, int]] = {}  # the last draw, and how many were lost in a row
 
     def listed(self, members: Mapping[str, str], now_us: int = 0) -> list[Seen]:
-        """The members of this gateway, each with its bank; takes back what a bank that shrank does not allow."""
+        """Set the members of this gateway, each with its bank; take back what a bank that shrank does not allow."""
         self._bank = dict(members)
         self._members = {}
         for member, bank in self._bank.items():
             self._members.setdefault(bank, []).append(member)
-        for book in (self._sides, self._reaches, self._own, self._anew, self._later, self._drawn):
-            for gone in [member for member in book if member not in self._bank]:
-                del book[gone]
-        return [one for bank in self._members for one in self._void(bank, now_us)]
+        for by_member in (
+            self._statements,
+            self._offsets,
+            self._own,
+            self._restarted_us,
+            self._later_until_us,
+            self._draws,
+        ):
+            for gone in [member for member in by_member if member not in self._bank]:
+                del by_member[gone]
+        return [seen for bank in self._members for seen in self._take_back(bank, now_us)]
 
     def take(self, evidence: Evidence, own: Own | None, now_us: int) -> list[Seen]:
-        """Weigh a new word; `own` is our own newest evidence on its member."""
+        """Weigh new evidence; `own` is our own newest evidence on its member."""
         member, kind = evidence.member, KINDS.get(evidence.kind)
-        if kind is None or member not in self._bank or evidence.witness not in self._peers or not fits(evidence):
+        if kind is None or member not in self._bank or evidence.witness not in self._peers or not is_valid(evidence):
             return []
-        until_us = now_us + left_us(evidence, self._drift)
+        until_us = now_us + remaining_life_us(evidence, self._drift)
         if until_us <= now_us:
             return []
         if own is not None:
             self._own[member] = own[0], min(own[1], now_us)
-            if own[0] in ANEW:
-                self._anew[member] = min(own[1], now_us)
-        at_us = now_us - grown(evidence.age_us, self._drift)
-        if kind.may == POSITION:
+            if own[0] in RESTART_KINDS:
+                self._restarted_us[member] = min(own[1], now_us)
+        at_us = now_us - aged_us(evidence.age_us, self._drift)
+        if kind.allows == POSITION:
             return self._position(evidence, at_us, until_us, now_us)
-        if kind.may == CHECK:
+        if kind.allows == CHECK:
             return self._check(member, at_us, now_us, evidence.kind == "primary")
-        side = self._sides.setdefault(member, MemberStatements())
-        side.put(evidence.witness, kind.may == LATER, at_us, until_us)
-        if kind.may == CLEARS:
+        statements = self._statements.setdefault(member, MemberStatements())
+        statements.put(evidence.witness, kind.allows == LATER, at_us, until_us)
+        if kind.allows == CLEARS:
             return self._cleared(member, now_us)
         return self._check(member, at_us, now_us, False) + self._put_later(member, at_us, now_us)
 
-    def _since(self, member: str) -> int:
-        """Up to when others' words on a member say nothing to us."""
+    def _ignored_until_us(self, member: str) -> int:
+        """The time up to which others' evidence on a member does not count."""
         kind, at_us = self._own.get(member, ("", -1))
-        return at_us + STANDS_US if kind == "served" else at_us
+        return at_us + SERVED_PRIORITY_US if kind == "served" else at_us
 
     def _suspected(self, member: str, now_us: int) -> bool:
-        side = self._sides.get(member)
-        return side is not None and side.suspected(now_us, self._since(member), WITNESSES)
+        statements = self._statements.get(member)
+        return statements is not None and statements.suspected(now_us, self._ignored_until_us(member), WITNESSES)
 
-    def _doubted(self, member: str, now_us: int) -> bool:
-        """Whether it is under suspicion, by others or by ourselves, or put later by one that has lapsed since."""
+    def _is_doubted(self, member: str, now_us: int) -> bool:
+        """Whether it is suspected, by others or by ourselves, or is put later still after the suspicion has ended."""
         own, at_us = self._own.get(member, ("", -1))
         kind = KINDS.get(own)
-        mine = kind is not None and kind.may == LATER and now_us - at_us < kind.life_us
-        return mine or self._later.get(member, 0) > now_us or self._suspected(member, now_us)
+        is_own = kind is not None and kind.allows == LATER and now_us - at_us < kind.life_us
+        return is_own or self._later_until_us.get(member, 0) > now_us or self._suspected(member, now_us)
 
-    def _half(self, bank: str, now_us: int) -> bool:
-        """Whether half or more of a bank is under suspicion: then it is more likely that something else is broken."""
+    def _half_suspected(self, bank: str, now_us: int) -> bool:
+        """Whether half or more of a bank is suspected: then it is more likely that something else is broken."""
         members = self._members.get(bank, [])
-        return 2 * sum(self._doubted(one, now_us) for one in members) >= len(members)
+        return 2 * sum(self._is_doubted(member, now_us) for member in members) >= len(members)
 
     def _put_later(self, member: str, at_us: int, now_us: int) -> list[Seen]:
         if not self._suspected(member, now_us):
             return []
         bank = self._bank[member]
-        if self._half(bank, now_us):
-            return self._void(bank, now_us)
+        if self._half_suspected(bank, now_us):
+            return self._take_back(bank, now_us)
         until_us = now_us + LATER_US
-        if self._later.get(member, 0) > until_us - CHECK_EACH_US:
-            return []  # said just now
-        self._later[member] = until_us
+        if self._later_until_us.get(member, 0) > until_us - CHECK_INTERVAL_US:
+            return []  # it was put later just now
+        self._later_until_us[member] = until_us
         return [Seen(member, "later", at_us, until_us)]
 
-    def _void(self, bank: str, now_us: int) -> list[Seen]:
-        """Take back each *later* of a bank with half of it under suspicion."""
-        if not self._half(bank, now_us):
+    def _take_back(self, bank: str, now_us: int) -> list[Seen]:
+        """Take back each *later* of a bank of which half is suspected."""
+        if not self._half_suspected(bank, now_us):
             return []
-        put = [one for one in self._members[bank] if self._later.pop(one, 0) > now_us]
-        return [Seen(one, "later", now_us, now_us) for one in put]
+        put_later = [member for member in self._members[bank] if self._later_until_us.pop(member, 0) > now_us]
+        return [Seen(member, "later", now_us, now_us) for member in put_later]
 
     def _cleared(self, member: str, now_us: int) -> list[Seen]:
-        if self._later.get(member, 0) <= now_us or self._suspected(member, now_us):
+        if self._later_until_us.get(member, 0) <= now_us or self._suspected(member, now_us):
             return []
-        del self._later[member]
+        del self._later_until_us[member]
         return [Seen(member, "later", now_us, now_us)]
 
     def _check(self, member: str, at_us: int, now_us: int, role: bool) -> list[Seen]:
         if not role and self._own.get(member, ("", -1))[1] >= at_us:
             return []
-        drawn_us, lost = self._drawn.get(member, (now_us - LONGEST_US, 0))
-        if now_us - drawn_us < CHECK_EACH_US:
+        drawn_us, lost = self._draws.get(member, (now_us - MAX_LIFE_US, 0))
+        if now_us - drawn_us < CHECK_INTERVAL_US:
             return []
-        lost = lost if now_us - drawn_us < LONGEST_US else 0
-        share = CHECKERS * 2 ** min(lost, 16) / (len(self._peers) + 1)
-        won = self._draw.random() < share
-        self._drawn[member] = now_us, 0 if won else lost + 1
+        lost = lost if now_us - drawn_us < MAX_LIFE_US else 0
+        probability = CHECKERS * 2 ** min(lost, 16) / (len(self._peers) + 1)
+        won = self._random.random() < probability
+        self._draws[member] = now_us, 0 if won else lost + 1
         return [Seen(member, "check", at_us)] if won else []
 
-    def _position(self, word: Evidence, at_us: int, until_us: int, now_us: int) -> list[Seen]:
-        reach = self._reaches.setdefault(word.member, MemberOffsets()).reach(word.history)
-        reach.put(word.witness, word.offset, at_us, until_us)
-        anew_us = self._anew.get(word.member, -STANDS_US) + STANDS_US
-        attested = reach.attested(now_us, anew_us, WITNESSES)
-        if attested is None or attested[0] <= reach.told:
+    def _position(self, evidence: Evidence, at_us: int, until_us: int, now_us: int) -> list[Seen]:
+        offsets = self._offsets.setdefault(evidence.member, MemberOffsets()).offsets(evidence.history)
+        offsets.put(evidence.witness, evidence.offset, at_us, until_us)
+        restarted_us = self._restarted_us.get(evidence.member, -SERVED_PRIORITY_US) + SERVED_PRIORITY_US
+        attested = offsets.attested(now_us, restarted_us, WITNESSES)
+        if attested is None or attested[0] <= offsets.reported:
             return []
-        reach.told, at_us = attested
-        return [Seen(word.member, "position", at_us, 0, word.history, reach.told)]
+        offsets.reported, at_us = attested
+        return [Seen(evidence.member, "position", at_us, 0, evidence.history, offsets.reported)]
--- a/oatlink/lab/fleetsim/judge_verdicts.py
+++ b/oatlink/lab/fleetsim/judge_verdicts.py
@@ -1,7 +1,7 @@
 """Whether verdicts stay within what they may do, while it runs.
 
 - Only the three acts; *later* for `LATER_US` at most, and never for a member that served this process within
-  `STANDS_US`, and never half of a bank.
+  `SERVED_PRIORITY_US`, and never half of a bank.
 - *Later* rests on two others that truly saw something of late; a position is one that the member truly holds.
 - A word spreads within its bound: counted, not judged, since it is drawn by chance.
 """
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from oatlink.fleet.gate import Seen
-from oatlink.fleet.verdicts.statements import STANDS_US
+from oatlink.fleet.verdicts.statements import SERVED_PRIORITY_US
 from oatlink.fleet.verdicts.weigh import ACTS, LATER_US
 from oatlink.lab.fleetsim import views
 from oatlink.lab.fleetsim.violation import Violation
@@ -64,8 +64,8 @@
         later[news.member] = news.until_us
         if news.until_us > now_us + LATER_US:
             raise Violation("verdicts", f"{process.name} puts {news.member} later for {news.until_us - now_us}")
-        served = self._served.get((process, news.member), -STANDS_US)
-        if now_us - served < STANDS_US:
+        served = self._served.get((process, news.member), -SERVED_PRIORITY_US)
+        if now_us - served < SERVED_PRIORITY_US:
             raise Violation("verdicts", f"{process.name} puts {news.member} later, served {now_us - served} ago")
         bank = self._world.members[news.member]
         whole = [one for one, other in self._world.members.items() if other == bank]
--- a/oatlink/lab/fleetsim/views.py
+++ b/oatlink/lab/fleetsim/views.py
@@ -32,7 +32,7 @@
         return {}
     return {
         (one.evidence.witness, one.evidence.member, one.evidence.kind): one.kept_us
-        for one in node._verdicts._spread._known.items()
+        for one in node._verdicts._spread._store.items()
     }
 
 
--- a/oatlink/lab/scale/scenarios/verdicts.py
+++ b/oatlink/lab/scale/scenarios/verdicts.py
@@ -4,7 +4,7 @@
 
 from oatlink.fleet import messages as f
 from oatlink.fleet.verdicts import spread
-from oatlink.fleet.verdicts.evidence_store import MOST_TOPICS, EvidenceStore
+from oatlink.fleet.verdicts.evidence_store import MAX_TOPICS, EvidenceStore
 from oatlink.lab.fleetsim.time import Timeline
 from oatlink.lab.scale.judge import Finding, Waits, peaks
 from oatlink.lab.scale.lines import at
@@ -52,8 +52,8 @@
     )
     found.steady["words kept at the fullest node"] = float(max(len(one) for one in rumours.cores.values()))
     found.notes.append(
-        f"each node may send {spread.MOST_BYTES_A_S:,} bytes a second ({at(spread.Spread._bytes)}) and "
-        f"keeps {MOST_TOPICS:,} topics ({at(EvidenceStore._room)}): a zone's loss takes all bytes"
+        f"each node may send {spread.MAX_BYTES_PER_S:,} bytes a second ({at(spread.Spread._available_bytes)}) and "
+        f"keeps {MAX_TOPICS:,} topics ({at(EvidenceStore._ensure_room)}): a zone's loss takes all bytes"
     )
     return found
 
--- a/tests/fleet/fleetsim_sabotage.py
+++ b/tests/fleet/fleetsim_sabotage.py
@@ -122,8 +122,13 @@
 
 
 put("one_witness_suffices", ("verdicts", "verdicts", 4), weigh, WITNESSES=1)
-put("half_a_bank_is_put_later", ("verdicts", "verdicts", 4), weigh.Weigher, _half=lambda self, bank, now_us: False)
-put("own_service_says_nothing", ("verdicts", "verdicts", 4), weigh.Weigher, _since=lambda self, member: -1)
+put(
+    "half_a_bank_is_put_later",
+    ("verdicts", "verdicts", 4),
+    weigh.Weigher,
+    _half_suspected=lambda self, bank, now_us: False,
+)
+put("own_service_says_nothing", ("verdicts", "verdicts", 4), weigh.Weigher, _ignored_until_us=lambda self, member: -1)
 put("words_go_to_one", ("gossip", "spread", 5), spread, FAN_OUT=1)
 put("contract_one_lease_too_early", ("versions", "versions", 3), Ledger, _busy_until_us=lambda self, holder, version: 0)
 
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -10,10 +10,10 @@
 from oatlink.fleet.gate import Seen
 from oatlink.fleet.messages import NEVER_US, Evidence, Gossip, Tell
 from oatlink.fleet.verdicts import spread, weigh
-from oatlink.fleet.verdicts.evidence import KINDS, LATER, fits, grown, left_us
-from oatlink.fleet.verdicts.evidence_store import MOST_A_WITNESS, MOST_TOPICS, MOST_WITNESSES, EvidenceStore
-from oatlink.fleet.verdicts.spread import MOST_BYTES_A_S, ROUND_US, Spread, most_rounds
-from oatlink.fleet.verdicts.statements import STANDS_US
+from oatlink.fleet.verdicts.evidence import KINDS, LATER, aged_us, is_valid, remaining_life_us
+from oatlink.fleet.verdicts.evidence_store import MAX_TOPICS, MAX_TOPICS_PER_WITNESS, MAX_WITNESSES, EvidenceStore
+from oatlink.fleet.verdicts.spread import MAX_BYTES_PER_S, ROUND_US, Spread, most_rounds
+from oatlink.fleet.verdicts.statements import SERVED_PRIORITY_US
 from oatlink.fleet.verdicts.weigh import Weigher
 
 DRIFT = 0.001
@@ -49,7 +49,7 @@
         """All know whom they can reach."""
         for at, name in enumerate(self.names):
             part = self.names[: self.cut] if at < self.cut else self.names[self.cut :]
-            self.nodes[name].here(tuple(one for one in part if one != name), self.clock(name))
+            self.nodes[name].set_alive(tuple(one for one in part if one != name), self.clock(name))
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
@@ -106,7 +106,7 @@
             assert all(net.saw(name, "member-2", "reset") for name in net.names)  # none of them is news twice
         net.run(10)
     net.run(80)
-    assert MOST_BYTES_A_S / 4 < net.most_bytes <= MOST_BYTES_A_S
+    assert MAX_BYTES_PER_S / 4 < net.most_bytes <= MAX_BYTES_PER_S
     assert net.rounds(key) <= most_rounds(size)
 
 
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("grows", [lambda passed_us, drift: 0, lambda passed_us, drift: max(0, passed_us)])
 def test_an_age_that_does_not_grow_is_found(monkeypatch: pytest.MonkeyPatch, grows: object) -> None:
-    monkeypatch.setattr(spread, "grown", grows)
+    monkeypatch.setattr(spread, "aged_us", grows)
     true, age = _age_at_end([(600_000, False)] * 4)
     assert age < true - 4
 
@@ -168,7 +168,7 @@
     assert node.receive("b", Gossip((late, late)), 10**7)[0] == [late]
     fine = msgspec.structs.replace(late, offset=5, history="h")
     for wrong in ({"member": "\ud800"}, {"offset": 2**63}, {"kind": "omens"}, {"age_us": -1}, {"history": "h" * 65}):
-        assert fits(fine) and not fits(msgspec.structs.replace(fine, **wrong))
+        assert is_valid(fine) and not is_valid(msgspec.structs.replace(fine, **wrong))
 
 
 def test_what_matters_most_goes_first_and_the_same_again_does_not() -> None:
@@ -199,8 +199,8 @@
     weigher.listed({"m1": "bank", "m2": "bank", "m3": "bank"})
     for at, word in enumerate(words):
         new, _ = node.receive("b", Gossip((word,)), at * 1_000)
-        assert all(fits(one) and one.witness in ("b", "c") for one in new)
-        assert weigher.take(word, None, at * 1_000) == [] or fits(word)
+        assert all(is_valid(one) and one.witness in ("b", "c") for one in new)
+        assert weigher.take(word, None, at * 1_000) == [] or is_valid(word)
     for effect in node.tick(10**5):
         assert isinstance(effect, Tell) and msgspec.msgpack.encode(effect.message)
 
@@ -209,11 +209,11 @@
     known = EvidenceStore(DRIFT)
     for n in range(30_000):
         known.put(Evidence(f"w{n % 300}", 1, n, f"m{n // 9}", "position", 0, "h", n), n)
-    assert len(known) <= MOST_TOPICS * MOST_WITNESSES and known.dropped > 0
+    assert len(known) <= MAX_TOPICS * MAX_WITNESSES and known.dropped > 0
     assert known.put(Evidence("true", 1, 1, "m", "hung", 0), 30_000) is not None
     alone = EvidenceStore(DRIFT)
     kept = [alone.put(Evidence("w", 1, n, f"m{n}", "hung", 0), n) for n in range(1_000)]
-    assert sum(one is not None for one in kept) == MOST_A_WITNESS
+    assert sum(one is not None for one in kept) == MAX_TOPICS_PER_WITNESS
     assert alone.put(Evidence("v", 1, 1, "m0", "hung", 0), 1_000) is not None
 
 
@@ -233,7 +233,7 @@
         self.found: list[str] = []
 
     def look(self, word: Evidence, own: tuple[str, int] | None, now: int, seen: list[Seen]) -> None:
-        if fits(word) and word.witness in PEERS and word.age_us < KINDS[word.kind].life_us:
+        if is_valid(word) and word.witness in PEERS and word.age_us < KINDS[word.kind].life_us:
             self.words.append((word, now))
         for one in seen:
             self._look(one, own, now)
@@ -259,8 +259,8 @@
                 return
             if one.until_us > now + 2_000_000:
                 self.found.append("too long")
-            after = -1 if own is None else own[1] + (STANDS_US if own[0] == "served" else 0)
-            accuse = [(w, at) for w, at in self.words if w.member == one.member and KINDS[w.kind].may == LATER]
+            after = -1 if own is None else own[1] + (SERVED_PRIORITY_US if own[0] == "served" else 0)
+            accuse = [(w, at) for w, at in self.words if w.member == one.member and KINDS[w.kind].allows == LATER]
             if len({w.witness for w, _ in accuse}) < 2:
                 self.found.append("witnesses")
             elif len({w.witness for w, at in accuse if at - w.age_us > after}) < 2:
@@ -305,10 +305,10 @@
     [
         (weigh, "WITNESSES", 1, "witnesses"),
         (weigh, "WITNESSES", 1, "attested"),
-        (Weigher, "_half", lambda self, bank, now_us: False, "half a bank"),
-        (Weigher, "_since", lambda self, member: -1, "own"),
+        (Weigher, "_half_suspected", lambda self, bank, now_us: False, "half a bank"),
+        (Weigher, "_ignored_until_us", lambda self, member: -1, "own"),
         (Weigher, "_check", _proves_a_role, "act"),
-        (weigh, "CHECK_EACH_US", 0, "checks"),
+        (weigh, "CHECK_INTERVAL_US", 0, "checks"),
     ],
 )
 def test_a_guard_taken_out_is_found(
@@ -344,13 +344,13 @@
 def test_a_third_false_witnesses_put_nobody_later_that_serves_us_or_them(monkeypatch: pytest.MonkeyPatch) -> None:
     last = {one.member: one for one in _false_third(0, defended=False)}  # of the whole bank
     assert last and all(one.until_us == one.at_us for one in last.values())
-    monkeypatch.setattr(Weigher, "_half", lambda self, bank, now_us: False)
-    assert _false_third(STANDS_US - 10_000, defended=False) == []
+    monkeypatch.setattr(Weigher, "_half_suspected", lambda self, bank, now_us: False)
+    assert _false_third(SERVED_PRIORITY_US - 10_000, defended=False) == []
     assert _false_third(0, defended=True) == []
     assert _false_third(0, defended=False, share=29) == []  # one alone, against members that nobody speaks for
     assert _false_third(0, defended=False) != []
-    monkeypatch.setattr(weigh, "STANDS_US", 0)
-    assert _false_third(STANDS_US - 10_000, defended=False) != []
+    monkeypatch.setattr(weigh, "SERVED_PRIORITY_US", 0)
+    assert _false_third(SERVED_PRIORITY_US - 10_000, defended=False) != []
 
 
 def test_a_few_gateways_ask_at_once_and_all_of_them_if_it_goes_on() -> None:
@@ -396,7 +396,7 @@
         assert give("p1", member, "hung", n * 100 + 50) == [(member, True)]
     give("p0", "a4", "hung", 300)
     assert give("p1", "a4", "hung", 310) == [("a2", False), ("a3", False)]  # three of five: none of them
-    assert left_us(Evidence("p", 1, 1, "m", "omens", 0), DRIFT) == 0 and grown(0, DRIFT) == 1
+    assert remaining_life_us(Evidence("p", 1, 1, "m", "omens", 0), DRIFT) == 0 and aged_us(0, DRIFT) == 1
     weigher.listed({})
     weigher.listed(BANKS)
     for n, member in enumerate(("a1", "a2")):  # on old words, that die before the third member is accused
