--- a/benchmarks/scale/slopes/layouts.py
+++ b/benchmarks/scale/slopes/layouts.py
@@ -29,8 +29,8 @@
         body = encode(told)
     took = time.process_time() - began
     return {
-        "state_bytes": states.longest(state, banks, 2),
-        "state_share": states.longest(state, banks, 2) / MAX_VALUE_BYTES,
+        "state_bytes": states.max_encoded_bytes(state, banks, 2),
+        "state_share": states.max_encoded_bytes(state, banks, 2) / MAX_VALUE_BYTES,
         "answer_bytes": LENGTH_BYTES + MIN_FRAME_BYTES + len(body),
         "ask_bytes": size,
         "us_per_answer": 1e6 * took / TURNS,
--- a/oatlink/fleet/parts/layouts.py
+++ b/oatlink/fleet/parts/layouts.py
@@ -55,7 +55,7 @@
         effects = self._lease.tick(now_us)
         self._settle(now_us)
         effects += self._sequencer.tick(self._until(now_us), now_us)
-        return effects + self._adopter.look(self._at(now_us), busy, now_us)
+        return effects + self._adopter.poll(self._at(now_us), busy, now_us)
 
     def answered(self, answer: f.Answer, now_us: int) -> list[f.Effect] | None:
         """A register's answer; None where it is not for this part."""
--- a/oatlink/fleet/versions/__init__.py
+++ b/oatlink/fleet/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Layouts over shards, and who may serve which. No I/O."""
+"""Versions of the data layout over shards, and which nodes may serve which. No I/O."""
--- a/oatlink/fleet/versions/bank_tasks.py
+++ b/oatlink/fleet/versions/bank_tasks.py
@@ -12,7 +12,7 @@
 
 from oatlink.fleet.messages import AskMarker, Effect, RunStep
 from oatlink.fleet.versions.plan import Commands
-from oatlink.fleet.versions.state import State, Step, due
+from oatlink.fleet.versions.state import State, Step, next_step
 
 STEP_US, ASK_US = 40_000_000, 5_000_000  # an errand not ended by then is taken for lost; its step may still run
 LOOK_US, IDLE_LOOK_US = 1_000_000, 5_000_000  # between looks at a marker
@@ -64,13 +64,13 @@
             if errand.ask and now_us - errand.asked_us < (STEP_US if errand.step else ASK_US):
                 continue
             errand.ask = 0
-            next_step = due(shard)
+            due = next_step(shard)
             if now_us >= errand.look_us and shard.steps:
                 errand.step = 0
                 errand.look_us = now_us + (IDLE_LOOK_US if state.phase == "idle" else LOOK_US)
                 out.append(AskMarker(self._sent(errand, now_us), bank))
-            elif next_step is not None and now_us >= errand.run_us:
-                step, after = next_step
+            elif due is not None and now_us >= errand.run_us:
+                step, after = due
                 commands = commands_of(bank, step)
                 if commands is None:
                     continue
--- a/oatlink/fleet/versions/compatible.py
+++ b/oatlink/fleet/versions/compatible.py
@@ -1,14 +1,14 @@
 """Whether a member has applied a marker. No I/O.
 
-The proof: a history is one sequence of bytes, so whoever holds offset `o` of it has applied all that lies below. A
-promoted replica begins a new history and names the one before with the first offset that the two do not share (INFO
-replication: `master_replid2`, `second_repl_offset`); what lies below that offset is in both.
+Why this is safe: a replication history is one sequence of bytes, so a member at offset `o` of it has applied all that
+lies below. A promoted replica begins a new history and names the previous one, with the first offset that the two do
+not share (INFO replication: `master_replid2`, `second_repl_offset`); what lies below that offset is in both.
 
-What proves nothing: a history that is neither, even where it may be the parent's parent (the marker is asked for at
-the new primary, and is soon told in the new history); an offset past the join, which the new history never had.
+What proves nothing: any other history, even if it may be the parent of the parent (the marker is asked for at the new
+primary, which soon reports it in the new history); and an offset past the join, which the new history never had.
 
-What it is worth: as much as the report. A member may be made to copy another primary after it was asked. The one who
-sends a request must have asked over the connection that it sends on, and servers close those when they copy anew.
+The result is as good as the report. A member may be made to copy another primary after it was asked. The sender of a
+request must have asked over the connection that it sends on, since servers close those when they start a new copy.
 """
 
 import msgspec
@@ -17,7 +17,7 @@
 
 
 class Place(msgspec.Struct, frozen=True, gc=False):
-    """Where a member says that it stands. `join`: the first offset not shared with `parent`, -1 without one."""
+    """The position that a member reports. `join`: the first offset not shared with `parent`, -1 without a parent."""
 
     history: str
     offset: int
@@ -26,7 +26,7 @@
 
 
 def applied(place: Place, marker: Marker) -> bool:
-    """Whether a member that stands there has surely applied the marker."""
+    """Whether a member at this position has certainly applied the marker."""
     if not marker.history or marker.offset < 0 or place.offset < marker.offset:
         return False
     if place.history == marker.history:
--- a/oatlink/fleet/versions/marker.py
+++ b/oatlink/fleet/versions/marker.py
@@ -1,40 +1,41 @@
-"""The marker in each shard that tells which step ran there last, and whether another may. No I/O.
-
-The number of a step is given out with the step's intention, by a conditional change of one register: no two steps
-have the same, a later one has a higher one, whichever sequencer gave it out. So the number is the fence. Threat: a
-sequencer that stood still for an hour after it asked for a step, or a socket that held it for as long: the marker
-shows a higher number by then and the step is refused, or it shows the same and the step is done. Threat: a primary
-that never had the step before (it failed over): the marker shows less than `after`, and nothing runs on top of a gap.
-
-A marker is written twice. *Begun* stands in the same MULTI as the commands, so no step runs without its fence. *Done*
-follows once EXEC's list was looked through: a command that failed inside EXEC does not undo the ones around it, and
-would count as done. A step begun is run again, which its author promised to be the same as once.
+"""The marker in each shard that shows which step ran there last, and whether another may run. No I/O.
+
+The number of a step is assigned with the intention to run it, by a conditional change of one register. So no two steps
+have the same number and a later step has a higher one, whichever sequencer assigned it: the number is the fence. It
+prevents a late step when a sequencer stood still for an hour after it asked for the step, or a socket held it for as
+long: by then the marker shows a higher number and the step is refused, or the same number and the step is done. It also
+prevents a step from running on top of a gap when the primary never had the step before (after a failover): then the
+marker shows less than `after`.
+
+A marker is written twice. *Begun* is in the same MULTI as the commands, so no step runs without its fence. *Done*
+follows once the list of EXEC's replies was checked: a command that fails inside EXEC does not undo the others, and
+would count as done. A step that has begun is run again; its author promised that this is the same as running it once.
 """
 
 KEY = "oatlink:versions"
 DONE, BEGUN = b"done", b"begun"
-MOST_NUMBER = 2**53
+MAX_NUMBER = 2**53
 
 
 def encode(step: int, version: int, done: bool) -> bytes:
-    """What the key holds once a step has begun or is done."""
+    """The value of the key once a step has begun or is done."""
     return b"%d %d %s" % (step, version, DONE if done else BEGUN)
 
 
 def completed_step(value: bytes | None) -> int:
-    """The step up to which all was done where the key holds this; 0 where it holds nothing, -1 for another's value."""
+    """The step up to which all is done by this value of the key; 0 if it is absent, -1 if it is no marker."""
     if value is None:
         return 0
     parts = value.split(b" ")
     if len(parts) != 3 or parts[2] not in (DONE, BEGUN) or not (parts[0].isdigit() and len(parts[0]) <= 16):
         return -1
     step = int(parts[0])
-    # What a step follows was done before it began (`decide`), so one begun shows all below it.
+    # A step begins only after the one it follows was done (`decide`), so a begun step shows all below it.
     return step if parts[2] == DONE else step - 1
 
 
 def decide(value: bytes | None, step: int, after: int) -> str:
-    """Whether a step may run where the key holds `value`: run, done (it has), fenced, behind, or failed (not ours)."""
+    """Whether a step may run by this value of the key: run, done (already), fenced, behind, or failed (no marker)."""
     number = completed_step(value)
     if number < 0:
         return "failed"
--- a/oatlink/fleet/versions/moves.py
+++ b/oatlink/fleet/versions/moves.py
@@ -1,15 +1,16 @@
-r"""Which state follows which: the whole order of a change of layout, one function a phase. Pure. No I/O.
+r"""Which state follows which: the order of a change of layout, one function for each phase. Pure. No I/O.
 
     idle -> expanding -> serving -> moved -> draining -> contracting -> idle, one version on
                  \_________\_________\__________\-> withdrawing -> undoing -> idle, where it was
 
-Each move is one conditional change of the register, and each holds with any sequencer dead right before or after it:
+Each transition is one conditional change of the register, and each is safe if any sequencer dies right before or after:
 
-- *serving* only when every shard offers the new version: nobody is told to serve what some shard never had.
-- *contracting* only when the old version is not served, no node's term on it can live and nothing of it is out
-  (`Ledger.drained`): what a contract takes away is used by nobody. From there the way is forward only.
-- *undoing* the same for the new version. A shard whose expand was ever intended is undone, whether it ran or not.
-- A step that was lost by a failover is intended still, so it runs again, before anything that follows it.
+- *serving* follows only when every shard offers the new version: no node is told to serve what some shard never had.
+- *contracting* follows only when the old version is not served, no node's term on it can be valid and no request of it
+  is unfinished (`Ledger.drained`): nothing uses what a contract removes. From there the change only goes forward.
+- *undoing* follows under the same condition for the new version. A shard whose expand was ever intended is undone,
+  whether it ran or not.
+- A step that was lost in a failover is still intended, so it runs again, before anything that follows it.
 """
 
 from collections.abc import Callable
@@ -17,35 +18,37 @@
 from msgspec.structs import replace
 
 from oatlink.fleet.versions.plan import Plan
-from oatlink.fleet.versions.state import Shard, State, Step, due, is_done, step_of
+from oatlink.fleet.versions.state import Shard, State, Step, is_done, next_step, step_of
 
 Drained = Callable[[int], bool]
 
 
 def begin(state: State, plan: Plan, name: str) -> State:
-    """The change is on its way; what belongs to the version before the base is let go.
+    """Start the change, and drop the steps that belong to the version before the base.
 
-    An undo of an earlier try stays, and the expand follows it. Threat: a failover that lost it, found out too late to
-    tell it from one that never was.
+    An undo of an earlier attempt stays, and the expand follows it. Otherwise the undo could be lost in a failover that
+    is detected so late that the loss cannot be told from an undo that never existed.
     """
     shards = {}
     for bank in plan.shards:
         shard = state.shards.get(bank, Shard())
-        kept = tuple(one for one in shard.steps if one.version == (plan.version if one.kind == "undo" else plan.base))
-        past = [one.number for one in shard.steps if one.version < plan.base and one.kind != "undo"]
+        kept = tuple(
+            step for step in shard.steps if step.version == (plan.version if step.kind == "undo" else plan.base)
+        )
+        past = [step.number for step in shard.steps if step.version < plan.base and step.kind != "undo"]
         shards[bank] = Shard(kept, max(past, default=shard.floor))
     return replace(state, phase="expanding", new=plan.version, plan=name, shards=shards)
 
 
 def settled(state: State) -> bool:
-    """Whether nothing is left to run."""
-    return all(due(shard) is None for shard in state.shards.values())
+    """Whether no step is left to run."""
+    return all(next_step(shard) is None for shard in state.shards.values())
 
 
-def move(state: State, plan: Plan, back: bool, stayed: bool, drained: Drained) -> State:
-    """The state that follows, or the same. `stayed`: both versions were served for as long as the plan says.
+def next_state(state: State, plan: Plan, back: bool, stayed: bool, drained: Drained) -> State:
+    """The state that follows, or the same state. `stayed`: both versions were served for as long as the plan says.
 
-    `drained` tells of a version whether no node can serve it any more and nothing of it is out.
+    `drained` says whether no node can serve a version any more and no request of it is unfinished.
     """
     if back and state.phase in ("expanding", "serving", "moved", "draining"):
         return replace(state, phase="withdrawing", served=(state.old,), default=state.old)
@@ -55,8 +58,8 @@
         if not drained(state.new):
             return state
         return _undo(replace(state, phase="undoing"), plan)
-    follow = _FOLLOW.get(state.phase)
-    return follow(state, plan, stayed, drained) if follow is not None else state
+    transition = _TRANSITIONS.get(state.phase)
+    return transition(state, plan, stayed, drained) if transition is not None else state
 
 
 def _expanding(state: State, plan: Plan, stayed: bool, drained: Drained) -> State:
@@ -91,7 +94,7 @@
     return _undo(state, plan)
 
 
-_FOLLOW = {
+_TRANSITIONS = {
     "expanding": _expanding,
     "serving": _serving,
     "moved": _moved,
@@ -102,12 +105,12 @@
 
 
 def _intend(state: State, plan: Plan, kind: str) -> State:
-    """The steps that may run now: those whose `after` are done."""
+    """Add the steps that may run now: those whose `after` banks are done."""
     shards, count = dict(state.shards), state.count
     for bank, shard in state.shards.items():
-        waits = plan.shards[bank].after
+        predecessors = plan.shards[bank].after
         if step_of(shard, kind, state.new) is None and all(
-            is_done(state.shards[other], kind, state.new) for other in waits
+            is_done(state.shards[other], kind, state.new) for other in predecessors
         ):
             count += 1
             shards[bank] = Shard((*shard.steps, Step(kind, state.new, count)), shard.floor)
@@ -115,14 +118,14 @@
 
 
 def _undo(state: State, plan: Plan) -> State:
-    """Each expand that may be taken back now gives way to its undo: those that no other bank's was built on."""
+    """Replace each expand by its undo if no other bank's expand depends on it."""
     shards, count = dict(state.shards), state.count
     for bank, shard in state.shards.items():
         if step_of(shard, "expand", state.new) is None:
             continue
-        later = [state.shards[other] for other, one in plan.shards.items() if bank in one.after]
-        if all(step_of(one, "expand", state.new) is None and due(one) is None for one in later):
+        dependents = [state.shards[other] for other, steps in plan.shards.items() if bank in steps.after]
+        if all(step_of(other, "expand", state.new) is None and next_step(other) is None for other in dependents):
             count += 1
-            kept = tuple(one for one in shard.steps if one.version != state.new)
+            kept = tuple(step for step in shard.steps if step.version != state.new)
             shards[bank] = Shard((*kept, Step("undo", state.new, count)), shard.floor)
     return replace(state, shards=shards, count=count) if count != state.count else state
--- a/oatlink/fleet/versions/plan.py
+++ b/oatlink/fleet/versions/plan.py
@@ -17,7 +17,7 @@
 
 from oatlink.fleet.messages import MAX_VALUE_BYTES
 from oatlink.fleet.versions import marker
-from oatlink.fleet.versions.state import State, longest
+from oatlink.fleet.versions.state import State, max_encoded_bytes
 
 # Threats: an answer that comes later or never (blocking), a connection that speaks otherwise afterwards, a
 # transaction that is not the one with the marker, another database than the marker's, a marker that is wiped.
@@ -123,7 +123,7 @@
     size = len(encoded("back", name_of(plan), plan))
     if size > MAX_VALUE_BYTES:
         yield f"top level: expected at most {MAX_VALUE_BYTES} bytes as JSON, got {size}"
-    if longest(state, banks, plan.version) > MAX_VALUE_BYTES:
+    if max_encoded_bytes(state, banks, plan.version) > MAX_VALUE_BYTES:
         yield f"shards: expected fewer banks: what is known of {len(banks)} does not fit {MAX_VALUE_BYTES} bytes"
 
 
--- a/oatlink/fleet/versions/sequencer.py
+++ b/oatlink/fleet/versions/sequencer.py
@@ -26,7 +26,7 @@
 from oatlink.fleet.versions import state as states
 from oatlink.fleet.versions.bank_tasks import BankTasks
 from oatlink.fleet.versions.ledger import Ledger
-from oatlink.fleet.versions.moves import begin, move, settled
+from oatlink.fleet.versions.moves import begin, next_state, settled
 from oatlink.fleet.versions.operator_requests import OperatorRequests
 from oatlink.fleet.versions.plan import check, name_of
 from oatlink.fleet.versions.state import State
@@ -179,7 +179,7 @@
             out += self._books.write(replace(state, fence=self._lease), now_us)
         elif state is not None and state.fence == self._lease:
             if self._books.newborn:
-                self.ledger.first()
+                self.ledger.assume_no_predecessor()
             if self._books.writable:
                 out += self._take_on(state, now_us)
             out += self._errands.work(state, self._books.commands, now_us)
@@ -193,7 +193,7 @@
         """Write what follows, if anything does."""
         follows = state
         for bank, (number, history, offset) in list(self._shown.items()):
-            known = states.shown(follows, bank, number, history, offset)
+            known = states.with_marker(follows, bank, number, history, offset)
             if known == follows:
                 del self._shown[bank]  # it is written
             follows = known
@@ -217,7 +217,7 @@
             self._moved_us = now_us
         back = want is not None and want.word == "back" and want.name == state.plan
         stayed = now_us - self._moved_us >= 1_000 * plan.stay_ms
-        follows = move(state, plan, back, stayed, lambda version: self.ledger.drained(version, now_us))
+        follows = next_state(state, plan, back, stayed, lambda version: self.ledger.drained(version, now_us))
         if follows.phase != state.phase:
             self._note("layout", f"version {state.old} to {state.new}, plan {state.plan}: {follows.phase}")
         return follows
--- a/oatlink/fleet/versions/state.py
+++ b/oatlink/fleet/versions/state.py
@@ -1,11 +1,11 @@
-"""What the register `versions/state` holds, and what news of a shard's marker make of it. No I/O, no decisions.
+"""The contents of the register `versions/state`, and how reports of a shard's marker change them. No I/O, no decisions.
 
-What may live here: the form of what was decided, and questions that it answers by itself. Which state follows which
-is `moves`'. A shard has a short chain of steps: those that took it to the version served, and those of the change on
-its way. A step stands in the chain from the moment it is *intended*: nothing runs that is not in the register.
+This module holds the form of what was decided, and questions that it answers by itself. Which state follows which is in
+`moves`. A shard has a short chain of steps: those that took it to the version served, and those of the change in
+progress. A step is in the chain from the moment it is *intended*: nothing runs that is not in the register.
 
-A marker, once known, is never wrong: whoever holds that offset of that history has the step. A step is *lost* where
-the present primary does not show it: it is done again, by the same number, and those after it as well.
+A marker, once known, stays correct: a member that has reached that offset of that history has the step. A step is
+*lost* if the present primary does not show it: it is run again with the same number, and so are those after it.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One step of one shard; for an expand `history` and `offset` tell where its marker stands, once that was known."""
+    """One step of one shard. For an expand, `history` and `offset` are the position of its marker, once known."""
 
     kind: str
     version: int
@@ -27,16 +27,16 @@
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One bank. `floor`: the number of the newest step that the chain no longer has and that must be there."""
+    """One bank. `floor`: the number of the newest step that left the chain and that the primary must have."""
 
     steps: tuple[Step, ...] = ()
     floor: int = 0
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """Which versions are served, and how far the change is on its way. `fence`: that of the lease of its writer.
+    """Which versions are served, and how far the change has come. `fence`: the fence of its writer's lease.
 
-    `old` is served alone when idle; `new` is 0 then. `plan` is the name of the newest plan that was begun. `count` is
+    When idle, only `old` is served and `new` is 0. `plan` is the name of the newest plan that was begun. `count` is
     the number of the newest step.
     """
 
@@ -52,7 +52,7 @@
 
 
 def first(version: int) -> State:
-    """The state before there was any change."""
+    """The state before any change."""
     return State(version, (version,), version)
 
 
@@ -62,18 +62,18 @@
 
 
 def decode(value: bytes) -> State | None:
-    """The register's value, None where it makes no sense."""
+    """The state in the register's value, None if it is not valid."""
     try:
         state = msgspec.msgpack.decode(value, type=State)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
     served = state.served
-    fits = state.phase in PHASES and state.default in served and len(served) <= 2
-    return state if fits and all(one in (state.old, state.new) for one in served) else None
+    is_valid = state.phase in PHASES and state.default in served and len(served) <= 2
+    return state if is_valid and all(version in (state.old, state.new) for version in served) else None
 
 
-def longest(state: State, banks: tuple[str, ...], version: int) -> int:
-    """The bytes that the register can come to need for these banks.
+def max_encoded_bytes(state: State, banks: tuple[str, ...], version: int) -> int:
+    """The most bytes that the register may need for these banks.
 
     The longest chain is expand and contract of the version served, and undo, expand and contract of the next.
     """
@@ -86,8 +86,8 @@
 
 
 def step_of(shard: Shard, kind: str, version: int) -> Step | None:
-    """The shard's step of this kind, if it is intended."""
-    return next((one for one in shard.steps if one.kind == kind and one.version == version), None)
+    """The shard's step of this kind and version, None if it is not intended."""
+    return next((step for step in shard.steps if step.kind == kind and step.version == version), None)
 
 
 def is_done(shard: Shard, kind: str, version: int) -> bool:
@@ -96,7 +96,7 @@
     return step is not None and step.done
 
 
-def due(shard: Shard) -> tuple[Step, int] | None:
+def next_step(shard: Shard) -> tuple[Step, int] | None:
     """The first step that is not done, and the number that its primary must show before it may run."""
     after = shard.floor
     for step in shard.steps:
@@ -106,29 +106,29 @@
     return None
 
 
-def shown(state: State, bank: str, number: int, history: str, offset: int) -> State:
-    """The state once the bank's primary has shown this number at that place."""
+def with_marker(state: State, bank: str, number: int, history: str, offset: int) -> State:
+    """The state after the bank's primary reported a marker with this number at this position."""
     shard = state.shards.get(bank)
     if shard is None or number < 0 or not history or offset < 0:
         return state
-    steps = tuple(_shown(step, number, history, offset) for step in shard.steps)
+    steps = tuple(_step_with_marker(step, number, history, offset) for step in shard.steps)
     if steps == shard.steps:
         return state
     return msgspec.structs.replace(state, shards=state.shards | {bank: Shard(steps, shard.floor)})
 
 
-def _shown(step: Step, number: int, history: str, offset: int) -> Step:
+def _step_with_marker(step: Step, number: int, history: str, offset: int) -> Step:
     if step.number > number:
         return msgspec.structs.replace(step, done=False)
     if step.kind != "expand":
-        return msgspec.structs.replace(step, done=True)  # nobody asks who has applied it
+        return msgspec.structs.replace(step, done=True)  # which members have applied it does not matter
     if step.done and step.history == history:
-        return step  # the offset known already is lower, and as good
+        return step  # the known offset is lower and equally valid
     return Step(step.kind, step.version, step.number, True, history, offset)
 
 
 def offers(state: State, shard: Shard, version: int) -> bool:
-    """Whether a bank as a whole offers a version, by what is intended and known there."""
+    """Whether a bank as a whole offers a version, by the steps that are intended and done."""
     if step_of(shard, "contract", version + 1) is not None:
         return False
     step = step_of(shard, "expand", version)
@@ -136,11 +136,11 @@
 
 
 def offer(state: State, bank: str) -> ShardOffer:
-    """What nodes are told of a bank: the versions served that it offers, and what its members must have applied."""
+    """What nodes are sent about a bank: the served versions that it offers, and what its members must have applied."""
     shard = state.shards[bank]
     markers = tuple(
         Marker(step.version, step.history, step.offset)
         for step in shard.steps
         if step.kind == "expand" and step.version in state.served and step.history
     )
-    return ShardOffer(bank, tuple(one for one in state.served if offers(state, shard, one)), markers)
+    return ShardOffer(bank, tuple(version for version in state.served if offers(state, shard, version)), markers)
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -12,11 +12,11 @@
 from oatlink.fleet.gate import Layout, Served
 from oatlink.fleet.messages import MAX_VALUE_BYTES, NEVER_US, Marker, ShardOffer
 from oatlink.fleet.versions import marker, plan, state
-from oatlink.fleet.versions.asking import KEPT, MOST_TERM_US, Adopter
+from oatlink.fleet.versions.asking import MAX_QUESTIONS, MAX_TERM_US, Adopter
 from oatlink.fleet.versions.bank_tasks import FIRST_US, LONGEST_US, BankTasks
 from oatlink.fleet.versions.compatible import Place, applied
-from oatlink.fleet.versions.ledger import Ledger, lasts
-from oatlink.fleet.versions.node import Layouts, worded
+from oatlink.fleet.versions.ledger import Ledger, max_elapsed_us
+from oatlink.fleet.versions.node import Layouts, version_in_name
 from oatlink.fleet.versions.operator_requests import MOST_JOBS, PLAN, STATE
 from oatlink.fleet.versions.sequencer import VERSION_TERM_US, Sequencer
 from tests.fleet import versions_sabotage as sabotage
@@ -143,7 +143,7 @@
 @given(st.integers(0, 100_000_000), st.floats(0, 0.1), st.floats(-1, 1), st.floats(-1, 1))
 def test_a_term_ends_there_before_it_ends_here(term: int, drift: float, there: float, here: float) -> None:
     passed = term / (1 + there * drift)  # by a perfect clock
-    assert passed * (1 + here * drift) <= lasts(term, drift) + 1e-6 * term
+    assert passed * (1 + here * drift) <= max_elapsed_us(term, drift) + 1e-6 * term
 
 
 def test_a_version_is_drained_by_a_word_that_was_sent_late_enough_or_by_time() -> None:
@@ -200,20 +200,20 @@
         assert told.message == f.NotSequencer(3)
         return
     assert isinstance(told.message, f.Adopted) and told.message.fence == 4 and told.message.versions == (1,)
-    assert told.message.term_us == VERSION_TERM_US <= MOST_TERM_US
+    assert told.message.term_us == VERSION_TERM_US <= MAX_TERM_US
     one.ended()
     assert one.adopt("m", f.Adopt(4, 0), FAR, 1_100_000) == [f.Tell("m", f.NotSequencer(4))]
 
 
 def test_a_node_takes_each_answer_once_and_never_an_older_one() -> None:
     one = Adopter("n", 3)
-    assert one.look("", (), 1_000) == [] and not one.unanswered
+    assert one.poll("", (), 1_000) == [] and not one.unanswered
     asks = []
     for at in range(40):
-        sent = one.look("s", (1,), 1_000_000 * (at + 1))[0]
+        sent = one.poll("s", (1,), 1_000_000 * (at + 1))[0]
         assert isinstance(sent, f.Tell) and isinstance(sent.message, f.Adopt)
         asks.append(sent.message.ask)
-    assert one.unanswered and len(one._asked) == KEPT and sent.message.since == asks[0]
+    assert one.unanswered and len(one._asked) == MAX_QUESTIONS and sent.message.since == asks[0]
 
     def answer(ask: int, fence: int = 5, term: int = 700, versions: tuple[int, ...] = (1, 2)) -> list[f.Effect]:
         offers = (ShardOffer("a", (1,), (Marker(2, "h", 9),)),)
@@ -226,7 +226,7 @@
     assert news == [f.Tuned(Served(5, 38_000_700, (1, 2), 2, (("a", Marker(2, "h", 9)),), (("a", (1,)),)))]
     assert not one.unanswered and answer(asks[-3]) == [] and answer(asks[-4]) == []
     assert answer(asks[-1], fence=4) == [] and answer(asks[-1], fence=6) != [] and answer(asks[-2], fence=6) == []
-    one.look("s", (), 99_000_000)
+    one.poll("s", (), 99_000_000)
     assert one.receive("s", f.NotSequencer(asks[-1] + 1), 99_000_000) == [] and one.unanswered
 
 
@@ -236,7 +236,7 @@
     + [("app;layout=-2", 0), ("app;layout=²", 0), ("app;layout=99999999", 0), ("a;layout=1;layout=3", 3)],
 )
 def test_a_clients_word(client: str, version: int) -> None:
-    assert worded(client, ";layout=") == version
+    assert version_in_name(client, ";layout=") == version
 
 
 def test_a_request_has_a_version_that_is_served_now_or_a_time_to_come_back() -> None:
--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -30,7 +30,7 @@
 
 @instead_of(Ledger, "_busy_until_us", (scenes.cut_off, 0))
 def what_is_out_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
-    return holder.until.get(version, 0)
+    return holder.term_until_us.get(version, 0)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 10))
@@ -40,12 +40,12 @@
 
 @instead_of(Ledger, "began", (world.by_chance, 10))
 def an_earlier_sequencers_terms_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
-    return began(self, now - self._earlier_us + self._out_us)
+    return began(self, now - self._earlier_us + self._drain_us)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 1))
 def what_was_begun_under_them_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
-    return began(self, now - self._out_us)
+    return began(self, now - self._drain_us)
 
 
 @instead_of(Ledger, "record_status", (scenes.deaf, 0))
@@ -53,7 +53,7 @@
     heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
     for holder in self._holders.values():
-        holder.last.clear()
+        holder.last_ask.clear()
     heard(self, node, since, 1, busy, now_us)
 
 
@@ -86,7 +86,7 @@
             return replace(state, phase="serving", served=(state.old, state.new))
         return moves._intend(state, more[0], "expand")
 
-    patch.setitem(moves._FOLLOW, "expanding", expanding)
+    patch.setitem(moves._TRANSITIONS, "expanding", expanding)
 
 
 @instead_of(BankTasks, "work", (world.by_chance, 10))
@@ -107,9 +107,9 @@
 
 @instead_of(Adopter, "receive", (scenes.late_answer, 0))
 def an_older_answer_taken_after_a_newer_one(receive: Any, self: Adopter, sender: str, message: Any, now: int) -> Any:
-    heard, self._heard, asked = self._heard, 0, dict(self._asked)
+    heard, self._answered_ask, asked = self._answered_ask, 0, dict(self._asked)
     news = receive(self, sender, message, now)
-    self._asked, self._heard = asked, max(heard, self._heard)
+    self._asked, self._answered_ask = asked, max(heard, self._answered_ask)
     return news
 
 
--- a/tests/fleet/versions_world.py
+++ b/tests/fleet/versions_world.py
@@ -205,7 +205,7 @@
         busy = tuple(sorted(version for version, number in node.busy.items() if number > 0))
         if not node.pinned and (self.quiet or self.random.random() < 0.1):
             node.asks = self.holder
-        self.do(node, node.adopter.look(node.asks, busy, node.clock()))
+        self.do(node, node.adopter.poll(node.asks, busy, node.clock()))
         self.request(node)
 
     def trouble(self) -> None:
