--- a/oatlink/fleet/gate.py
+++ b/oatlink/fleet/gate.py
@@ -1,9 +1,9 @@
-"""The one seam between a gateway and its fleet. No I/O.
+"""The interface between a gateway and its fleet. No I/O.
 
-What may live here: the questions that a request's path asks (may this tenant's request go on, which version is it
-made for and who offers that), the news that answers them, and the twin that is there without a fleet. Each question
-is answered at once from what was heard before; nothing here waits. The engine owns its gate, so that what it decided
-follows from its inputs alone and a recording replays it.
+This module holds the questions that the path of a request asks (may this tenant's request go on, which version is it
+for and which members offer that), the news that answers them, and the implementation for a gateway without a fleet.
+Each question is answered at once from news received before; nothing here waits. The engine owns its gate, so that its
+decisions follow from its inputs alone and a recording replays them.
 """
 
 from typing import Protocol
@@ -15,18 +15,18 @@
 
 ADMITTED = 0
 GRANT_PENDING = -1
-"""No grant is known yet and one was asked for: ask again soon. A gate says so for a short time only."""
+"""No grant is known yet and one was requested: ask again soon. A gate returns this for a short time only."""
 
 
-# ---- News: what a gate is told ----
+# ---- News that a gate receives ----
 
 
 class News(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """Base of all news. Times are the gateway's clock."""
+    """Base of all news. Times are by the gateway's clock."""
 
 
 class Granted(News, frozen=True, gc=False):
-    """A part of an allowance is this node's until then; a newer serial of the same home replaces an older one."""
+    """A part of an allowance, usable until then; a newer serial of the same home replaces an older one."""
 
     name: str
     serial: int
@@ -36,7 +36,7 @@
 
 
 class Served(News, frozen=True, gc=False):
-    """These versions may be served until then. `markers`: (bank, marker) of each version that is not everywhere."""
+    """These versions may be served until then. `markers`: (bank, marker) of each version not on all members."""
 
     fence: int
     until_us: int
@@ -47,10 +47,11 @@
 
 
 class Seen(News, frozen=True, gc=False):
-    """Others saw this of a member, `at_us` at the latest; weighed already (`verdicts.weigh`): what it may do here.
+    """What follows here from what others observed of a member, at `at_us` at the latest (`verdicts.weigh`).
 
-    `act`: check (ask the member now), later (put it later in the turn until `until_us` or until it serves us; a time
-    that is past takes it back), position (it held `offset` of `history` at `at_us` or before: no primary's sample).
+    `act`: check (ask the member now), later (choose it later than others until `until_us` or until it serves us; a
+    time in the past takes this back), position (it had `offset` of `history` at `at_us` or before: no sample of a
+    primary).
     """
 
     member: str
@@ -62,7 +63,7 @@
 
 
 class Alone(News, frozen=True, gc=False):
-    """The fleet's port could not be opened, or another process has this node's name: nothing is this node's."""
+    """The fleet's port could not be opened, or another process has this node's name: this node may use nothing."""
 
 
 AnyNews = Granted | Served | Seen | Alone
@@ -72,7 +73,7 @@
 
 
 class Layout(msgspec.Struct, frozen=True, gc=False):
-    """The version of a request. 0: no versions here. `back_us` above 0: refuse, and that is when to come back."""
+    """The version of a request. 0: no versions here. `back_us` above 0: refuse it, to be retried after that time."""
 
     version: int = 0
     back_us: int = 0
@@ -82,27 +83,27 @@
 
 
 class Gate(Protocol):
-    """What a request's path asks of the fleet. Times are microseconds of the gateway's clock."""
+    """The questions that the path of a request asks the fleet. Times are microseconds of the gateway's clock."""
 
     on: bool
 
     def admit(
         self, user: str, client: str, keys: list[bytes], command: str, cost: int, now_us: int, again: bool = False
     ) -> int:
-        """`ADMITTED`, `GRANT_PENDING`, or above 0: refused, and in how many microseconds to come back.
+        """`ADMITTED`, `GRANT_PENDING`, or above 0: refused, to be retried after so many microseconds.
 
-        What was admitted is spent, whatever becomes of the request. `cost` is in commands; `again` says
+        An admission is spent, whatever becomes of the request. `cost` is in commands; `again` says
         that the answer was `GRANT_PENDING` before.
         """
         ...
 
     def layout(self, client: str, pinned: int, now_us: int) -> Layout:
-        """The version of a request by its client's name, else what its session is pinned to (0: nothing), else ours."""
+        """The version of a request: by its client's name, else by its session's pin (0: none), else the default."""
         ...
 
     @property
     def versions(self) -> tuple[int, ...]:
-        """The versions that may be served now, none without layouts."""
+        """The versions that may be served now; empty without layouts."""
         ...
 
     def marker(self, bank: str, version: int) -> Marker | None:
@@ -114,28 +115,28 @@
         ...
 
     def dial(self, member: str, now_us: int) -> int:
-        """`ADMITTED`, or in how many microseconds a connection to this member may be begun."""
+        """`ADMITTED`, or after how many microseconds a connection to this member may be opened."""
         ...
 
     def hear(self, news: AnyNews, now_us: int) -> bool:
-        """Take in news. Whether members must show something that they need not have shown before."""
+        """Accept news. Returns whether members must now prove something that was not required before."""
         ...
 
     def demands(self, now_us: int) -> tuple[Demand, ...]:
-        """What was asked of each allowance that is in use; changes nothing."""
+        """The demand for each allowance that is in use; changes nothing."""
         ...
 
     def snapshot(self) -> object:
-        """All that was heard and spent, as plain values, for a snapshot."""
+        """All news and spending, as plain values, for a snapshot."""
         ...
 
     def restore(self, value: object) -> None:
-        """Take over what `snapshot` gave. Raises `ValueError` where it is nothing of the kind."""
+        """Restore what `snapshot` returned. Raises `ValueError` if the value is no such snapshot."""
         ...
 
 
 class OpenGate:
-    """No fleet: every question is answered so that nothing is other than without the question."""
+    """The gate without a fleet: each answer leaves the request as it would be without the question."""
 
     on = False
     versions: tuple[int, ...] = ()
@@ -182,10 +183,10 @@
 
 
 def gate_of(settings: Settings) -> Gate:
-    """The gate that the settings call for. Without a `fleet` part nothing of the fleet's cores is even imported."""
+    """The gate for these settings. Without a `fleet` part none of the fleet's modules is imported."""
     if settings.fleet is None:
         return OPEN_GATE
     from oatlink.fleet.gating import FleetGate
 
-    members = (one.name for bank in settings.banks for one in bank.members)
+    members = (member.name for bank in settings.banks for member in bank.members)
     return FleetGate(settings.fleet, members, settings.seed)
--- a/oatlink/fleet/versions/bank_tasks.py
+++ b/oatlink/fleet/versions/bank_tasks.py
@@ -1,9 +1,10 @@
-"""What is done at the banks, one errand at a time each: a step that is due, or a look at the marker. No I/O.
+"""The tasks at the banks, one at a time for each: a step that is due, or a check of the marker. No I/O.
 
-Steps are retried with a seeded, growing wait, never passed over. The marker is looked at in turn with that: it is how
-a failover is found that lost a step, whatever else was or was not heard of it. What hangs at a primary that was failed
-over is not waited for: that it may still run is the marker's to catch, as after a time out. Where a bank did not
-answer a look and now does, what is due is tried at once: the growing wait is for steps that a server refuses.
+A failed step is retried after a growing wait drawn from a seed, and is never skipped. Between steps the marker is
+checked regularly: this detects a failover that lost a step, whatever else was or was not reported of it. A task that
+hangs at a primary that was failed over is not waited for: as after a timeout, the marker fences it if it still runs. If
+a bank did not answer a check and now does, the due step is tried at once: the growing wait is for steps that a server
+refuses.
 """
 
 from collections.abc import Callable
@@ -14,96 +15,96 @@
 from oatlink.fleet.versions.plan import Commands
 from oatlink.fleet.versions.state import State, Step, next_step
 
-STEP_US, ASK_US = 40_000_000, 5_000_000  # an errand not ended by then is taken for lost; its step may still run
-LOOK_US, IDLE_LOOK_US = 1_000_000, 5_000_000  # between looks at a marker
-FIRST_US, LONGEST_US = 200_000, 10_000_000  # of the wait before a step is tried again, in the mean
+STEP_TIMEOUT_US, CHECK_TIMEOUT_US = 40_000_000, 5_000_000  # after a timeout the step may still run
+CHECK_INTERVAL_US, IDLE_CHECK_INTERVAL_US = 1_000_000, 5_000_000  # between checks of a marker
+FIRST_RETRY_US, MAX_RETRY_US = 200_000, 10_000_000  # the mean wait before a step is retried
 
 CommandsOf = Callable[[str, Step], Commands | None]
 
 
 @dataclass(slots=True)
 class BankTask:
-    """What is known of one bank's errands."""
+    """The task of one bank, and when the next ones are due."""
 
-    ask: int = 0  # on its way, 0 without one
+    ask: int = 0  # the number of the pending task, 0 without one
     asked_us: int = 0
-    step: int = 0  # which it runs; 0: it looks at the marker
+    step: int = 0  # the step that it runs; 0: it checks the marker
     tries: int = 0
-    run_us: int = 0  # not before this time
-    look_us: int = 0
-    silent: bool = False  # the last look at the marker came to nothing
+    run_us: int = 0  # the earliest time of the next step
+    check_us: int = 0  # the earliest time of the next check
+    is_silent: bool = False  # the last check of the marker failed
 
 
 class BankTasks:
-    """All banks'."""
+    """The tasks of all banks."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
         self._ask = 0
-        self._banks: dict[str, BankTask] = {}
+        self._tasks: dict[str, BankTask] = {}
 
     def forget(self) -> None:
-        """No answer to what was asked counts any more."""
-        self._banks.clear()
+        """Drop all tasks, and ignore their answers."""
+        self._tasks.clear()
 
-    def hurry(self, bank: str | None = None) -> None:
-        """Another primary: look at this bank's marker at once. Without a bank: try what is due at all of them."""
-        for name, errand in self._banks.items():
+    def retry_now(self, bank: str | None = None) -> None:
+        """After a failover, check this bank's marker at once. Without a bank: retry the due steps of all banks."""
+        for name, task in self._tasks.items():
             if bank is None:
-                errand.run_us = errand.tries = 0
+                task.run_us = task.tries = 0
             elif bank == name:
-                errand.ask = errand.look_us = errand.run_us = errand.tries = 0
+                task.ask = task.check_us = task.run_us = task.tries = 0
 
     def work(self, state: State, commands_of: CommandsOf, now_us: int) -> list[Effect]:
-        """What is to be asked of the banks now."""
-        for bank in [one for one in self._banks if one not in state.shards]:
-            del self._banks[bank]
+        """Start the tasks that are due."""
+        for bank in [bank for bank in self._tasks if bank not in state.shards]:
+            del self._tasks[bank]
         out: list[Effect] = []
         for bank, shard in state.shards.items():
-            errand = self._banks.setdefault(bank, BankTask())
-            if errand.ask and now_us - errand.asked_us < (STEP_US if errand.step else ASK_US):
+            task = self._tasks.setdefault(bank, BankTask())
+            if task.ask and now_us - task.asked_us < (STEP_TIMEOUT_US if task.step else CHECK_TIMEOUT_US):
                 continue
-            errand.ask = 0
+            task.ask = 0
             due = next_step(shard)
-            if now_us >= errand.look_us and shard.steps:
-                errand.step = 0
-                errand.look_us = now_us + (IDLE_LOOK_US if state.phase == "idle" else LOOK_US)
-                out.append(AskMarker(self._sent(errand, now_us), bank))
-            elif due is not None and now_us >= errand.run_us:
+            if now_us >= task.check_us and shard.steps:
+                task.step = 0
+                task.check_us = now_us + (IDLE_CHECK_INTERVAL_US if state.phase == "idle" else CHECK_INTERVAL_US)
+                out.append(AskMarker(self._start(task, now_us), bank))
+            elif due is not None and now_us >= task.run_us:
                 step, after = due
                 commands = commands_of(bank, step)
                 if commands is None:
                     continue
-                errand.step = step.number
-                ask = self._sent(errand, now_us)
+                task.step = step.number
+                ask = self._start(task, now_us)
                 out.append(RunStep(ask, bank, step.number, after, step.version, step.kind, commands))
         return out
 
-    def _sent(self, errand: BankTask, now_us: int) -> int:
+    def _start(self, task: BankTask, now_us: int) -> int:
         self._ask += 1
-        errand.ask, errand.asked_us = self._ask, now_us
+        task.ask, task.asked_us = self._ask, now_us
         return self._ask
 
-    def ended(self, ask: int, done: bool, look: bool, now_us: int) -> tuple[str, int] | None:
-        """An errand has ended: its bank and step, None where it is not waited for. `look`: at the marker next.
+    def ended(self, ask: int, done: bool, check_next: bool, now_us: int) -> tuple[str, int] | None:
+        """Handle the end of a task. Returns its bank and step, None if it is no longer waited for.
 
-        `done`: the step is done, or the marker was seen.
+        `done`: the step is done, or the marker was read. `check_next`: check the marker next.
         """
-        for bank, errand in self._banks.items():
-            if errand.ask != ask or not ask:
+        for bank, task in self._tasks.items():
+            if task.ask != ask or not ask:
                 continue
-            errand.ask = 0
-            if not errand.step:
-                if done and errand.silent:
-                    errand.run_us = errand.tries = 0
-                errand.silent = not done
+            task.ask = 0
+            if not task.step:
+                if done and task.is_silent:
+                    task.run_us = task.tries = 0
+                task.is_silent = not done
             elif done:
-                errand.tries = 0
+                task.tries = 0
             else:
-                wait_us = min(LONGEST_US, FIRST_US << min(errand.tries, 8))
-                errand.run_us = now_us + round(wait_us * (0.5 + self._random.random()))
-                errand.tries += 1
-            if look:
-                errand.look_us = now_us
-            return bank, errand.step
+                wait_us = min(MAX_RETRY_US, FIRST_RETRY_US << min(task.tries, 8))
+                task.run_us = now_us + round(wait_us * (0.5 + self._random.random()))
+                task.tries += 1
+            if check_next:
+                task.check_us = now_us
+            return bank, task.step
         return None
--- a/oatlink/fleet/versions/operator_requests.py
+++ b/oatlink/fleet/versions/operator_requests.py
@@ -1,162 +1,165 @@
-"""Where operators say what they want, at any node: they write one register, and the sequencer reads it. No I/O.
+"""Requests of operators, at any node: they write one register, and the sequencer reads it. No I/O.
 
-So it does not matter which node is asked, whether it can reach the sequencer, or whether there is one just then. An
-answer says what was written, not what came of it: `look` says that.
+So it does not matter which node is asked, whether it can reach the sequencer, or whether there is one at the moment. A
+reply says what was written, not what came of it: that is what `status` reports.
 """
 
 from dataclasses import dataclass, field
 
 from oatlink.fleet.messages import NEVER_US, Answer, Change, Effect, Read, Replied
 from oatlink.fleet.versions import state as states
-from oatlink.fleet.versions.plan import Plan, Wanted, check, encoded, name_of, wanted
-from oatlink.fleet.versions.plan import read as read_plan
+from oatlink.fleet.versions.plan import Plan, Wanted, check, decode_wanted, encode_wanted, name_of, parse
 from oatlink.fleet.versions.state import State
 
 STATE, PLAN = "versions/state", "versions/plan"
-FIRST_ASK = 1 << 40  # far from the sequencer's own
-MOST_JOBS = 8
-MOST_LINES = 20
-PATIENCE_US = 6_000_000
+FIRST_ASK = 1 << 40  # far from the numbers of the sequencer's own requests
+MAX_REQUESTS = 8
+MAX_LINES = 20
+TIMEOUT_US = 6_000_000
 
 
 @dataclass(slots=True)
 class OperatorRequest:
-    """One operator's word on its way."""
+    """One pending request of an operator."""
 
     ticket: int
-    word: str  # propose, resume, back or look
+    command: str  # propose, resume, back or status
     began_us: int
     plan: Plan | None = None
-    asks: dict[int, str] = field(default_factory=dict)  # which register each of its asks is for
-    found: dict[str, Answer] = field(default_factory=dict)
-    says: str = ""  # once it is written
+    asks: dict[int, str] = field(default_factory=dict)  # the register of each of its pending reads and changes
+    answers: dict[str, Answer] = field(default_factory=dict)
+    reply: str = ""  # to send once the change is written
 
 
 class OperatorRequests:
-    """The operators' words on their way at one node."""
+    """The pending requests of operators at one node."""
 
     def __init__(self, banks: tuple[str, ...], first_version: int) -> None:
         self._banks, self._first = banks, first_version
         self._ask = FIRST_ASK
-        self._jobs: list[OperatorRequest] = []
+        self._requests: list[OperatorRequest] = []
 
     @property
     def due_us(self) -> int:
-        """When `tick` has something to do."""
-        return min((job.began_us + PATIENCE_US for job in self._jobs), default=NEVER_US)
+        """When `tick` is next due."""
+        return min((request.began_us + TIMEOUT_US for request in self._requests), default=NEVER_US)
 
     def propose(self, ticket: int, text: bytes, now_us: int) -> list[Effect]:
-        """A plan as JSON."""
-        plan = read_plan(text)
+        """Propose a plan, as JSON."""
+        plan = parse(text)
         if isinstance(plan, str):
             return [Replied(ticket, plan)]
         return self._start(OperatorRequest(ticket, "propose", now_us, plan))
 
     def resume(self, ticket: int, now_us: int) -> list[Effect]:
-        """Go on, or forward again."""
+        """Continue, or go forward again."""
         return self._start(OperatorRequest(ticket, "resume", now_us))
 
     def back(self, ticket: int, now_us: int) -> list[Effect]:
-        """Go back."""
+        """Go back to the old version."""
         return self._start(OperatorRequest(ticket, "back", now_us))
 
-    def look(self, ticket: int, now_us: int) -> list[Effect]:
-        """Say what the registers hold."""
-        return self._start(OperatorRequest(ticket, "look", now_us))
+    def status(self, ticket: int, now_us: int) -> list[Effect]:
+        """Report what the registers hold."""
+        return self._start(OperatorRequest(ticket, "status", now_us))
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Let go of what is not answered."""
-        late = [job for job in self._jobs if now_us - job.began_us >= PATIENCE_US]
-        return [effect for job in late for effect in self._end(job, self._lost(job))]
+        """Reply to requests that timed out."""
+        late = [request for request in self._requests if now_us - request.began_us >= TIMEOUT_US]
+        return [effect for request in late for effect in self._finish(request, self._no_majority(request))]
 
-    def knows(self, ask: int) -> bool:
-        """Whether an answer to this ask is the desk's."""
+    def owns(self, ask: int) -> bool:
+        """Whether an answer with this number belongs to a request of an operator."""
         return ask >= FIRST_ASK
 
     def answer(self, answer: Answer, now_us: int) -> list[Effect]:
-        """An answer to one of the desk's asks."""
-        job = next((one for one in self._jobs if answer.ask in one.asks), None)
-        if job is None:
+        """Handle an answer to a read or change for a request."""
+        request = next((pending for pending in self._requests if answer.ask in pending.asks), None)
+        if request is None:
             return []
-        del job.asks[answer.ask]
+        del request.asks[answer.ask]
         if answer.how == "found":
-            job.found[answer.key] = answer
-            return self._decide(job) if len(job.found) == 2 else []
+            request.answers[answer.key] = answer
+            return self._decide(request) if len(request.answers) == 2 else []
         if answer.how == "changed":
-            return self._end(job, job.says)
+            return self._finish(request, request.reply)
         if answer.how == "differs":
-            return self._end(job, "refused: another word was written meanwhile; look and say it again")
-        return self._end(job, self._lost(job))
+            return self._finish(request, "refused: another word was written meanwhile; look and say it again")
+        return self._finish(request, self._no_majority(request))
 
     @staticmethod
-    def _lost(job: OperatorRequest) -> str:
-        if job.says:
+    def _no_majority(request: OperatorRequest) -> str:
+        if request.reply:
             return "no majority of the keepers answered: it may have been written or not; look before saying it again"
         return "no majority of the keepers answered: nothing was written"
 
-    def _start(self, job: OperatorRequest) -> list[Effect]:
-        if len(self._jobs) >= MOST_JOBS:
-            return [Replied(job.ticket, f"refused: {MOST_JOBS} are on their way")]
-        self._jobs.append(job)
-        return [Read(self._next(job, key), key) for key in (STATE, PLAN)]
+    def _start(self, request: OperatorRequest) -> list[Effect]:
+        if len(self._requests) >= MAX_REQUESTS:
+            return [Replied(request.ticket, f"refused: {MAX_REQUESTS} are on their way")]
+        self._requests.append(request)
+        return [Read(self._next_ask(request, key), key) for key in (STATE, PLAN)]
 
-    def _next(self, job: OperatorRequest, key: str) -> int:
+    def _next_ask(self, request: OperatorRequest, key: str) -> int:
         self._ask += 1
-        job.asks[self._ask] = key
+        request.asks[self._ask] = key
         return self._ask
 
-    def _end(self, job: OperatorRequest, text: str) -> list[Effect]:
-        self._jobs = [one for one in self._jobs if one is not job]
-        return [Replied(job.ticket, text)]
+    def _finish(self, request: OperatorRequest, text: str) -> list[Effect]:
+        self._requests = [pending for pending in self._requests if pending is not request]
+        return [Replied(request.ticket, text)]
 
-    def _decide(self, job: OperatorRequest) -> list[Effect]:
-        value = job.found[STATE].value
+    def _decide(self, request: OperatorRequest) -> list[Effect]:
+        value = request.answers[STATE].value
         state = states.decode(value) if value else states.first(self._first)
         if state is None:
-            return self._end(job, f"register {STATE} holds what this gateway cannot read")
-        want = wanted(job.found[PLAN].value)
-        if job.word == "look":
-            return self._end(job, "\n".join(described(state, want)))
-        decided = self._word(job, state, want)
+            return self._finish(request, f"register {STATE} holds what this gateway cannot read")
+        want = decode_wanted(request.answers[PLAN].value)
+        if request.command == "status":
+            return self._finish(request, "\n".join(describe(state, want)))
+        decided = self._decide_write(request, state, want)
         if isinstance(decided, str):
-            return self._end(job, decided)
-        word, name, plan, job.says = decided
-        return [Change(self._next(job, PLAN), PLAN, job.found[PLAN].fence, encoded(word, name, plan))]
-
-    def _word(self, job: OperatorRequest, state: State, want: Wanted | None) -> str | tuple[str, str, Plan | None, str]:
-        """What is to be written and said, or why not."""
+            return self._finish(request, decided)
+        word, name, plan, request.reply = decided
+        return [
+            Change(self._next_ask(request, PLAN), PLAN, request.answers[PLAN].fence, encode_wanted(word, name, plan))
+        ]
+
+    def _decide_write(
+        self, request: OperatorRequest, state: State, want: Wanted | None
+    ) -> str | tuple[str, str, Plan | None, str]:
+        """What to write (word, name, plan) with the reply, or why it is refused."""
         plan = want.plan if want is not None else None
-        if job.word == "propose" and job.plan is not None:
-            plan = job.plan
-            wrong = list(check(plan, self._banks, state))
-            says = f"plan {name_of(plan)} to version {plan.version} is written; the sequencer begins it"
-            return "\n".join(wrong[:MOST_LINES]) if wrong else ("go", name_of(plan), plan, says)
+        if request.command == "propose" and request.plan is not None:
+            plan = request.plan
+            mistakes = list(check(plan, self._banks, state))
+            reply = f"plan {name_of(plan)} to version {plan.version} is written; the sequencer begins it"
+            return "\n".join(mistakes[:MAX_LINES]) if mistakes else ("go", name_of(plan), plan, reply)
         if state.phase == "idle":
             if plan is None or plan.version != state.old + 1:
-                return f"nothing to {job.word}: version {state.old} is served and no plan waits"
-            if job.word == "back":
+                return f"nothing to {request.command}: version {state.old} is served and no plan waits"
+            if request.command == "back":
                 return "back", name_of(plan), plan, "written: the plan is not begun, unless it was already"
             return "go", name_of(plan), plan, "written: the plan is begun"
         if want is None or want.name != state.plan:
-            plan = None  # a plan that was written over the one that runs
-        if job.word == "back":
+            plan = None  # it was written over the plan that runs
+        if request.command == "back":
             if state.phase == "contracting":
                 return "refused: a contract was begun, the way is forward only"
-            says = f"written: back to version {state.old}, unless a contract was begun meanwhile"
-            return "back", state.plan, plan, says
+            reply = f"written: back to version {state.old}, unless a contract was begun meanwhile"
+            return "back", state.plan, plan, reply
         if state.phase == "undoing" and plan is None:
             return "refused: it goes back; propose the plan again afterwards"
-        says = "first it goes back, then begins again" if state.phase == "undoing" else f"on to version {state.new}"
-        return "go", state.plan, plan, f"written: {says}"
+        progress = "first it goes back, then begins again" if state.phase == "undoing" else f"on to version {state.new}"
+        return "go", state.plan, plan, f"written: {progress}"
 
 
-def described(state: State, want: Wanted | None) -> list[str]:
-    """What is known, in lines for people."""
+def describe(state: State, want: Wanted | None) -> list[str]:
+    """The state, in lines for operators."""
     served = " and ".join(map(str, state.served))
     lines = [f"version {served} served, default {state.default}, phase {state.phase}, plan {state.plan or '-'}"]
     if want is not None:
         lines.append(f"wanted: {want.word}, plan {want.name}")
     for bank, shard in state.shards.items():
-        steps = ", ".join(f"{one.kind} {one.version} {'done' if one.done else 'not done'}" for one in shard.steps)
+        steps = ", ".join(f"{step.kind} {step.version} {'done' if step.done else 'not done'}" for step in shard.steps)
         lines.append(f"bank {bank}: {steps or 'no steps'}")
     return lines
--- a/oatlink/fleet/versions/plan.py
+++ b/oatlink/fleet/versions/plan.py
@@ -1,10 +1,10 @@
 """What an operator proposes: the commands that take each shard from one version to the next, and what is refused.
 
-What may live here: the plan's form, its name (a hash), and every mistake that can be seen before anything runs. No
-I/O. The plan stands in one register, so its text is bounded by that (`MAX_VALUE_BYTES`): a change of layout that needs
+This module holds the form of a plan, its name (a hash), and every mistake that can be detected before anything runs. No
+I/O. A plan is stored in one register, so its text is limited by that (`MAX_VALUE_BYTES`): a change of layout that needs
 more commands is a script on the server, and the plan calls it.
 
-What nobody can check and the author promises: each step run twice is the same as run once; after `expand` both
+What cannot be checked and the author promises: each step run twice gives the same as run once; after `expand` both
 versions are served; `undo` takes back `expand`, also one that ran in part or not at all.
 """
 
@@ -19,8 +19,8 @@
 from oatlink.fleet.versions import marker
 from oatlink.fleet.versions.state import State, max_encoded_bytes
 
-# Threats: an answer that comes later or never (blocking), a connection that speaks otherwise afterwards, a
-# transaction that is not the one with the marker, another database than the marker's, a marker that is wiped.
+# Refused because the answer comes later or never (blocking), the connection behaves differently afterwards, the
+# transaction is not the one with the marker, the database is another than the marker's, or the marker is deleted.
 _REFUSED = """
     MULTI EXEC DISCARD WATCH UNWATCH SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE SUNSUBSCRIBE
     MONITOR SYNC PSYNC BLPOP BRPOP BRPOPLPUSH BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP WAIT WAITAOF XREAD
@@ -28,14 +28,14 @@
     FLUSHDB
 """
 REFUSED = frozenset(_REFUSED.split())
-MOST_VERSION = 1_000_000
+MAX_VERSION = 1_000_000
 WORDS = ("go", "back")
 
 Commands = tuple[tuple[str, ...], ...]
 
 
 class ShardPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One bank's steps. `after`: banks whose step is done before this one's; `undo` goes the other way round."""
+    """One bank's steps. `after`: banks whose step is done before this one's; `undo` runs in the reverse order."""
 
     expand: Commands = ()
     contract: Commands = ()
@@ -43,22 +43,22 @@
     after: tuple[str, ...] = ()
 
     def commands(self, kind: str) -> Commands:
-        """Those of the step of this kind."""
+        """The commands of the step of this kind."""
         return {"expand": self.expand, "contract": self.contract, "undo": self.undo}.get(kind, ())
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """From version `base` to `version`. `stay_ms`: how long both are served with the new one as default, at least."""
+    """A change from `base` to `version`. `stay_ms`: the least time in which both are served, the new one as default."""
 
-    version: Annotated[int, Meta(gt=0, le=MOST_VERSION)]
-    base: Annotated[int, Meta(gt=0, le=MOST_VERSION)]
+    version: Annotated[int, Meta(gt=0, le=MAX_VERSION)]
+    base: Annotated[int, Meta(gt=0, le=MAX_VERSION)]
     shards: dict[str, ShardPlan]
     stay_ms: Annotated[int, Meta(ge=0, le=86_400_000)] = 0
     hash: str = ""
 
 
 class Wanted(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the register `versions/plan` holds: a word on the plan with this name, and its text where that is known."""
+    """The value of the register `versions/plan`: a request for the plan with this name, and its text if known."""
 
     word: str
     name: str
@@ -66,13 +66,13 @@
 
 
 def name_of(plan: Plan) -> str:
-    """The plan's hash, whatever it says that it is."""
-    same = msgspec.structs.replace(plan, hash="")
-    return xxhash.xxh64(msgspec.json.encode(same, order="deterministic")).hexdigest()
+    """The plan's hash, computed without its own `hash` field."""
+    unnamed = msgspec.structs.replace(plan, hash="")
+    return xxhash.xxh64(msgspec.json.encode(unnamed, order="deterministic")).hexdigest()
 
 
-def read(text: bytes) -> Plan | str:
-    """A plan's text made into one, or one line `path: what is wrong there`."""
+def parse(text: bytes) -> Plan | str:
+    """The plan in this text, or one line `path: what is wrong there`."""
     try:
         return msgspec.json.decode(text, type=Plan)
     except msgspec.ValidationError as error:
@@ -82,22 +82,22 @@
         return f"top level: expected JSON: {error}"
 
 
-def wanted(value: bytes) -> Wanted | None:
-    """What the register holds, None where it makes no sense."""
+def decode_wanted(value: bytes) -> Wanted | None:
+    """What the register holds, None if it is not valid."""
     try:
-        found = msgspec.json.decode(value, type=Wanted)
+        wanted = msgspec.json.decode(value, type=Wanted)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return found if found.word in WORDS else None
+    return wanted if wanted.word in WORDS else None
 
 
-def encoded(word: str, name: str, plan: Plan | None) -> bytes:
+def encode_wanted(word: str, name: str, plan: Plan | None) -> bytes:
     """The register's value."""
     return msgspec.json.encode(Wanted(word, name, plan), order="deterministic")
 
 
 def check(plan: Plan, banks: tuple[str, ...], state: State) -> Iterator[str]:
-    """Each mistake as `path: expected ...`. `banks`: those of the settings."""
+    """Yield each mistake as `path: expected ...`. `banks`: those of the settings."""
     if plan.base != state.old or state.phase != "idle":
         yield f"base: expected the version that is served alone, {list(state.served)} in phase {state.phase}"
     if plan.version != plan.base + 1:
@@ -115,14 +115,14 @@
             if other not in plan.shards:
                 yield f"shards[{bank!r}].after: expected banks of the plan, got {other!r}"
         for kind in ("expand", "contract", "undo"):
-            for at, command in enumerate(shard.commands(kind)):
-                yield from _check_command(f"shards[{bank!r}].{kind}[{at}]", command)
-    circle = _circle(plan)
-    if circle:
-        yield f"shards: expected an order of banks, `after` goes round: {' after '.join(circle)}"
-    size = len(encoded("back", name_of(plan), plan))
-    if size > MAX_VALUE_BYTES:
-        yield f"top level: expected at most {MAX_VALUE_BYTES} bytes as JSON, got {size}"
+            for index, command in enumerate(shard.commands(kind)):
+                yield from _check_command(f"shards[{bank!r}].{kind}[{index}]", command)
+    cycle = _find_cycle(plan)
+    if cycle:
+        yield f"shards: expected an order of banks, `after` goes round: {' after '.join(cycle)}"
+    size_bytes = len(encode_wanted("back", name_of(plan), plan))
+    if size_bytes > MAX_VALUE_BYTES:
+        yield f"top level: expected at most {MAX_VALUE_BYTES} bytes as JSON, got {size_bytes}"
     if max_encoded_bytes(state, banks, plan.version) > MAX_VALUE_BYTES:
         yield f"shards: expected fewer banks: what is known of {len(banks)} does not fit {MAX_VALUE_BYTES} bytes"
 
@@ -137,8 +137,8 @@
         yield f"{path}: expected to leave the key {marker.KEY!r} alone"
 
 
-def _circle(plan: Plan) -> list[str]:
-    """Banks that wait for each other, or nothing. Work is O(banks + their `after`)."""
+def _find_cycle(plan: Plan) -> list[str]:
+    """Banks that wait for each other in a cycle, or an empty list, in O(banks + their `after`)."""
     done: dict[str, None] = {}
     for start in plan.shards:
         path: list[str] = [start]
--- a/tests/fleet/test_stored_names.py
+++ b/tests/fleet/test_stored_names.py
@@ -224,8 +224,8 @@
         ("ack-frame", envelope.ack(7).hex()),
         ("key", KEY.hex()),
         ("slot-register", key_of_slot("zone/r1/z1", 42)),
-        ("plan-register", plan.encoded("go", "0123456789abcdef", PLAN).decode()),
-        ("plan-register-without-plan", plan.encoded("back", "0123456789abcdef", None).decode()),
+        ("plan-register", plan.encode_wanted("go", "0123456789abcdef", PLAN).decode()),
+        ("plan-register-without-plan", plan.encode_wanted("back", "0123456789abcdef", None).decode()),
         ("plan-name", plan.name_of(PLAN)),
         ("marker-key", marker.KEY),
         ("marker-begun", marker.encode(5, 2, done=False).decode()),
@@ -236,8 +236,10 @@
 def test_frames_keys_and_register_values_are_written_as_before(tmp_path: Path) -> None:
     stored = dict(lines("texts.txt"))
     assert texts() == lines("texts.txt")
-    assert plan.wanted(stored["plan-register"].encode()) == plan.Wanted(word="go", name="0123456789abcdef", plan=PLAN)
-    assert plan.wanted(stored["plan-register-without-plan"].encode()) == plan.Wanted("back", "0123456789abcdef")
+    assert plan.decode_wanted(stored["plan-register"].encode()) == plan.Wanted(
+        word="go", name="0123456789abcdef", plan=PLAN
+    )
+    assert plan.decode_wanted(stored["plan-register-without-plan"].encode()) == plan.Wanted("back", "0123456789abcdef")
     assert marker.completed_step(stored["marker-done"].encode()) == 5
     assert marker.completed_step(stored["marker-begun"].encode()) == 4
     frame = bytes.fromhex(stored["hello-frame"])[envelope.LENGTH_BYTES :]
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -13,11 +13,11 @@
 from oatlink.fleet.messages import MAX_VALUE_BYTES, NEVER_US, Marker, ShardOffer
 from oatlink.fleet.versions import marker, plan, state
 from oatlink.fleet.versions.asking import MAX_QUESTIONS, MAX_TERM_US, Adopter
-from oatlink.fleet.versions.bank_tasks import FIRST_US, LONGEST_US, BankTasks
+from oatlink.fleet.versions.bank_tasks import FIRST_RETRY_US, MAX_RETRY_US, BankTasks
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.fleet.versions.ledger import Ledger, max_elapsed_us
 from oatlink.fleet.versions.node import Layouts, version_in_name
-from oatlink.fleet.versions.operator_requests import MOST_JOBS, PLAN, STATE
+from oatlink.fleet.versions.operator_requests import MAX_REQUESTS, PLAN, STATE
 from oatlink.fleet.versions.sequencer import VERSION_TERM_US, Sequencer
 from tests.fleet import versions_sabotage as sabotage
 from tests.fleet.versions_world import Violation, World
@@ -104,7 +104,7 @@
     ],
 )
 def test_a_plan_that_is_none_is_one_line(text: bytes, line: str) -> None:
-    found = plan.read(text)
+    found = plan.parse(text)
     assert isinstance(found, str) and found.startswith(line), found
 
 
@@ -267,7 +267,7 @@
                     value = state.encode(known) if effect.key == STATE else want
                     more += one.answer(f.Answer(effect.ask, effect.key, "found", 3, value, 0), 0, 0)
                 elif isinstance(effect, f.Change):
-                    assert (effect.key, effect.fence) == (PLAN, 3) and plan.wanted(effect.value) is not None
+                    assert (effect.key, effect.fence) == (PLAN, 3) and plan.decode_wanted(effect.value) is not None
                     more += one.answer(f.Answer(effect.ask, PLAN, how, 4, effect.value, 0), 0, 0)
             effects = more
         return effects[0].text
@@ -275,7 +275,7 @@
     text, name = msgspec.json.encode(GOOD), plan.name_of(GOOD)
     idle, shards = state.first(1), {"a": state.Shard(), "b": state.Shard()}
     busy = msgspec.structs.replace(idle, phase="moved", new=2, served=(1, 2), plan=name, shards=shards)
-    want = plan.encoded("go", name, GOOD)
+    want = plan.encode_wanted("go", name, GOOD)
     assert say(one.propose(1, text, 0), idle).startswith(f"plan {name} to version 2 is written")
     assert say(one.propose(1, text, 0), idle, how="differs").startswith("refused: another word")
     assert "may have been written or not" in say(one.propose(1, text, 0), idle, how="unknown")
@@ -286,11 +286,11 @@
     assert say(one.back(1, 0), late, want).startswith("refused: a contract was begun")
     assert say(one.resume(1, 0), idle, want) == "written: the plan is begun"
     assert say(one.resume(1, 0), busy, want) == "written: on to version 2"
-    assert say(one.look(1, 0), busy, want).splitlines()[1] == f"wanted: go, plan {name}"
-    for ticket in range(MOST_JOBS):
-        assert len(one.look(ticket, 0)) == 2
-    assert isinstance(one.look(9, 0)[0], f.Replied)
-    assert len(one.tick(0, 10_000_000)) == MOST_JOBS and one.due_us == NEVER_US
+    assert say(one.status(1, 0), busy, want).splitlines()[1] == f"wanted: go, plan {name}"
+    for ticket in range(MAX_REQUESTS):
+        assert len(one.status(ticket, 0)) == 2
+    assert isinstance(one.status(9, 0)[0], f.Replied)
+    assert len(one.tick(0, 10_000_000)) == MAX_REQUESTS and one.due_us == NEVER_US
 
 
 def test_a_step_is_tried_again_as_soon_as_its_bank_is_there() -> None:
@@ -310,7 +310,7 @@
     look(True, now)
     hangs = work(now)
     assert isinstance(hangs, f.RunStep) and work(now + 20_000_000) is None
-    one.hurry("a")  # another primary
+    one.retry_now("a")  # another primary
     now += 20_000_000
     look(True, now)
     again = work(now)
@@ -323,7 +323,7 @@
             if again is not None:
                 one.ended(again.ask, True, False, now)
             now += 10_000
-        assert now - waited >= min(LONGEST_US, FIRST_US << tries) // 2
+        assert now - waited >= min(MAX_RETRY_US, FIRST_RETRY_US << tries) // 2
     assert one.ended(again.ask, False, False, now) == ("a", 1)
     now += 1_000_000
     look(False, now)
@@ -338,7 +338,7 @@
     one = sequencer()
     for at in range(3_000):
         now, until = at * 40_000, at * 40_000 + random.choice((0, 3_000_000))
-        value = random.choice((b"", b"\x90", random.randbytes(9), plan.encoded("go", "x", None), b"[" * 5_000))
+        value = random.choice((b"", b"\x90", random.randbytes(9), plan.encode_wanted("go", "x", None), b"[" * 5_000))
         how, number = random.choice(("found", "changed", "differs", "unknown", "done", "?")), random.randint(-9, 60)
         for effect in one.tick(until, now):
             assert not isinstance(effect, f.RunStep | f.Change)
--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -25,7 +25,7 @@
 
 
 put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _busy_until_us=lambda self, holder, version: 0)
-put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, unsure=False)
+put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, may_still_change=False)
 
 
 @instead_of(Ledger, "_busy_until_us", (scenes.cut_off, 0))
@@ -92,13 +92,13 @@
 @instead_of(BankTasks, "work", (world.by_chance, 10))
 def failover_not_asked_again(work: Any, self: BankTasks, state: State, *more: Any) -> Any:
     for bank in state.shards:
-        self._banks.setdefault(bank, BankTask()).look_us = NEVER_US
+        self._tasks.setdefault(bank, BankTask()).check_us = NEVER_US
     return work(self, state, *more)
 
 
 @found_by((scenes.deposed, 0))
 def sequencer_acts_after_its_lease(patch: Patch) -> None:
-    for name in ("_go", "_claimed"):
+    for name in ("_act", "_claimed"):
         method = getattr(Sequencer, name)
         patch.setattr(Sequencer, name, lambda self, until, now, method=method: method(self, NEVER_US, now))
     adopt = Sequencer.adopt
@@ -145,7 +145,7 @@
 
     def begins(self: Any, fence: int, now_us: int) -> None:
         began(self, fence, now_us)
-        self._books.lease = fence
+        self._registers.lease = fence
 
     patch.setattr(VersionRegisters, "answer", as_ours)
     patch.setattr(Sequencer, "began", begins)
--- a/tests/fleet/versions_world.py
+++ b/tests/fleet/versions_world.py
@@ -15,7 +15,7 @@
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.fleet.versions.moves import settled
 from oatlink.fleet.versions.node import Layouts
-from oatlink.fleet.versions.plan import wanted
+from oatlink.fleet.versions.plan import decode_wanted
 from oatlink.fleet.versions.sequencer import Sequencer
 
 STEP_US = 25_000
@@ -485,7 +485,7 @@
     def settled(self) -> bool:
         """Whether no change is on its way, and each version served is served by every bank's every member."""
         known = self.known()
-        want = wanted(self.registers.get("versions/plan", (0, b""))[1])
+        want = decode_wanted(self.registers.get("versions/plan", (0, b""))[1])
         waits = want is not None and want.word == "go" and want.plan is not None and want.plan.version == known.old + 1
         if known.phase != "idle" or waits or not settled(known):
             return False
