--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -1,4 +1,4 @@
-"""One guard taken out each, and the play in which the judge of `versions_world` finds it: (play, seed, the patch)."""
+"""Mutations that each remove one safeguard, and the scenario and seed in which `versions_world` detects each."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,8 +19,8 @@
 from tests.fleet import versions_world as world
 from tests.fleet.guards import Guards, Patch
 
-SABOTAGES = Guards[tuple[Callable[[int], None], int]]()
-put, instead_of, found_by = SABOTAGES.put, SABOTAGES.instead_of, SABOTAGES.found_by
+MUTATIONS = Guards[tuple[Callable[[int], None], int]]()
+put, instead_of, found_by = MUTATIONS.put, MUTATIONS.instead_of, MUTATIONS.found_by
 Busy = tuple[int, ...]
 
 
@@ -50,18 +50,18 @@
 
 @instead_of(Ledger, "record_status", (scenes.deaf, 0))
 def a_nodes_word_counts_whenever_it_was_sent(
-    heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
+    record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
     for holder in self._holders.values():
         holder.last_ask.clear()
-    heard(self, node, since, 1, busy, now_us)
+    record_status(self, node, since, 1, busy, now_us)
 
 
 @instead_of(Ledger, "record_status", (scenes.deaf, 0))
 def a_nodes_word_counts_without_a_newer_answer(
-    heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
+    record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
-    heard(self, node, since, ask + 1, busy, now_us)
+    record_status(self, node, since, ask + 1, busy, now_us)
 
 
 @instead_of(Sequencer, "adopt", (scenes.started_again, 0))
@@ -125,34 +125,34 @@
 
 
 @instead_of(marker, "decide", (scenes.held_step, 0))
-def marker_stops_no_older_step(word: Any, *asked: Any) -> Any:
-    return {"fenced": "run"}.get(word(*asked), word(*asked))
+def marker_stops_no_older_step(decide: Any, *arguments: Any) -> Any:
+    return {"fenced": "run"}.get(decide(*arguments), decide(*arguments))
 
 
 @instead_of(marker, "decide", (scenes.gap, 0))
-def step_runs_on_a_gap(word: Any, value: bytes | None, step: int, after: int) -> Any:
-    return word(value, step, 0)
+def step_runs_on_a_gap(decide: Any, value: bytes | None, step: int, after: int) -> Any:
+    return decide(value, step, 0)
 
 
 @found_by((scenes.begun_late_by_another, 0))
 def no_claim_before_acting(patch: Patch) -> None:
     answer, began = VersionRegisters.answer, Sequencer.began
 
-    def as_ours(self: Any, given: Any, now_us: int) -> bool:
-        news = answer(self, given, now_us)
+    def claimed_answer(self: Any, received: Any, now_us: int) -> bool:
+        is_new = answer(self, received, now_us)
         self.state = replace(self.state, fence=self.lease) if self.state is not None else None
-        return news
+        return is_new
 
     def begins(self: Any, fence: int, now_us: int) -> None:
         began(self, fence, now_us)
         self._registers.lease = fence
 
-    patch.setattr(VersionRegisters, "answer", as_ours)
+    patch.setattr(VersionRegisters, "answer", claimed_answer)
     patch.setattr(Sequencer, "began", begins)
 
 
 @instead_of(sequencer, "begin", (scenes.lost_undo, 0))
 def undo_forgotten_by_the_next_beginning(begin: Any, state: State, *more: Any) -> State:
     begun: State = begin(state, *more)
-    kept = {name: tuple(one for one in shard.steps if one.kind != "undo") for name, shard in begun.shards.items()}
+    kept = {name: tuple(step for step in shard.steps if step.kind != "undo") for name, shard in begun.shards.items()}
     return replace(begun, shards={name: replace(begun.shards[name], steps=steps) for name, steps in kept.items()})
--- a/tests/fleet/versions_world.py
+++ b/tests/fleet/versions_world.py
@@ -1,4 +1,4 @@
-"""Banks, nodes, an arbiter of the lease, registers and a network that fail in every way; and the judge of all that."""
+"""A simulation of banks, nodes, the lease, registers and a network with all kinds of faults, and its invariants."""
 
 import heapq
 from collections import Counter
@@ -24,41 +24,41 @@
 
 
 class Violation(AssertionError):  # noqa: N818
-    """What must never be."""
+    """An invariant was violated."""
 
 
 def void(_: object) -> None:
-    """For what is told nothing."""
+    """Discard a value."""
 
 
-Op = tuple[str, int, int, str, bool]  # exec or seal, number, version, kind, whether all its commands did well
+Op = tuple[str, int, int, str, bool]  # exec or seal, number, version, kind, whether all its commands succeeded
 
 
 @dataclass(eq=False)
 class Member:
-    """A server. What it holds follows from its log alone."""
+    """A server. Its data follow from its log alone."""
 
     name: str
     history: str
     offset: int = 0
     parent: str = ""
     join: int = -1
-    log: list[tuple[int, Op]] = field(default_factory=list)  # (offset after it, what)
+    log: list[tuple[int, Op]] = field(default_factory=list)  # (offset after it, operation)
     master: bool = False
-    epoch: int = 0  # grows when its data were replaced and its connections closed
+    epoch: int = 0  # incremented when its data are replaced and its connections closed
 
     def offers(self) -> set[int]:
         versions = {1}
-        for _, (what, _, version, kind, well) in self.log:
-            if what == "exec" and kind == "expand":
-                versions |= {version} if well else set()
-            elif what == "exec":
+        for _, (operation, _, version, kind, succeeded) in self.log:
+            if operation == "exec" and kind == "expand":
+                versions |= {version} if succeeded else set()
+            elif operation == "exec":
                 versions.discard(version - 1 if kind == "contract" else version)
         return versions
 
     def mark(self) -> bytes | None:
-        what, number, version, _, _ = self.log[-1][1] if self.log else ("", 0, 0, "", False)
-        return marker.encode(number, version, what == "seal") if self.log else None
+        operation, number, version, _, _ = self.log[-1][1] if self.log else ("", 0, 0, "", False)
+        return marker.encode(number, version, operation == "seal") if self.log else None
 
     def write(self, *ops: Op) -> None:
         self.offset += 10
@@ -69,7 +69,7 @@
 
 
 class Bank:
-    """A primary and its replicas, which lag and take its place."""
+    """A primary and its replicas, which lag behind it and may be promoted."""
 
     def __init__(self, name: str, random: Random) -> None:
         self.name, self.random = name, random
@@ -80,38 +80,40 @@
         self.frozen: dict[str, int] = {}
 
     def fail_over(self) -> None:
-        able = [one for one in self.members if not one.master]
-        if not able:
+        replicas = [member for member in self.members if not member.master]
+        if not replicas:
             return
         self.failovers += 1
-        chosen = self.random.choice(able)
-        chosen.parent, chosen.join = chosen.history, chosen.offset + 1
-        chosen.history, chosen.master = f"{self.name}-h{self.failovers}", True
-        self.primary = chosen  # the old one goes on as a master of its own island for a while
+        promoted = self.random.choice(replicas)
+        promoted.parent, promoted.join = promoted.history, promoted.offset + 1
+        promoted.history, promoted.master = f"{self.name}-h{self.failovers}", True
+        self.primary = promoted  # the old primary stays a master beside it for a while
 
     def step(self, now: int) -> None:
         if self.random.random() < 0.3:
             self.primary.write()
-        for one in self.members:
-            if one is self.primary or self.frozen.get(one.name, 0) > now:
+        for member in self.members:
+            if member is self.primary or self.frozen.get(member.name, 0) > now:
                 continue
-            if one.history != self.primary.history:
+            if member.history != self.primary.history:
                 if self.random.random() < 0.05:
-                    self._sync(one)
+                    self._sync(member)
             elif self.random.random() < 0.2:
-                reach = self.random.randint(one.offset, self.primary.offset)
-                one.log += [(at, op) for at, op in self.primary.log if one.offset < at <= reach]
-                one.offset = reach
+                reached = self.random.randint(member.offset, self.primary.offset)
+                member.log += [(at, op) for at, op in self.primary.log if member.offset < at <= reached]
+                member.offset = reached
 
-    def _sync(self, one: Member) -> None:
-        to = self.primary
-        if not (to.parent == one.history and one.offset < to.join):
-            one.offset, one.log, one.epoch = to.offset, list(to.log), one.epoch + 1
-        one.history, one.parent, one.join, one.master = to.history, to.parent, to.join, False
+    def _sync(self, member: Member) -> None:
+        """Replicate from the primary: continue where the history is shared, else copy all data."""
+        primary = self.primary
+        if not (primary.parent == member.history and member.offset < primary.join):
+            member.offset, member.log, member.epoch = primary.offset, list(primary.log), member.epoch + 1
+        member.history, member.parent, member.join = primary.history, primary.parent, primary.join
+        member.master = False
 
 
 class Node:
-    """One gateway's process, and what its shell would keep."""
+    """One gateway's process, with the state that its shell would keep."""
 
     def __init__(self, name: str, world: "World") -> None:
         self.name, self.world, random = name, world, world.random
@@ -131,10 +133,10 @@
         self.layouts = Layouts(";layout=", seed)
         self.busy: Counter[int] = Counter()
         self.lease_until = 0
-        self.asks = ""  # whom it takes for the lease's holder
-        self.pinned = False  # it will take nobody else for it
-        self.slow = False  # each of its requests takes all the time that it may
-        self.held: list[Callable[[], None]] = []
+        self.believed_holder = ""  # of the lease
+        self.pinned = False  # its belief about the holder does not change
+        self.slow = False  # each of its requests takes as long as the deadline allows
+        self.deferred: list[Callable[[], None]] = []
 
     def clock(self) -> int:
         return self.shift + int(self.world.now * self.rate)
@@ -145,7 +147,7 @@
 
 
 class World:
-    """Everything, from one seed. While it is `quiet` there are no faults but the cuts that a test makes."""
+    """The whole simulation, from one seed. While it is `quiet`, the only faults are the cuts that a test makes."""
 
     def __init__(self, seed: int, quiet: bool = False, deadline_us: int = 0, term_us: int = 0) -> None:
         self.random = Random(seed)
@@ -162,11 +164,11 @@
         self.nodes = {f"n{at}": Node(f"n{at}", self) for at in range(3)}
         self.cuts: dict[tuple[str, str], int] = {}
         self.expanded: set[tuple[str, int]] = set()
-        self.seen: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
 
-    def later(self, wait_us: int, what: Callable[[], None]) -> None:
+    def schedule(self, wait_us: int, action: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.events, (self.now + wait_us, self.count, what))
+        heapq.heappush(self.events, (self.now + wait_us, self.count, action))
 
     def chance(self, probability: float) -> bool:
         return not self.quiet and self.random.random() < probability
@@ -174,7 +176,7 @@
     def latency(self) -> int:
         return self.random.randrange(4_000_000) if self.chance(0.04) else self.random.randrange(1_000, 60_000)
 
-    def cut(self, one: str, other: str) -> bool:
+    def is_cut(self, one: str, other: str) -> bool:
         return self.cuts.get((one, other), 0) > self.now
 
     def run(self, us: int) -> None:
@@ -185,30 +187,30 @@
     def step(self) -> None:
         self.now += STEP_US
         if not self.quiet:
-            self.trouble()
+            self.inject_faults()
         while self.events and self.events[0][0] <= self.now:
             heapq.heappop(self.events)[2]()
         for bank in self.banks.values():
             bank.step(self.now)
         for node in self.nodes.values():
             if node.runs:
-                self.turn(node)
-        self.judge_served()
-
-    def turn(self, node: Node) -> None:
-        held, node.held = node.held, []
-        for what in held:
-            what()
-        self.arbitrate(node)
+                self.run_node(node)
+        self.check_served()
+
+    def run_node(self, node: Node) -> None:
+        deferred, node.deferred = node.deferred, []
+        for action in deferred:
+            action()
+        self.update_lease(node)
         if node.clock() >= node.sequencer.due_us:
-            self.do(node, node.sequencer.tick(node.lease_until, node.clock()))
+            self.apply(node, node.sequencer.tick(node.lease_until, node.clock()))
         busy = tuple(sorted(version for version, number in node.busy.items() if number > 0))
         if not node.pinned and (self.quiet or self.random.random() < 0.1):
-            node.asks = self.holder
-        self.do(node, node.adopter.poll(node.asks, busy, node.clock()))
+            node.believed_holder = self.holder
+        self.apply(node, node.adopter.poll(node.believed_holder, busy, node.clock()))
         self.request(node)
 
-    def trouble(self) -> None:
+    def inject_faults(self) -> None:
         random = self.random
         for node in self.nodes.values():
             if node.up and random.random() < 0.004:
@@ -226,19 +228,19 @@
             if random.random() < 0.02:
                 bank.frozen[random.choice(bank.members).name] = self.now + random.randrange(3_000_000)
 
-    def arbitrate(self, node: Node) -> None:
+    def update_lease(self, node: Node) -> None:
         if node.lease_until and node.clock() >= node.lease_until and self.chance(0.3):
-            node.sequencer.ended()  # often it is not told in time
+            node.sequencer.ended()  # often it is not notified in time
             node.lease_until = 0
         if node.lease_until > node.clock() and self.holder == node.name and self.chance(0.003):
-            node.sequencer.ended()  # it gives the lease back
+            node.sequencer.ended()  # the node gives the lease back
             node.lease_until, self.lease_end = 0, self.now
-            self.seen["released"] += 1
+            self.counts["released"] += 1
             return
-        if self.cut(node.name, "lease") or (self.holder != node.name and self.now < self.lease_end):
+        if self.is_cut(node.name, "lease") or (self.holder != node.name and self.now < self.lease_end):
             return
         if self.holder == node.name and self.now < self.lease_end and node.lease_until == 0:
-            return  # its predecessor's
+            return  # the lease is still that of its previous process
         fresh = self.now >= self.lease_end
         if fresh and self.holder == node.name and self.chance(0.5):
             return
@@ -247,41 +249,41 @@
         node.lease_until = node.clock() + self.lease_us
         if fresh:
             self.fence += 1
-            self.seen["reigns"] += 1
+            self.counts["reigns"] += 1
             node.sequencer.began(self.fence, node.clock())
 
-    def do(self, node: Node, effects: list[f.Effect]) -> None:
-        for one in effects:
-            if isinstance(one, f.Tell):
-                self.send(node.name, one.to, one.message)
-            elif isinstance(one, f.Read | f.Change):
-                self.register(node, one)
-            elif isinstance(one, f.RunStep):
-                self.run_step(node, one)
-            elif isinstance(one, f.AskMarker):
-                self.ask_marker(node, one)
-            elif isinstance(one, f.Tuned) and isinstance(one.news, Served):
-                node.layouts.hear(one.news)
-            elif isinstance(one, f.Replied):
-                self.seen["replies"] += 1
-
-    def to(self, node: Node, wait_us: int, what: Callable[[], list[f.Effect]], process: int = 0) -> None:
-        """Let this process do something later, if it is still there; it comes when it runs again."""
+    def apply(self, node: Node, effects: list[f.Effect]) -> None:
+        for effect in effects:
+            if isinstance(effect, f.Tell):
+                self.send(node.name, effect.to, effect.message)
+            elif isinstance(effect, f.Read | f.Change):
+                self.register(node, effect)
+            elif isinstance(effect, f.RunStep):
+                self.run_step(node, effect)
+            elif isinstance(effect, f.AskMarker):
+                self.ask_marker(node, effect)
+            elif isinstance(effect, f.Tuned) and isinstance(effect.news, Served):
+                node.layouts.hear(effect.news)
+            elif isinstance(effect, f.Replied):
+                self.counts["replies"] += 1
+
+    def deliver(self, node: Node, wait_us: int, action: Callable[[], list[f.Effect]], process: int = 0) -> None:
+        """Run an action of this process later, if it still exists; while it is stopped, the action is deferred."""
         incarnation = process or node.incarnation
 
         def arrive() -> None:
             if node.up and node.incarnation == incarnation:
                 if self.now < node.stopped_until:
-                    node.held.append(arrive)
+                    node.deferred.append(arrive)
                 else:
-                    self.do(node, what())
+                    self.apply(node, action())
 
-        self.later(wait_us, arrive)
+        self.schedule(wait_us, arrive)
 
     def send(self, sender: str, to: str, message: f.Message) -> None:
         node = self.nodes[to]
         for _ in range(2 if self.chance(0.05) else 1):
-            if self.cut(sender, to) or self.chance(0.1):
+            if self.is_cut(sender, to) or self.chance(0.1):
                 continue
 
             def receive() -> list[f.Effect]:
@@ -290,15 +292,16 @@
                 assert isinstance(message, f.Adopted | f.NotSequencer)
                 return node.adopter.receive(sender, message, node.clock())
 
-            self.to(node, self.latency(), receive)
+            self.deliver(node, self.latency(), receive)
 
     def register(self, node: Node, ask: f.Read | f.Change) -> None:
         asked = node.clock()
         how, fence, value = "unknown", 0, b""
-        reached = not (self.cut("keepers", node.name) or self.chance(0.08))
+        reached = not (self.is_cut("keepers", node.name) or self.chance(0.08))
         if isinstance(ask, f.Change) and not reached and self.chance(0.7):
             late = ask
-            self.later(self.random.randrange(5_000_000), lambda: void(self.put(late)))  # it happens all the same
+            # The change is lost for the node, but happens later nevertheless.
+            self.schedule(self.random.randrange(5_000_000), lambda: void(self.put(late)))
         if reached:
             changed = isinstance(ask, f.Change) and self.put(ask)
             how = "changed" if changed else "found" if isinstance(ask, f.Read) else "differs"
@@ -306,7 +309,7 @@
         answer = f.Answer(ask.ask, ask.key, how, fence, value, asked)
         wait = self.latency() if reached else 1_000_000
         if not self.chance(0.02):
-            self.to(node, wait, lambda: node.sequencer.answer(answer, node.lease_until, node.clock()))
+            self.deliver(node, wait, lambda: node.sequencer.answer(answer, node.lease_until, node.clock()))
 
     def put(self, change: f.Change) -> bool:
         fence, value = self.registers.get(change.key, (0, b""))
@@ -315,42 +318,44 @@
         assert len(change.value) <= 8_192
         self.registers[change.key] = fence + 1, change.value
         if change.key == "versions/state":
-            self.judge_state(state.decode(value) if value else None, state.decode(change.value))
+            self.check_state(state.decode(value) if value else None, state.decode(change.value))
         return True
 
     def reachable(self, bank: Bank) -> Member:
-        islands = [one for one in bank.members if one.master]
-        return self.random.choice(islands) if self.chance(0.2) else bank.primary
+        masters = [member for member in bank.members if member.master]
+        return self.random.choice(masters) if self.chance(0.2) else bank.primary
 
     def run_step(self, node: Node, step: f.RunStep) -> None:
         process = node.incarnation
 
         def end(how: str, member: Member) -> None:
-            self.seen[how] += 1
-            told = (step.ask, how, member.history, member.offset) if how == "done" else (step.ask, how, "", -1)
-            self.to(node, self.latency(), lambda: node.sequencer.ran(*told, node.lease_until, node.clock()), process)
+            self.counts[how] += 1
+            result = (step.ask, how, member.history, member.offset) if how == "done" else (step.ask, how, "", -1)
+            self.deliver(
+                node, self.latency(), lambda: node.sequencer.ran(*result, node.lease_until, node.clock()), process
+            )
 
         def begin() -> None:
             member = self.reachable(self.banks[step.bank])
             history, value = member.history, member.mark()
-            word = marker.decide(value, step.step, step.after)
-            if word != "run" or self.chance(0.1):
-                end("unknown" if word == "run" else word, member)
+            decision = marker.decide(value, step.step, step.after)
+            if decision != "run" or self.chance(0.1):
+                end("unknown" if decision == "run" else decision, member)
             else:
-                self.later(self.latency(), lambda: execute(member, history, value))
+                self.schedule(self.latency(), lambda: execute(member, history, value))
 
         def execute(member: Member, history: str, value: bytes | None) -> None:
             if not member.master or member.history != history or member.mark() != value:
                 return end("unknown", member)
-            well = not self.chance(0.1)
+            succeeded = not self.chance(0.1)
             if step.kind == "contract" and step.version not in member.offers():
                 raise Violation(f"contract {step.version} at {member.name} which offers {member.offers()}")
-            member.write(("exec", step.step, step.version, step.kind, well))
-            if step.kind == "expand" and well:
+            member.write(("exec", step.step, step.version, step.kind, succeeded))
+            if step.kind == "expand" and succeeded:
                 self.expanded.add((step.bank, step.version))
-            if not well or self.chance(0.1):
-                return end("unknown" if well else "failed", member)
-            self.later(self.latency(), lambda: seal(member, history))
+            if not succeeded or self.chance(0.1):
+                return end("unknown" if succeeded else "failed", member)
+            self.schedule(self.latency(), lambda: seal(member, history))
 
         def seal(member: Member, history: str) -> None:
             begun = marker.encode(step.step, step.version, False)
@@ -359,39 +364,45 @@
             member.write(("seal", step.step, step.version, step.kind, True))
             end("unknown" if self.chance(0.1) else "done", member)
 
-        self.later(self.random.randrange(12_000_000) if self.chance(0.1) else self.latency(), begin)
+        self.schedule(self.random.randrange(12_000_000) if self.chance(0.1) else self.latency(), begin)
 
     def ask_marker(self, node: Node, ask: f.AskMarker) -> None:
         process = node.incarnation
 
-        def look() -> None:
-            one = self.reachable(self.banks[ask.bank])
-            told = (-1, "", -1) if self.chance(0.1) else (marker.completed_step(one.mark()), one.history, one.offset)
-            here = node.sequencer
-            self.to(node, self.latency(), lambda: here.marked(ask.ask, *told, node.lease_until, node.clock()), process)
+        def check() -> None:
+            member = self.reachable(self.banks[ask.bank])
+            is_lost = self.chance(0.1)
+            number = marker.completed_step(member.mark())
+            result = (-1, "", -1) if is_lost else (number, member.history, member.offset)
+            sequencer = node.sequencer
 
-        self.later(self.latency(), look)
+            def report() -> list[f.Effect]:
+                return sequencer.marked(ask.ask, *result, node.lease_until, node.clock())
+
+            self.deliver(node, self.latency(), report, process)
+
+        self.schedule(self.latency(), check)
 
     def request(self, node: Node) -> None:
-        known = node.layouts.served
-        word = f"app;layout={self.random.choice(known.versions)}" if known and self.random.random() < 0.7 else "app"
-        layout = node.layouts.layout(word, 0, node.clock())
+        news = node.layouts.served
+        client = f"app;layout={self.random.choice(news.versions)}" if news and self.random.random() < 0.7 else "app"
+        layout = node.layouts.layout(client, 0, node.clock())
         if layout.back_us:
             assert 0 < layout.back_us <= 1_500_000
-            self.seen["refused"] += 1
+            self.counts["refused"] += 1
             return
         bank = self.banks[self.random.choice(BANKS)]
-        able = self.able(node, bank, layout.version)
-        if not able:
-            self.seen["none able"] += 1
+        members = self.able_members(node, bank, layout.version)
+        if not members:
+            self.counts["none able"] += 1
             return
-        member = self.random.choice(able)
+        member = self.random.choice(members)
         version, epoch = layout.version, member.epoch
         node.busy[version] += 1
 
         def execute() -> None:
             if member.epoch == epoch:
-                self.seen["served"] += 1
+                self.counts["served"] += 1
                 if version not in member.offers():
                     raise Violation(f"version {version} by {node.name} at {member.name}: {member.offers()}")
 
@@ -399,68 +410,68 @@
             node.busy[version] -= 1
             return []
 
-        whole = int(self.deadline_us * (1 - DRIFT)) - STEP_US
-        wait = self.random.randrange(whole) if self.random.random() < 0.3 else self.random.randrange(50_000)
-        wait = whole if node.slow else wait
-        self.later(wait, execute)
-        self.to(node, wait + 1, answered)
+        longest = int(self.deadline_us * (1 - DRIFT)) - STEP_US
+        wait = self.random.randrange(longest) if self.random.random() < 0.3 else self.random.randrange(50_000)
+        wait = longest if node.slow else wait
+        self.schedule(wait, execute)
+        self.deliver(node, wait + 1, answered)
 
-    def able(self, node: Node, bank: Bank, version: int) -> list[Member]:
+    def able_members(self, node: Node, bank: Bank, version: int) -> list[Member]:
         mark = node.layouts.marker(bank.name, version)
-        return [one for one in bank.members if mark is None or applied(one.place(), mark)]
+        return [member for member in bank.members if mark is None or applied(member.place(), mark)]
 
-    def judge_served(self) -> None:
-        said = [(node, node.layouts.served) for node in self.nodes.values() if node.up]
-        here = [served for node, served in said if served and node.clock() < served.until_us]
-        versions = {version for served in here for version in served.versions}
+    def check_served(self) -> None:
+        heard = [(node, node.layouts.served) for node in self.nodes.values() if node.up]
+        valid = [served for node, served in heard if served and node.clock() < served.until_us]
+        versions = {version for served in valid for version in served.versions}
         if versions and max(versions) - min(versions) > 1:
             raise Violation(f"versions {sorted(versions)} are served at once")
 
-    def judge_state(self, old: state.State | None, new: state.State | None) -> None:
+    def check_state(self, old: state.State | None, new: state.State | None) -> None:
         assert new is not None
         if old is not None and old.phase != new.phase:
-            self.seen[new.phase] += 1
+            self.counts[new.phase] += 1
         if new.phase == "serving" and (old is None or old.phase != "serving"):
             missing = [bank for bank in BANKS if (bank, new.new) not in self.expanded]
             if missing:
                 raise Violation(f"version {new.new} is served before {missing} offer it")
 
-    def known(self) -> state.State:
+    def current_state(self) -> state.State:
         value = self.registers.get("versions/state", (0, b""))[1]
-        found = state.decode(value) if value else state.first(1)
-        assert found is not None
-        return found
+        known = state.decode(value) if value else state.first(1)
+        assert known is not None
+        return known
 
     def propose(self, node: Node, stay_ms: int = 0, first: str = "") -> None:
-        base = self.known().old
+        base = self.current_state().old
         after = {bank: [first] if first not in ("", bank) else [] for bank in BANKS}
         shards = {bank: {"expand": [["SET", bank, "1"]], "after": after[bank]} for bank in BANKS}
         text = msgspec.json.encode({"version": base + 1, "base": base, "shards": shards, "stay_ms": stay_ms})
-        self.do(node, node.sequencer.propose(1, text, node.clock()))
+        self.apply(node, node.sequencer.propose(1, text, node.clock()))
 
-    def operate(self) -> None:
-        """A word of some operator, at some node."""
+    def send_operator_request(self) -> None:
+        """Send a request of an operator to a random node."""
         node = self.random.choice(list(self.nodes.values()))
         if not node.runs:
             return
-        word = self.random.random()
-        if word < 0.5 or self.known().phase == "idle":
+        choice = self.random.random()
+        if choice < 0.5 or self.current_state().phase == "idle":
             first = self.random.choice(("", *BANKS))
             self.propose(node, self.random.choice((0, 0, 2_000)), first)
-        elif word < 0.8:
-            self.do(node, node.sequencer.back(2, node.clock()))
+        elif choice < 0.8:
+            self.apply(node, node.sequencer.back(2, node.clock()))
         else:
-            self.do(node, node.sequencer.resume(3, node.clock()))
+            self.apply(node, node.sequencer.resume(3, node.clock()))
 
     def play(self, seconds: int = 40) -> None:
-        """A time of faults with operators at work, then none, until all is settled and well."""
+        """Run for a time with faults and operators, then without, until no change is in progress and all agree."""
         while self.now < seconds * 1_000_000:
             self.run(self.random.randrange(200_000, 3_000_000))
-            self.operate()
+            self.send_operator_request()
         self.settle()
 
     def settle(self) -> None:
-        """All faults end; some time later all must be settled and well."""
+        """End all faults; then every change must finish within a minute."""
         self.quiet = True
         self.cuts.clear()
         for node in self.nodes.values():
@@ -469,34 +480,34 @@
                 node.start()
         for _ in range(60):
             self.run(1_000_000)
-            if self.settled():
+            if self.is_settled():
                 return
         logs = [(bank.primary.place(), bank.primary.log) for bank in self.banks.values()]
-        raise Violation(f"not settled: {self.known()}, {logs}")
+        raise Violation(f"not settled: {self.current_state()}, {logs}")
 
-    def until(self, phase: str) -> Node:
-        """Let time pass until the change is there; the node that sequences."""
+    def run_until(self, phase: str) -> Node:
+        """Run until the change reaches this phase; returns the node that sequences."""
         for _ in range(2_000):
             self.step()
-            if self.known().phase == phase:
+            if self.current_state().phase == phase:
                 return self.nodes[self.holder]
-        raise Violation(f"never {phase}: {self.known()}")
+        raise Violation(f"never {phase}: {self.current_state()}")
 
-    def settled(self) -> bool:
-        """Whether no change is on its way, and each version served is served by every bank's every member."""
-        known = self.known()
+    def is_settled(self) -> bool:
+        """Whether no change is in progress, and every member of every bank serves the served version."""
+        known = self.current_state()
         want = decode_wanted(self.registers.get("versions/plan", (0, b""))[1])
         waits = want is not None and want.word == "go" and want.plan is not None and want.plan.version == known.old + 1
         if known.phase != "idle" or waits or not settled(known):
             return False
-        whole = all(one.offers() == {known.old} for bank in self.banks.values() for one in bank.members)
-        return whole and all(
+        is_uniform = all(member.offers() == {known.old} for bank in self.banks.values() for member in bank.members)
+        return is_uniform and all(
             node.layouts.layout("app", 0, node.clock()).version == known.old
-            and all(len(self.able(node, bank, known.old)) == len(bank.members) for bank in self.banks.values())
+            and all(len(self.able_members(node, bank, known.old)) == len(bank.members) for bank in self.banks.values())
             for node in self.nodes.values()
         )
 
 
 def by_chance(seed: int) -> None:
-    """Faults of all kinds, drawn."""
+    """Random faults of all kinds."""
     World(seed).play()
