--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -28,13 +28,13 @@
 put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, may_still_change=False)
 
 
-@instead_of(Ledger, "_busy_until_us", (scenes.cut_off, 0))
-def what_is_out_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
+@instead_of(Ledger, "_busy_until_us", (scenes.node_cut_off, 0))
+def unfinished_requests_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
     return holder.term_until_us.get(version, 0)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 10))
-def what_an_earlier_sequencer_allowed_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
+def grants_of_an_earlier_sequencer_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
     return began(self, -NEVER_US)
 
 
@@ -44,12 +44,12 @@
 
 
 @instead_of(Ledger, "began", (world.by_chance, 1))
-def what_was_begun_under_them_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
+def requests_under_earlier_terms_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
     return began(self, now - self._drain_us)
 
 
-@instead_of(Ledger, "record_status", (scenes.deaf, 0))
-def a_nodes_word_counts_whenever_it_was_sent(
+@instead_of(Ledger, "record_status", (scenes.answers_lost, 0))
+def a_nodes_report_counts_whenever_it_was_sent(
     record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
     for holder in self._holders.values():
@@ -57,15 +57,15 @@
     record_status(self, node, since, 1, busy, now_us)
 
 
-@instead_of(Ledger, "record_status", (scenes.deaf, 0))
-def a_nodes_word_counts_without_a_newer_answer(
+@instead_of(Ledger, "record_status", (scenes.answers_lost, 0))
+def a_nodes_report_counts_without_a_newer_answer(
     record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
     record_status(self, node, since, ask + 1, busy, now_us)
 
 
-@instead_of(Sequencer, "adopt", (scenes.started_again, 0))
-def a_process_speaks_for_the_one_before(adopt: Any, self: Sequencer, who: str, asks: Any, *more: int) -> Any:
+@instead_of(Sequencer, "adopt", (scenes.process_restarted, 0))
+def a_process_reports_for_its_predecessor(adopt: Any, self: Sequencer, who: str, asks: Any, *more: int) -> Any:
     return adopt(self, who, replace(asks, since=1), *more)
 
 
@@ -90,13 +90,13 @@
 
 
 @instead_of(BankTasks, "work", (world.by_chance, 10))
-def failover_not_asked_again(work: Any, self: BankTasks, state: State, *more: Any) -> Any:
+def marker_not_checked_after_a_failover(work: Any, self: BankTasks, state: State, *more: Any) -> Any:
     for bank in state.shards:
         self._tasks.setdefault(bank, BankTask()).check_us = NEVER_US
     return work(self, state, *more)
 
 
-@found_by((scenes.deposed, 0))
+@found_by((scenes.sequencer_cut_off, 0))
 def sequencer_acts_after_its_lease(patch: Patch) -> None:
     for name in ("_act", "_claimed"):
         method = getattr(Sequencer, name)
@@ -105,7 +105,7 @@
     patch.setattr(Sequencer, "adopt", lambda self, who, asks, until, now: adopt(self, who, asks, NEVER_US, now))
 
 
-@instead_of(Adopter, "receive", (scenes.late_answer, 0))
+@instead_of(Adopter, "receive", (scenes.delayed_answer, 0))
 def an_older_answer_taken_after_a_newer_one(receive: Any, self: Adopter, sender: str, message: Any, now: int) -> Any:
     heard, self._answered_ask, asked = self._answered_ask, 0, dict(self._asked)
     news = receive(self, sender, message, now)
@@ -124,13 +124,13 @@
     return receive(self, sender, message, now)
 
 
-@instead_of(marker, "decide", (scenes.held_step, 0))
-def marker_stops_no_older_step(decide: Any, *arguments: Any) -> Any:
+@instead_of(marker, "decide", (scenes.delayed_undo, 0))
+def marker_does_not_fence_older_steps(decide: Any, *arguments: Any) -> Any:
     return {"fenced": "run"}.get(decide(*arguments), decide(*arguments))
 
 
-@instead_of(marker, "decide", (scenes.gap, 0))
-def step_runs_on_a_gap(decide: Any, value: bytes | None, step: int, after: int) -> Any:
+@instead_of(marker, "decide", (scenes.missing_expand, 0))
+def step_runs_without_its_predecessor(decide: Any, value: bytes | None, step: int, after: int) -> Any:
     return decide(value, step, 0)
 
 
--- a/tests/fleet/versions_scenes.py
+++ b/tests/fleet/versions_scenes.py
@@ -9,7 +9,7 @@
 FAR = 10**12
 
 
-def deposed(seed: int) -> None:
+def sequencer_cut_off(seed: int) -> None:
     """The sequencer is cut off from the lease and the acceptors, and one node can reach only this sequencer."""
     world = World(seed, quiet=True, deadline_us=500_000)
     world.run(2_000_000)
@@ -26,7 +26,7 @@
     world.settle()
 
 
-def deaf(seed: int) -> None:
+def answers_lost(seed: int) -> None:
     """A node's questions reach the sequencer, but no answer reaches the node: it serves by the answers it had before.
 
     Its requests are short meanwhile.
@@ -34,7 +34,7 @@
     out_of_reach(World(seed, quiet=True, deadline_us=500_000, term_us=8_000_000))
 
 
-def cut_off(seed: int) -> None:
+def node_cut_off(seed: int) -> None:
     """A node and the sequencer do not reach each other, and its requests take as long as the deadline allows."""
     world = World(seed, quiet=True, deadline_us=6_000_000)
     for node in world.nodes.values():
@@ -55,7 +55,7 @@
     world.settle()
 
 
-def late_answer(seed: int) -> None:
+def delayed_answer(seed: int) -> None:
     """An answer with the old version arrives late, after newer ones arrived and the contract is done."""
     world = World(seed, quiet=True, deadline_us=500_000, term_us=8_000_000)
     world.run(14_000_000)
@@ -79,7 +79,7 @@
     world.settle()
 
 
-def started_again(seed: int) -> None:
+def process_restarted(seed: int) -> None:
     """A node's process ends with long requests of the old version unfinished, which the next process does not know."""
     world = World(seed, quiet=True, deadline_us=6_000_000)
     world.run(8_000_000)
@@ -133,7 +133,7 @@
     assert msgspec.json.decode(world.registers["versions/plan"][1])["plan"]["stay_ms"] == 7
 
 
-def held_step(seed: int) -> None:
+def delayed_undo(seed: int) -> None:
     """An undo is delayed in a socket and runs again after the plan was started anew and has expanded."""
     world = World(seed, quiet=True, deadline_us=500_000)
     world.run(3_000_000)
@@ -156,7 +156,7 @@
     assert world.current_state().old == 2 and world.counts["fenced"] >= 2
 
 
-def gap(seed: int) -> None:
+def missing_expand(seed: int) -> None:
     """A bank fails over to a member that never had the expand, while the contract is in transit."""
     world = World(seed, quiet=True, deadline_us=500_000)
     world.run(3_000_000)
