--- a/oatlink/fleet/versions/bank_tasks.py
+++ b/oatlink/fleet/versions/bank_tasks.py
@@ -59,7 +59,7 @@
         """Start the tasks that are due."""
         for bank in [bank for bank in self._tasks if bank not in state.shards]:
             del self._tasks[bank]
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for bank, shard in state.shards.items():
             task = self._tasks.setdefault(bank, BankTask())
             if task.ask and now_us - task.asked_us < (STEP_TIMEOUT_US if task.step else CHECK_TIMEOUT_US):
@@ -69,7 +69,7 @@
             if now_us >= task.check_us and shard.steps:
                 task.step = 0
                 task.check_us = now_us + (IDLE_CHECK_INTERVAL_US if state.phase == "idle" else CHECK_INTERVAL_US)
-                out.append(AskMarker(self._start(task, now_us), bank))
+                effects.append(AskMarker(self._start(task, now_us), bank))
             elif due is not None and now_us >= task.run_us:
                 step, after = due
                 commands = commands_of(bank, step)
@@ -77,8 +77,8 @@
                     continue
                 task.step = step.number
                 ask = self._start(task, now_us)
-                out.append(RunStep(ask, bank, step.number, after, step.version, step.kind, commands))
-        return out
+                effects.append(RunStep(ask, bank, step.number, after, step.version, step.kind, commands))
+        return effects
 
     def _start(self, task: BankTask, now_us: int) -> int:
         self._ask += 1
--- a/oatlink/fleet/versions/register_cache.py
+++ b/oatlink/fleet/versions/register_cache.py
@@ -59,7 +59,7 @@
 
     def poll(self, now_us: int) -> list[Effect]:
         """Read the registers that were not read recently."""
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for key, known in self._known.items():
             if (known.reading or known.changing) and now_us - known.asked_us >= TIMEOUT_US:
                 if known.changing:
@@ -68,8 +68,8 @@
             if not known.reading and not known.changing and now_us >= known.poll_us:
                 self._ask += 1
                 known.reading, known.asked_us = self._ask, now_us
-                out.append(Read(self._ask, key))
-        return out
+                effects.append(Read(self._ask, key))
+        return effects
 
     def put(self, key: str, value: bytes, now_us: int) -> list[Effect]:
         """Change a register from its known state; does nothing while another change is pending."""
--- a/oatlink/fleet/versions/sequencer.py
+++ b/oatlink/fleet/versions/sequencer.py
@@ -191,21 +191,22 @@
 
     def _advance(self, state: State, now_us: int) -> list[Effect]:
         """Write the state that follows, if it differs."""
-        follows = state
+        following = state
         for bank, (number, history, offset) in list(self._reported.items()):
-            known = states.with_marker(follows, bank, number, history, offset)
-            if known == follows:
+            known = states.with_marker(following, bank, number, history, offset)
+            if known == following:
                 del self._reported[bank]  # the state already contains it
-            follows = known
+            following = known
             if bank in state.shards and number < state.shards[bank].floor:
                 self._note("steps lost", f"bank {bank} shows {number}: a plan that is not known any more is missing")
-        if follows.phase == "idle":
-            follows, effects = self._begin(follows, now_us)
+        if following.phase == "idle":
+            following, effects = self._start_plan(following, now_us)
         else:
-            follows, effects = self._follow(follows, now_us), []
-        return effects + (self._registers.write(follows, now_us) if follows != state else [])
+            following, effects = self._next_state(following, now_us), []
+        return effects + (self._registers.write(following, now_us) if following != state else [])
 
-    def _follow(self, state: State, now_us: int) -> State:
+    def _next_state(self, state: State, now_us: int) -> State:
+        """The state that follows in the change in progress, or the same state."""
         plan, want = self._registers.plan(state.new), self._registers.wanted
         if plan is None:
             if self._registers.is_missing(state.new):
@@ -217,12 +218,13 @@
             self._moved_us = now_us
         back = want is not None and want.word == "back" and want.name == state.plan
         stayed = now_us - self._moved_us >= 1_000 * plan.stay_ms
-        follows = next_state(state, plan, back, stayed, lambda version: self.ledger.drained(version, now_us))
-        if follows.phase != state.phase:
-            self._note("layout", f"version {state.old} to {state.new}, plan {state.plan}: {follows.phase}")
-        return follows
+        following = next_state(state, plan, back, stayed, lambda version: self.ledger.drained(version, now_us))
+        if following.phase != state.phase:
+            self._note("layout", f"version {state.old} to {state.new}, plan {state.plan}: {following.phase}")
+        return following
 
-    def _begin(self, state: State, now_us: int) -> tuple[State, list[Effect]]:
+    def _start_plan(self, state: State, now_us: int) -> tuple[State, list[Effect]]:
+        """The state with the wanted plan started, if that can run now; else what has to be done before."""
         want = self._registers.wanted
         plan = want.plan if want is not None and want.word == "go" else None
         if plan is None or plan.version <= state.old or not settled(state):
--- a/oatlink/fleet/versions/version_registers.py
+++ b/oatlink/fleet/versions/version_registers.py
@@ -44,15 +44,16 @@
         """Accept an answer; True if what operators want may have changed."""
         if self._cache.answer(answer, now_us) and answer.key in RUNS:
             self._copied_text = answer.value
-        if self._is_new(STATE):
+        if self._fence_changed(STATE):
             value = self._cache.value(STATE)
             self.state = states.decode(value) if value else states.first(self._first)
-        if self._is_new(PLAN):
+        if self._fence_changed(PLAN):
             self.wanted = decode_wanted(self._cache.value(PLAN))
             return True
         return False
 
-    def _is_new(self, key: str) -> bool:
+    def _fence_changed(self, key: str) -> bool:
+        """Whether the register has another fence than at the last call."""
         fence = self._cache.fence(key)
         known, self._fences[key] = self._fences[key], fence
         return fence != known
