--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -1,8 +1,8 @@
 """The fleet's checks of a request before anything of it is sent: its tenant's quota and its layout version. No I/O.
 
 The gate (`oatlink.fleet.gate`) answers each question at once. A request that the quota refuses is refused before any
-state of it is kept. A request for which the gate has no grant yet (`HELD`) takes its place in its client's order and
-waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later commands wait
+state of it is kept. A request for which the gate has no grant yet (`GRANT_PENDING`) takes its place in its client's
+order and waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later commands wait
 for it as for any open request. Admitted requests are charged for good, even if the client leaves. Otherwise a client
 could send, leave and send again without limit.
 """
@@ -11,7 +11,7 @@
 from oatlink.core.boxes import Boxes
 from oatlink.core.sessions import PendingRequest, Session, failure, over_quota, unserved
 from oatlink.core.shared import BoxState
-from oatlink.fleet.gate import HELD, Seen
+from oatlink.fleet.gate import GRANT_PENDING, Seen
 from oatlink.fleet.messages import Marker
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.settings.model import RequestClass
@@ -101,7 +101,7 @@
                 self._probe(state)
 
     def _check_quota(self, session: Session, rule: RequestClass, command: str, keys: list[bytes], cost: int) -> int:
-        """0 to go on, `HELD` to wait for a grant, above 0 to refuse: the microseconds after which to retry."""
+        """0 to go on, `GRANT_PENDING` to wait for a grant, above 0 to refuse: the microseconds after which to retry."""
         retry_after_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now)
         if retry_after_us > 0:
             self.counts["over_quota"] = self.counts.get("over_quota", 0) + 1
@@ -135,7 +135,7 @@
                 continue
             command, keys, cost = ask.gated
             retry_after_us = self._gate.admit(session.user, session.name, keys, command, cost, self._now, again=True)
-            if retry_after_us == HELD:
+            if retry_after_us == GRANT_PENDING:
                 self._quota_retry_us = self._now + QUOTA_RETRY_INTERVAL_US
                 self._waiting_for_grant[ask.id] = ask
                 continue
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -324,7 +324,7 @@
                 return
         request = self._new_request(session, rule, slots, writes, encode_command(args))
         request.version = version
-        if quota_retry_us:  # `HELD`
+        if quota_retry_us:  # `GRANT_PENDING`
             self._wait_for_grant(request, spec.name, keys, 1)
         if session.lease:
             request.lease = session.lease
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -155,7 +155,7 @@
     version, numbers, gauss = book.random.getstate()
     random_state = [version, list(numbers), gauss]
     hashed = settings_hash(engine.settings)
-    head = Head(__version__, hashed, now_us, engine_state, router_state, random_state, engine.gate.remembered())
+    head = Head(__version__, hashed, now_us, engine_state, router_state, random_state, engine.gate.snapshot())
     payload = msgspec.msgpack.encode(head)
     return MAGIC + xxhash.xxh64_digest(payload) + payload
 
@@ -198,7 +198,7 @@
         version, numbers, gauss = head.random
         engine.router.state.random = random.Random()
         engine.router.state.random.setstate((version, tuple(numbers), gauss))
-        engine.gate.recall(head.gate)
+        engine.gate.restore(head.gate)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise SnapshotError(f"{name}: {type(error).__name__}: {error}") from None
     return engine
--- a/oatlink/core/transactions.py
+++ b/oatlink/core/transactions.py
@@ -99,7 +99,7 @@
         request.lease = session.lease
         if not session.lease and rule.wait_replicas:
             request.alone = True
-        if quota_retry_us:  # `HELD`
+        if quota_retry_us:  # `GRANT_PENDING`
             self._wait_for_grant(request, "exec", key, len(queued))
         self._add_request(session, request)
 
@@ -127,7 +127,7 @@
         session.watching += [slot for slot in slots if slot not in session.watching]
         request = self._new_request(session, PINNED, slots, True, encode_command(args))
         request.lease, request.is_watch = session.lease, True
-        if quota_retry_us:  # `HELD`
+        if quota_retry_us:  # `GRANT_PENDING`
             self._wait_for_grant(request, spec.name, keys, 1)
         self._add_request(session, request)
 
--- a/oatlink/fleet/gating.py
+++ b/oatlink/fleet/gating.py
@@ -88,8 +88,8 @@
         """See `Gate.demands`."""
         return self._allowances.demands(now_us)
 
-    def remembered(self) -> object:
-        """See `Gate.remembered`."""
+    def snapshot(self) -> object:
+        """See `Gate.snapshot`."""
         allowances, layouts = self._allowances, self._layouts
         drawn = served = None
         if layouts is not None:
@@ -98,8 +98,8 @@
         active = {name: msgspec.to_builtins(state) for name, state in allowances.active.items()}
         return [active, allowances.draws, allowances.swept_us, allowances.is_suspended, drawn, served]
 
-    def recall(self, value: object) -> None:
-        """See `Gate.recall`."""
+    def restore(self, value: object) -> None:
+        """See `Gate.restore`."""
         stored: tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None] = msgspec.convert(
             value, tuple[dict[str, AllowanceState], int, int, bool, Any, Served | None]
         )
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -5,8 +5,8 @@
 proof in `buckets` needs that). A request is paid from the floor first, as the coordinator divides what the nodes need
 beyond their floors.
 
-- The first request after an idle period finds empty buckets. For `PATIENCE_US` it is `HELD` where waiting may help: no
-  grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is admitted
+- The first request after an idle period finds empty buckets. For `PATIENCE_US` it is `GRANT_PENDING` where waiting may
+  help: no grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is admitted
   or refused.
 - A refused request gets the time until the buckets could pay, plus a random part of the time that all recently refused
   requests need together, so that they do not all come back at the same moment.
@@ -26,7 +26,7 @@
 
 import xxhash
 
-from oatlink.fleet.gate import ADMITTED, HELD, Granted
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING, Granted
 from oatlink.fleet.limits.allowance import REQUEST_UNITS, Allowance, floor_of, pool_of
 from oatlink.fleet.limits.buckets import SECOND_US, Bucket
 from oatlink.fleet.limits.coordinator import GRANT_TERM_US, MAX_DEMAND_FACTOR
@@ -68,9 +68,10 @@
     is_suspended: bool = False  # nothing may be admitted, not even from floors
 
     def admit(self, name: str, cost: int, now_us: int, again: bool = False) -> int:
-        """Return `ADMITTED`, `HELD`, or the microseconds after which to come back.
+        """Return `ADMITTED`, `GRANT_PENDING`, or the microseconds after which to come back.
 
-        A name without a rule is not limited. `again`: the request was `HELD` before, so it is in the demand already.
+        A name without a rule is not limited. `again`: the request was `GRANT_PENDING` before, so it is in the demand
+        already.
         """
         state = self.active.get(name) or self._open(name, now_us)
         if state is None:
@@ -113,7 +114,7 @@
             wait_us = MAX_RETRY_US // 2 if is_live else GRANT_TERM_US
         patience_end_us = state.opened_us + PATIENCE_US
         if now_us < patience_end_us and (not is_live or now_us + wait_us <= patience_end_us):
-            return HELD
+            return GRANT_PENDING
         state.refused += per_s
         max_demand = self._max_demand(name, state, now_us)
         state.asked, state.refused = min(state.asked, max_demand), min(state.refused, max_demand)
--- a/oatlink/fleet/limits/requester.py
+++ b/oatlink/fleet/limits/requester.py
@@ -76,7 +76,7 @@
 
     @property
     def due_us(self) -> int:
-        """When to call `request` next; it is due at once when the gate answers `HELD`."""
+        """When to call `request` next; it is due at once when the gate answers `GRANT_PENDING`."""
         if any(shard.is_reduced for shard in self._shards):
             return self._requested_us + MIN_ASK_US
         asked = (shard.asked_us for shard in self._shards if shard.coordinator and shard.names)
--- a/oatlink/lab/fleetsim/banks.py
+++ b/oatlink/lab/fleetsim/banks.py
@@ -162,12 +162,12 @@
         if self._happens(0.1):
             reply = (-1, "", -1)
         else:
-            reply = (marker.shown(member.marker_value()), member.history, member.offset)
+            reply = (marker.completed_step(member.marker_value()), member.history, member.offset)
         self._call_later(process.deliver, process.call_node, lambda node, now: node.marked(request.ask, *reply, now))
 
     def _begin_step(self, process: "Process", step: f.RunStep) -> None:
         member = self._connect(step.bank)
-        verdict = marker.verdict(member.marker_value(), step.step, step.after)
+        verdict = marker.decide(member.marker_value(), step.step, step.after)
         if verdict != "run" or self._happens(0.1):
             self._end_step(process, step, "unknown" if verdict == "run" else verdict, member)
         else:
@@ -192,7 +192,7 @@
             self._call_later(self._seal_step, process, step, member, history)
 
     def _seal_step(self, process: "Process", step: f.RunStep, member: Member, history: str) -> None:
-        begun_value = marker.written(step.step, step.version, False)
+        begun_value = marker.encode(step.step, step.version, False)
         if not member.is_primary or member.history != history or member.marker_value() != begun_value:
             self._end_step(process, step, "unknown", member)
             return
--- a/oatlink/lab/fleetsim/load.py
+++ b/oatlink/lab/fleetsim/load.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from oatlink.fleet.gate import ADMITTED, HELD
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING
 
 if TYPE_CHECKING:
     from oatlink.lab.fleetsim.process import Process
@@ -89,7 +89,7 @@
                 continue
             while clients.due_requests >= 1:
                 answer = admit(tenant, "", [], "get", 1, now, clients.is_retry)
-                clients.is_retry = answer == HELD
+                clients.is_retry = answer == GRANT_PENDING
                 if answer == ADMITTED:
                     self.admitted += 1
                     check_admitted(process, tenant)
@@ -98,7 +98,7 @@
                     by_second[second] = by_second.get(second, 0) + 1
                 else:
                     self.refused += answer > 0
-                    has_held = has_held or answer == HELD
+                    has_held = has_held or answer == GRANT_PENDING
                     clients.retry_at_us = now + max(0, answer)
                     if clients.mode != "no_retry":
                         break
--- a/oatlink/lab/fleetsim/members.py
+++ b/oatlink/lab/fleetsim/members.py
@@ -41,7 +41,7 @@
         if not self.log:
             return None
         operation, number, version, _, _ = self.log[-1][1]
-        return marker.written(number, version, operation == "seal")
+        return marker.encode(number, version, operation == "seal")
 
     def write(self, *operations: Operation) -> None:
         """Append one write of a client (no operations) or of a step."""
--- a/oatlink/lab/fleetsim/verdicts_checker.py
+++ b/oatlink/lab/fleetsim/verdicts_checker.py
@@ -1,7 +1,7 @@
 """Checks during the run that verdicts about members stay within their limits.
 
 - A verdict is one of the three acts. A member is put later for at most `LATER_US`, never if it served this process
-  within `STANDS_US`, and never if that would put half of its bank later.
+  within `SERVED_PRIORITY_US`, and never if that would put half of its bank later.
 - A member is put later only if two other gateways really observed a failure of it lately. A reported position is one
   that the member really reached.
 - Evidence spreads within its time bound. This is counted and not checked here, because gossip picks peers at random.
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from oatlink.fleet.gate import Seen
+from oatlink.fleet.verdicts.statements import SERVED_PRIORITY_US
 from oatlink.fleet.verdicts.weigh import ACTS, LATER_US
-from oatlink.fleet.verdicts.words import STANDS_US
 from oatlink.lab.fleetsim import views
 from oatlink.lab.fleetsim.observations import FAILURE_KINDS
 from oatlink.lab.fleetsim.violation import Violation
@@ -67,8 +67,8 @@
         later_until[news.member] = news.until_us
         if news.until_us > now_us + LATER_US:
             raise Violation("verdicts", f"{process.name} puts {news.member} later for {news.until_us - now_us} us")
-        served_us = self._last_served.get((process, news.member), -STANDS_US)
-        if now_us - served_us < STANDS_US:
+        served_us = self._last_served.get((process, news.member), -SERVED_PRIORITY_US)
+        if now_us - served_us < SERVED_PRIORITY_US:
             raise Violation(
                 "verdicts", f"{process.name} puts {news.member} later, which served it {now_us - served_us} us ago"
             )
--- a/oatlink/lab/fleetsim/views.py
+++ b/oatlink/lab/fleetsim/views.py
@@ -32,7 +32,7 @@
         return {}
     return {
         (item.evidence.witness, item.evidence.member, item.evidence.kind): item.kept_us
-        for item in node._verdicts._spread._known.items()
+        for item in node._verdicts._spread._store.items()
     }
 
 
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -5,7 +5,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from oatlink.fleet.gate import ADMITTED, HELD, Granted
+from oatlink.fleet.gate import ADMITTED, GRANT_PENDING, Granted
 from oatlink.fleet.limits.allowance import REQUEST_UNITS
 from oatlink.fleet.limits.coordinator import LimitCoordinator
 from oatlink.fleet.limits.node import Allowances
@@ -186,7 +186,7 @@
             backlog = min(machine.backlog.get(name, 0.0) + rate * STEP_US / 1e6, max(2.0, rate * 0.03))
             while backlog >= 1:
                 answer = machine.gate.admit(name, 1, clock)
-                held = held or answer == HELD
+                held = held or answer == GRANT_PENDING
                 if answer == ADMITTED:
                     self.admitted.append((self.now, name, machine.name))
                 elif self.hammer:
--- a/tests/fleet/versions_sabotage.py
+++ b/tests/fleet/versions_sabotage.py
@@ -1,4 +1,4 @@
-"""One guard taken out each, and the play in which the judge of `versions_world` finds it: (play, seed, the patch)."""
+"""Mutations that each remove one safeguard, and the scenario and seed in which `versions_world` detects each."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,64 +8,64 @@
 from oatlink.fleet.messages import NEVER_US, Marker
 from oatlink.fleet.versions import marker, moves, sequencer
 from oatlink.fleet.versions.asking import Adopter
-from oatlink.fleet.versions.books import Books
+from oatlink.fleet.versions.bank_tasks import BankTask, BankTasks
 from oatlink.fleet.versions.compatible import Place
-from oatlink.fleet.versions.errands import Errand, Errands
 from oatlink.fleet.versions.ledger import Ledger
 from oatlink.fleet.versions.node import Layouts
 from oatlink.fleet.versions.sequencer import Sequencer
 from oatlink.fleet.versions.state import State, is_done
+from oatlink.fleet.versions.version_registers import VersionRegisters
 from tests.fleet import versions_scenes as scenes
 from tests.fleet import versions_world as world
 from tests.fleet.guards import Guards, Patch
 
-SABOTAGES = Guards[tuple[Callable[[int], None], int]]()
-put, instead_of, found_by = SABOTAGES.put, SABOTAGES.instead_of, SABOTAGES.found_by
+MUTATIONS = Guards[tuple[Callable[[int], None], int]]()
+put, instead_of, found_by = MUTATIONS.put, MUTATIONS.instead_of, MUTATIONS.found_by
 Busy = tuple[int, ...]
 
 
-put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _out_until=lambda self, holder, version: 0)
-put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), Books, unsure=False)
+put("contract_one_lease_too_early", (world.by_chance, 2), Ledger, _busy_until_us=lambda self, holder, version: 0)
+put("plan_copied_while_another_may_begin", (scenes.begun_late, 0), VersionRegisters, may_still_change=False)
 
 
-@instead_of(Ledger, "_out_until", (scenes.cut_off, 0))
-def what_is_out_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
-    return holder.until.get(version, 0)
+@instead_of(Ledger, "_busy_until_us", (scenes.node_cut_off, 0))
+def unfinished_requests_not_waited_for(_: Any, self: Ledger, holder: Any, version: int) -> Any:
+    return holder.term_until_us.get(version, 0)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 10))
-def what_an_earlier_sequencer_allowed_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
+def grants_of_an_earlier_sequencer_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
     return began(self, -NEVER_US)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 10))
 def an_earlier_sequencers_terms_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
-    return began(self, now - self._earlier_us + self._out_us)
+    return began(self, now - self._earlier_us + self._drain_us)
 
 
 @instead_of(Ledger, "began", (world.by_chance, 1))
-def what_was_begun_under_them_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
-    return began(self, now - self._out_us)
+def requests_under_earlier_terms_not_waited_for(began: Any, self: Ledger, now: int) -> Any:
+    return began(self, now - self._drain_us)
 
 
-@instead_of(Ledger, "heard", (scenes.deaf, 0))
-def a_nodes_word_counts_whenever_it_was_sent(
-    heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
+@instead_of(Ledger, "record_status", (scenes.answers_lost, 0))
+def a_nodes_report_counts_whenever_it_was_sent(
+    record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
     for holder in self._holders.values():
-        holder.last.clear()
-    heard(self, node, since, 1, busy, now_us)
+        holder.last_ask.clear()
+    record_status(self, node, since, 1, busy, now_us)
 
 
-@instead_of(Ledger, "heard", (scenes.deaf, 0))
-def a_nodes_word_counts_without_a_newer_answer(
-    heard: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
+@instead_of(Ledger, "record_status", (scenes.answers_lost, 0))
+def a_nodes_report_counts_without_a_newer_answer(
+    record_status: Any, self: Ledger, node: str, since: int, ask: int, busy: Busy, now_us: int
 ) -> None:
-    heard(self, node, since, ask + 1, busy, now_us)
+    record_status(self, node, since, ask + 1, busy, now_us)
 
 
-@instead_of(Sequencer, "adopt", (scenes.started_again, 0))
-def a_process_speaks_for_the_one_before(adopt: Any, self: Sequencer, who: str, asks: Any, *more: int) -> Any:
+@instead_of(Sequencer, "adopt", (scenes.process_restarted, 0))
+def a_process_reports_for_its_predecessor(adopt: Any, self: Sequencer, who: str, asks: Any, *more: int) -> Any:
     return adopt(self, who, replace(asks, since=1), *more)
 
 
@@ -86,30 +86,30 @@
             return replace(state, phase="serving", served=(state.old, state.new))
         return moves._intend(state, more[0], "expand")
 
-    patch.setitem(moves._FOLLOW, "expanding", expanding)
+    patch.setitem(moves._TRANSITIONS, "expanding", expanding)
 
 
-@instead_of(Errands, "work", (world.by_chance, 10))
-def failover_not_asked_again(work: Any, self: Errands, state: State, *more: Any) -> Any:
+@instead_of(BankTasks, "work", (world.by_chance, 10))
+def marker_not_checked_after_a_failover(work: Any, self: BankTasks, state: State, *more: Any) -> Any:
     for bank in state.shards:
-        self._banks.setdefault(bank, Errand()).look_us = NEVER_US
+        self._tasks.setdefault(bank, BankTask()).check_us = NEVER_US
     return work(self, state, *more)
 
 
-@found_by((scenes.deposed, 0))
+@found_by((scenes.sequencer_cut_off, 0))
 def sequencer_acts_after_its_lease(patch: Patch) -> None:
-    for name in ("_go", "_claimed"):
+    for name in ("_act", "_claimed"):
         method = getattr(Sequencer, name)
         patch.setattr(Sequencer, name, lambda self, until, now, method=method: method(self, NEVER_US, now))
     adopt = Sequencer.adopt
     patch.setattr(Sequencer, "adopt", lambda self, who, asks, until, now: adopt(self, who, asks, NEVER_US, now))
 
 
-@instead_of(Adopter, "receive", (scenes.late_answer, 0))
+@instead_of(Adopter, "receive", (scenes.delayed_answer, 0))
 def an_older_answer_taken_after_a_newer_one(receive: Any, self: Adopter, sender: str, message: Any, now: int) -> Any:
-    heard, self._heard, asked = self._heard, 0, dict(self._asked)
+    heard, self._answered_ask, asked = self._answered_ask, 0, dict(self._asked)
     news = receive(self, sender, message, now)
-    self._asked, self._heard = asked, max(heard, self._heard)
+    self._asked, self._answered_ask = asked, max(heard, self._answered_ask)
     return news
 
 
@@ -124,35 +124,35 @@
     return receive(self, sender, message, now)
 
 
-@instead_of(marker, "verdict", (scenes.held_step, 0))
-def marker_stops_no_older_step(word: Any, *asked: Any) -> Any:
-    return {"fenced": "run"}.get(word(*asked), word(*asked))
+@instead_of(marker, "decide", (scenes.delayed_undo, 0))
+def marker_does_not_fence_older_steps(decide: Any, *arguments: Any) -> Any:
+    return {"fenced": "run"}.get(decide(*arguments), decide(*arguments))
 
 
-@instead_of(marker, "verdict", (scenes.gap, 0))
-def step_runs_on_a_gap(word: Any, value: bytes | None, step: int, after: int) -> Any:
-    return word(value, step, 0)
+@instead_of(marker, "decide", (scenes.missing_expand, 0))
+def step_runs_without_its_predecessor(decide: Any, value: bytes | None, step: int, after: int) -> Any:
+    return decide(value, step, 0)
 
 
 @found_by((scenes.begun_late_by_another, 0))
 def no_claim_before_acting(patch: Patch) -> None:
-    answer, began = Books.answer, Sequencer.began
+    answer, began = VersionRegisters.answer, Sequencer.began
 
-    def as_ours(self: Any, given: Any, now_us: int) -> bool:
-        news = answer(self, given, now_us)
+    def claimed_answer(self: Any, received: Any, now_us: int) -> bool:
+        is_new = answer(self, received, now_us)
         self.state = replace(self.state, fence=self.lease) if self.state is not None else None
-        return news
+        return is_new
 
     def begins(self: Any, fence: int, now_us: int) -> None:
         began(self, fence, now_us)
-        self._books.lease = fence
+        self._registers.lease = fence
 
-    patch.setattr(Books, "answer", as_ours)
+    patch.setattr(VersionRegisters, "answer", claimed_answer)
     patch.setattr(Sequencer, "began", begins)
 
 
 @instead_of(sequencer, "begin", (scenes.lost_undo, 0))
 def undo_forgotten_by_the_next_beginning(begin: Any, state: State, *more: Any) -> State:
     begun: State = begin(state, *more)
-    kept = {name: tuple(one for one in shard.steps if one.kind != "undo") for name, shard in begun.shards.items()}
+    kept = {name: tuple(step for step in shard.steps if step.kind != "undo") for name, shard in begun.shards.items()}
     return replace(begun, shards={name: replace(begun.shards[name], steps=steps) for name, steps in kept.items()})
