--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -2,9 +2,9 @@
 
 The gate (`oatlink.fleet.gate`) answers each question at once. A request that the quota refuses is refused before any
 state of it is kept. A request for which the gate has no grant yet (`GRANT_PENDING`) takes its place in its client's
-order and waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later commands wait
-for it as for any open request. Admitted requests are charged for good, even if the client leaves. Otherwise a client
-could send, leave and send again without limit.
+order and waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later
+commands wait for it as for any open request. Admitted requests are charged for good, even if the client leaves.
+Otherwise a client could send, leave and send again without limit.
 """
 
 from oatlink.core import messages as m
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -6,8 +6,8 @@
 beyond their floors.
 
 - The first request after an idle period finds empty buckets. For `PATIENCE_US` it is `GRANT_PENDING` where waiting may
-  help: no grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is admitted
-  or refused.
+  help: no grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is
+  admitted or refused.
 - A refused request gets the time until the buckets could pay, plus a random part of the time that all recently refused
   requests need together, so that they do not all come back at the same moment.
 - A request whose cost exceeds what the buckets of the floor and of a whole pool can ever hold gets the longest time.
