--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 
 # Run in the unpacked wheel: prints `code_kind()` and, for each recording, the counts of inputs and differences, the
-# choices recorded by `told`, and the final state of an engine that was restored from snapshots on the way.
+# sends recorded by `recorded_sends`, and the final state of an engine that was restored from snapshots on the way.
 REPORT_SCRIPT = """
 import sys
 from itertools import islice
@@ -28,7 +28,7 @@
 from oatlink.core.explain import recorded_sends
 from oatlink.core.recording import Recording, replay
 from oatlink.core.snapshot import restore_engine, take_snapshot
-print(native.code())
+print(native.code_kind())
 for file in sys.argv[1:]:
     data = open(file, "rb").read()
     recording = Recording(data)
@@ -40,7 +40,7 @@
     engine = Engine(recording.header.settings, recording.header.began_us)
     for index, entry in enumerate(islice(recording.entries(), 1500)):
         engine.handle(entry.given, entry.now_us)
-        if at % 500 == 250:
+        if index % 500 == 250:
             engine = restore_engine(take_snapshot(engine, entry.now_us), recording.header.settings)
     print(sorted(map(repr, engine.box_statuses())))
 """
