--- a/oatlink/lab/against.py
+++ b/oatlink/lab/against.py
@@ -1,7 +1,8 @@
-"""A recording's requests driven at a running gateway: the same commands by as many connections, answers compared.
+"""Replays the commands of a recording against a running gateway and compares the replies.
 
-What is compared is how each command ended (served, refused, failed, or the prefix of another error), not its bytes:
-the data behind the two gateways differ. Commands are sent at the recorded times, stretched by `pace`.
+Each recorded client gets one connection. Only the outcome of a command is compared (served, refused, failed, or the
+prefix of another error), not its bytes, because the data behind the two gateways differ. Commands are sent at their
+recorded times, multiplied by `pace`.
 """
 
 import asyncio
@@ -16,116 +17,118 @@
 from oatlink.gateway.links import connect
 from oatlink.protocols.resp import ProtocolError, ReplyReader, encode_command
 
-PATIENCE_S = 10.0
+REPLY_TIMEOUT_S = 10.0
 
 
 @dataclass(slots=True)
-class Said:
-    """One client of a recording: what it asked and when, and how each was answered."""
+class RecordedClient:
+    """One client of a recording: its commands with their times, and the outcome of each."""
 
-    asked: list[tuple[int, list[bytes]]] = field(default_factory=list)
+    commands: list[tuple[int, list[bytes]]] = field(default_factory=list)
     reader: ReplyReader = field(default_factory=ReplyReader)
-    ended: list[str] = field(default_factory=list)
-    before: int = 0  # answers still owed when the recording began
+    outcomes: list[str] = field(default_factory=list)
+    pending_at_start: int = 0  # replies that were still pending when the recording began
     greeting: list[list[bytes]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Compared:
-    """Counts of (command, how it ended then, how it ended now)."""
+class Comparison:
+    """Counts of (command, recorded outcome, replayed outcome)."""
 
     pairs: Counter[tuple[str, str, str]] = field(default_factory=Counter)
 
     @property
     def differences(self) -> int:
-        """Commands that ended otherwise."""
+        """The number of commands whose replayed outcome differs from the recorded one."""
         return sum(count for (_, then, now), count in self.pairs.items() if then != now)
 
 
-def ending(reply: bytes) -> str:
-    """How a reply ends its command."""
+def outcome_of(reply: bytes) -> str:
+    """Return the outcome that a reply means for its command."""
     if reply[:1] != b"-":
         return "served"
-    word = reply[1:32].split(b" ", 1)[0].rstrip().decode("latin1")
-    if word == "TRYAGAIN":
+    prefix = reply[1:32].split(b" ", 1)[0].rstrip().decode("latin1")
+    if prefix == "TRYAGAIN":
         return "refused"
-    return "failed" if reply.startswith(b"-ERR failed") else f"error {word}"
+    return "failed" if reply.startswith(b"-ERR failed") else f"error {prefix}"
 
 
-def clients_of(recording: Recording) -> dict[int, Said]:
-    """The clients of a recording. Raises `RecordingError` where bytes were left out of it."""
+def clients_of(recording: Recording) -> dict[int, RecordedClient]:
+    """Return the clients of a recording by number. Raises `RecordingError` if the recording is redacted."""
     if recording.header.settings.record_redact != "none":
         raise RecordingError("the recording is redacted: what clients sent is not in it")
-    found: dict[int, Said] = defaultdict(Said)
+    clients_by_number: dict[int, RecordedClient] = defaultdict(RecordedClient)
     operators: set[int] = set()
     if recording.header.snapshot:
-        # What was asked before the part began is answered in it; what clients had said of themselves holds on.
+        # This part of a recording has replies to commands that were sent before it; these replies are skipped. The
+        # protocol version and client name that were set before it are sent again first.
         for number, session in engine_of(recording.header).sessions.items():
-            said = found[number]
-            said.before = len(session.places)
-            said.greeting = [[b"HELLO", b"%d" % session.protocol]] if session.protocol != 2 else []
+            client = clients_by_number[number]
+            client.pending_at_start = len(session.places)
+            client.greeting = [[b"HELLO", b"%d" % session.protocol]] if session.protocol != 2 else []
             if session.name:
-                said.greeting.append([b"CLIENT", b"SETNAME", session.name.encode()])
+                client.greeting.append([b"CLIENT", b"SETNAME", session.name.encode()])
             if session.admin:
                 operators.add(number)
     for entry in recording.entries():
         if isinstance(entry.given, m.Opened) and entry.given.admin:
             operators.add(entry.given.client)
         if isinstance(entry.given, m.Asked):
-            found[entry.given.client].asked.append((entry.now_us, entry.given.args))
+            clients_by_number[entry.given.client].commands.append((entry.now_us, entry.given.args))
         for effect in entry.effects:
             if isinstance(effect, m.Answer):
-                said = found[effect.client]
-                said.reader.feed(effect.data)
-                while (frame := said.reader.take()) is not None:
-                    if said.before:
-                        said.before -= 1
+                client = clients_by_number[effect.client]
+                client.reader.feed(effect.data)
+                while (frame := client.reader.take()) is not None:
+                    if client.pending_at_start:
+                        client.pending_at_start -= 1
                     else:
-                        said.ended.append(ending(frame))
+                        client.outcomes.append(outcome_of(frame))
     for number in operators:
-        found.pop(number, None)
-    return found
+        clients_by_number.pop(number, None)
+    return clients_by_number
 
 
-async def drive(clients: dict[int, Said], address: str, pace: float) -> Compared:
-    """Send it all to a gateway. Raises `DialError` where nobody is there."""
-    compared = Compared()
-    first = min((said.asked[0][0] for said in clients.values() if said.asked), default=0)
-    began = time.monotonic()
+async def drive(clients: dict[int, RecordedClient], address: str, pace: float) -> Comparison:
+    """Send all commands to a gateway and compare. Raises `DialError` if the gateway cannot be reached."""
+    comparison = Comparison()
+    first_us = min((client.commands[0][0] for client in clients.values() if client.commands), default=0)
+    start_s = time.monotonic()
 
-    async def one(said: Said) -> None:
+    async def replay_client(client: RecordedClient) -> None:
         stream = await connect(address, 3.0)
         reader = ReplyReader()
-        now: list[str] = []
-        greetings = len(said.greeting)
+        replayed: list[str] = []
+        pending_greetings = len(client.greeting)
 
         async def send() -> None:
-            for args in said.greeting:
+            for args in client.greeting:
                 await stream.write(encode_command(args))
-            for at_us, args in said.asked:
-                wait = began + (at_us - first) / 1e6 * pace - time.monotonic()
+            for at_us, args in client.commands:
+                wait = start_s + (at_us - first_us) / 1e6 * pace - time.monotonic()
                 if wait > 0:
                     await asyncio.sleep(wait)
                 await stream.write(encode_command(args))
 
         sender = asyncio.ensure_future(send())
         try:
-            while len(now) < len(said.asked):
-                async with asyncio.timeout(PATIENCE_S + (0 if sender.done() else 3_600)):
+            while len(replayed) < len(client.commands):
+                async with asyncio.timeout(REPLY_TIMEOUT_S + (0 if sender.done() else 3_600)):
                     reader.feed(await stream.read_bytes(65_536, partial=True))
                 while (frame := reader.take()) is not None:
-                    if greetings:
-                        greetings -= 1
+                    if pending_greetings:
+                        pending_greetings -= 1
                     else:
-                        now.append(ending(frame))
+                        replayed.append(outcome_of(frame))
         except (StreamClosedError, ProtocolError, TimeoutError):
             pass
         sender.cancel()
         stream.close()
-        for at, (_, args) in enumerate(said.asked):
-            then = said.ended[at] if at < len(said.ended) else "unanswered"
+        for index, (_, args) in enumerate(client.commands):
+            then = client.outcomes[index] if index < len(client.outcomes) else "unanswered"
+            now = replayed[index] if index < len(replayed) else "unanswered"
             name = args[0].decode("latin1").upper()
-            compared.pairs[name, then, now[at] if at < len(now) else "unanswered"] += 1
+            comparison.pairs[name, then, now] += 1
 
-    await asyncio.gather(*[one(said) for said in clients.values() if said.asked])
-    return compared
+    await asyncio.gather(*[replay_client(client) for client in clients.values() if client.commands])
+    return comparison
--- a/oatlink/lab/embedded.py
+++ b/oatlink/lab/embedded.py
@@ -1,4 +1,4 @@
-"""Banks of stand-ins in this process, and the settings of a gateway before them."""
+"""Runs banks of stand-in boxes in this process and makes the settings of gateways in front of them."""
 
 import asyncio
 import json
@@ -31,24 +31,25 @@
 
 
 def reserve(family: socket.AddressFamily = socket.AF_INET) -> socket.socket:
-    """A socket that holds a port of loopback for as long as it is open, and still lets a server listen on it.
+    """Return a socket that reserves a loopback port while it is open, and still lets a server listen on that port.
 
-    Threat: a port found free and bound later is taken meanwhile by some client's outgoing connection. Linux hands
-    no such connection a port that is bound, and lets a second socket bind it while the first does not listen.
+    Prevents an outgoing connection of some client from taking a free port between its choice and the server's bind.
+    Linux never assigns a bound port to an outgoing connection, and lets a second socket bind the same port while the
+    first one does not listen.
     """
-    one = socket.socket(family)
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    one.bind(("127.0.0.1" if family == socket.AF_INET else "::1", 0))
-    return one
+    reserved = socket.socket(family)
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1" if family == socket.AF_INET else "::1", 0))
+    return reserved
 
 
-def port_of(one: socket.socket) -> int:
-    """The port that a socket holds."""
-    return int(one.getsockname()[1])
+def port_of(reserved: socket.socket) -> int:
+    """Return the port that a socket is bound to."""
+    return int(reserved.getsockname()[1])
 
 
 class Embedded:
-    """Stand-in banks with fixed ports, so that gateways in other processes find them after a restart too."""
+    """Stand-in banks on fixed ports, so that gateways in other processes still find a box after its restart."""
 
     def __init__(
         self,
@@ -61,33 +62,33 @@
         detect_s: tuple[float, float] = (0.6, 1.0),
         paths: bool = False,
     ) -> None:
-        """With `paths`, each box is also reached by a Unix socket and, where the machine has it, by IPv6."""
+        """With `paths`, each box also listens on a Unix socket and, if the machine supports it, on IPv6."""
         self.banks = [
             Bank(
-                f"bank-{at}",
-                [f"box-{at}-{one}" for one in range(members)],
+                f"bank-{bank_number}",
+                [f"box-{bank_number}-{box_number}" for box_number in range(members)],
                 seed=seed,
                 work=work,
                 tap=tap,
                 detect_s=detect_s,
             )
-            for at in range(banks)
+            for bank_number in range(banks)
         ]
         self.seed = seed
         self.states: dict[str, str] = {}
         self._reserved = {box.name: reserve() for bank in self.banks for box in bank.boxes}
-        self._ports = {name: port_of(one) for name, one in self._reserved.items()}
+        self._ports = {name: port_of(reserved) for name, reserved in self._reserved.items()}
         self._folder = tempfile.mkdtemp(prefix="oatlink-") if paths else ""
         if paths:
             for box in self.boxes.values():
                 box.addresses["unix"] = f"unix:{self._folder}/{box.name}"
                 try:
-                    held = reserve(socket.AF_INET6)
+                    reserved = reserve(socket.AF_INET6)
                 except OSError:
                     continue
-                self._reserved[f"{box.name}/ipv6"] = held
-                box.addresses["ipv6"] = f"[::1]:{port_of(held)}"
-        self._control: list[Callable[[], None]] = []
+                self._reserved[f"{box.name}/ipv6"] = reserved
+                box.addresses["ipv6"] = f"[::1]:{port_of(reserved)}"
+        self._control_closers: list[Callable[[], None]] = []
 
     @property
     def boxes(self) -> dict[str, Box]:
@@ -95,7 +96,7 @@
         return {box.name: box for bank in self.banks for box in bank.boxes}
 
     async def start(self) -> Callable[[], None]:
-        """Start all; what it returns ends them."""
+        """Start all banks and return a callable that stops them."""
         for bank in self.banks:
             bank.start([self._ports[box.name] for box in bank.boxes])
         for bank in self.banks:
@@ -103,39 +104,39 @@
         return self.stop
 
     def stop(self) -> None:
-        """End all."""
-        for remove in self._control:
+        """Stop all banks and release their ports and files."""
+        for remove in self._control_closers:
             remove()
         for bank in self.banks:
             bank.stop()
-        for one in self._reserved.values():
-            one.close()
+        for reserved in self._reserved.values():
+            reserved.close()
         if self._folder:
             shutil.rmtree(self._folder, ignore_errors=True)
 
     def roster(self) -> list[dict[str, object]]:
-        """The banks as settings and roster files name them; members marked `gone` are left out."""
-        found: list[dict[str, object]] = []
-        for at, bank in enumerate(self.banks):
+        """Return the banks in the form of settings and roster files, without members whose state is `gone`."""
+        rows: list[dict[str, object]] = []
+        for bank_number, bank in enumerate(self.banks):
             count = len(self.banks)
-            slots = [[SLOTS * at // count, SLOTS * (at + 1) // count - 1]]
+            slots = [[SLOTS * bank_number // count, SLOTS * (bank_number + 1) // count - 1]]
             members = [
                 {
                     "name": box.name,
                     "address": f"127.0.0.1:{self._ports[box.name]}",
                     "hall": HALLS[number % len(HALLS)],
                     "state": self.states.get(box.name, "ready"),
-                    "paths": [{"address": one} for one in box.addresses.values()],
+                    "paths": [{"address": address} for address in box.addresses.values()],
                 }
                 for number, box in enumerate(bank.boxes)
                 if self.states.get(box.name) != "gone"
             ]
-            found.append({"name": bank.name, "slots": slots, "members": members})
-        return found
+            rows.append({"name": bank.name, "slots": slots, "members": members})
+        return rows
 
     def template(self, port: int, *, workers: int = 1, log_level: str = "warning", more: str = "{}") -> str:
-        """A settings template for a gateway before these banks."""
-        wait = 1 if all(len(one.boxes) > 1 for one in self.banks) else 0
+        """Return Jsonnet settings of a gateway in front of these banks, with the Jsonnet object `more` merged in."""
+        wait = 1 if all(len(bank.boxes) > 1 for bank in self.banks) else 0
         return (
             f"{{ listen: ['127.0.0.1:{port}'], seed: {self.seed}, workers: {workers}, hall: '{HALLS[0]}',\n"
             f"  logs: {{ level: '{log_level}', form: 'console' }},\n"
@@ -143,16 +144,16 @@
         )
 
     def settings(self, port: int, workers: int = 1, log_level: str = "warning", more: str = "{}") -> Settings:
-        """The same, checked."""
+        """Return the settings of `template`, loaded and validated."""
         return load_text(self.template(port, workers=workers, log_level=log_level, more=more), "embedded")
 
-    # ---- The control port ----
+    # ---- Control port ----
 
     def control(self, port: int = 0) -> int:
-        """Listen for fault commands on loopback; returns the port."""
+        """Listen for control commands (faults, crashes, handovers) on loopback and return the port."""
         sock = bind_sockets(port, "127.0.0.1", family=socket.AF_INET)[0]
-        self._control.append(add_accept_handler(sock, self._accept))
-        self._control.append(sock.close)
+        self._control_closers.append(add_accept_handler(sock, self._accept))
+        self._control_closers.append(sock.close)
         return int(sock.getsockname()[1])
 
     def _accept(self, sock: socket.socket, _: object) -> None:
@@ -164,20 +165,20 @@
             while True:
                 reader.feed(await stream.read_bytes(65_536, partial=True))
                 while (args := reader.take()) is not None:
-                    await stream.write(await self._controlled([one.decode("utf-8", "replace") for one in args]))
+                    await stream.write(await self._execute([arg.decode("utf-8", "replace") for arg in args]))
         except ProtocolError as problem:
             await stream.write(error(str(problem)))
             stream.close()
         except StreamClosedError:
             pass
 
-    async def _controlled(self, words: list[str]) -> bytes:
+    async def _execute(self, words: list[str]) -> bytes:
         name, boxes = words[0].upper(), self.boxes
         if name == "BOXES":
             return bulk(
                 "\n".join(
-                    f"{one.name} {one.port} {'primary' if one.is_primary else 'replica'} {one.offset}"
-                    for one in boxes.values()
+                    f"{box.name} {box.port} {'primary' if box.is_primary else 'replica'} {box.offset}"
+                    for box in boxes.values()
                 ).encode()
             )
         if name == "FAULT" and len(words) == 4 and words[1] in boxes and hasattr(boxes[words[1]].faults, words[2]):
@@ -194,9 +195,9 @@
             elif not box.running:
                 box.start()
             return b"+OK\r\n"
-        if name == "HANDOVER" and len(words) == 2 and words[1] in {one.name for one in self.banks}:
-            chosen = await next(one for one in self.banks if one.name == words[1]).hand_over()
-            return bulk(chosen.name.encode()) if chosen is not None else error("ERR no replica could take over")
+        if name == "HANDOVER" and len(words) == 2 and words[1] in {bank.name for bank in self.banks}:
+            promoted = await next(bank for bank in self.banks if bank.name == words[1]).hand_over()
+            return bulk(promoted.name.encode()) if promoted is not None else error("ERR no replica could take over")
         if name == "PING":
             return b"+PONG\r\n"
         if name == "INFO":
