--- a/oatlink/lab/day.py
+++ b/oatlink/lab/day.py
@@ -1,7 +1,7 @@
-"""A planned day of trouble: gateways in processes of their own, stand-ins and clients here, all on loopback.
+"""Runs a planned fault scenario ("day") on loopback: gateways as processes; stand-in boxes and clients in this process.
 
-The clients and the stand-ins record every byte on their sockets; `oatlink.audit` judges from that alone. A
-schedule is data: `{at: share of the day, do: what, ...}`, so that any sort of trouble can be pushed through.
+Clients and stand-ins record every byte on their sockets, and `oatlink.audit` checks the invariants from these records
+alone. A schedule is data, with steps like `{at: share of the run, do: action, ...}`, so any fault can be scheduled.
 """
 
 import asyncio
@@ -11,22 +11,22 @@
 
 from oatlink.audit.capture import Capture
 from oatlink.audit.invariants import OWN_KEYS, InvariantChecker, Terms
-from oatlink.lab.days.clients import Clients, Watch, operate
-from oatlink.lab.days.commands import Commands
-from oatlink.lab.days.final import final
+from oatlink.lab.days.clients import Clients, LagMonitor, poll_gateway
+from oatlink.lab.days.commands import CommandFactory
+from oatlink.lab.days.faults import StepRunner
+from oatlink.lab.days.final import read_final_tokens
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.report import Report
 from oatlink.lab.days.schedule import SCENARIOS, Scenario, Step, load_scenario
-from oatlink.lab.days.trouble import Trouble
 from oatlink.lab.days.world import COLD_SHARE, GRACE_US, STALENESS_MS, WARM_S, World, now_us
 from oatlink.lab.embedded import Embedded, port_of, reserve
 from oatlink.standins.box import WorkProfile
 
-__all__ = ["SCENARIOS", "Day", "Report", "Scenario", "Step", "load_scenario", "play"]
+__all__ = ["SCENARIOS", "Report", "Scenario", "ScenarioRun", "Step", "load_scenario", "play"]
 
 
-class Day:
-    """One run."""
+class ScenarioRun:
+    """One run of a scenario, with its invariant check."""
 
     def __init__(
         self,
@@ -37,89 +37,91 @@
         record_to: str = "",
         ask_every_s: float = 0.0,
     ) -> None:
-        self._ask_every_s = ask_every_s
+        self._poll_every_s = ask_every_s
         work_us = int(scenario.work_ms * 1000)
         self._work = WorkProfile(work_us, work_us, 4, COLD_SHARE, WARM_S)
         embedded = Embedded(
-            scenario.banks, scenario.members, seed, work=self._work, tap=self._tap, paths=scenario.paths
+            scenario.banks, scenario.members, seed, work=self._work, tap=self._record_bytes, paths=scenario.paths
         )
         self._reserved = [reserve() for _ in range(2 * scenario.gateways)]
-        ports = [port_of(one) for one in self._reserved]
+        ports = [port_of(reserved) for reserved in self._reserved]
         self.world = World(
             scenario, seed, seconds, embedded, Capture(), ports[: scenario.gateways], ports[scenario.gateways :]
         )
-        self.watch = Watch()
+        self.lag_monitor = LagMonitor()
         self.gateways = self.make_gateways(command_line, record_to)
-        self.commands = Commands()
+        self.commands = CommandFactory()
         self.clients = Clients(self.world, self.commands)
 
     def make_gateways(self, command_line: list[str] | None, record_to: str) -> Gateways:
-        """The processes; a day of a fleet has other settings for them."""
+        """Return the gateway processes; a fleet scenario overrides this to add its settings."""
         return Gateways(self.world, command_line, record_to)
 
-    def _tap(self, box: str, connection: int, way: str, data: bytes) -> None:
-        self.world.capture.add(now_us(), box, connection, way == "out", data)
+    def _record_bytes(self, box: str, connection: int, direction: str, data: bytes) -> None:
+        self.world.capture.add(now_us(), box, connection, direction == "out", data)
 
-    def _applied(self, box: str, args: list[bytes]) -> None:
+    def _record_applied(self, box: str, args: list[bytes]) -> None:
         if args[0] == b"XADD" and args[1].startswith(OWN_KEYS):
             self.world.capture.add_applied(now_us(), box, args)
 
     async def run(self) -> Report:
-        """Play the day and judge it."""
+        """Run the scenario and check the invariants."""
         world = self.world
         with tempfile.TemporaryDirectory(prefix="oatlink-day-") as folder:
             world.roster = Path(folder) / "roster.json"
-            end = await world.embedded.start()
+            stop_banks = await world.embedded.start()
             for box in world.embedded.boxes.values():
-                box._started_s -= WARM_S  # the day begins with a warm fleet
-                box.on_applied = self._applied
+                box._started_s -= WARM_S  # the boxes are past their warm-up when the run begins
+                box.on_applied = self._record_applied
             world.write_roster()
             try:
-                await self.before(Path(folder))
+                await self.prepare(Path(folder))
                 await self.gateways.start(Path(folder))
                 world.end_s = time.monotonic() + world.seconds
                 await self.play()
                 self.stop_us = now_us()
-                found = await final(world.embedded)
+                final_tokens = await read_final_tokens(world.embedded)
                 codes = await self.gateways.stop()
             finally:
                 await self.gateways.kill()
-                await self.after()
-                for held in self._reserved:
-                    held.close()
-                end()
-        verdict = InvariantChecker(world.capture, self.terms(), self.stop_us).check(found)
-        if any(code for at, code in enumerate(codes) if at not in self.killed()):
-            verdict.violations["one_answer"].append(f"gateways ended with {codes}")
-        elections = sum(one.elections for one in world.embedded.banks)
-        return Report(verdict, elections, world.steps, codes, self.watch.worst_ms)
-
-    async def before(self, folder: Path) -> None:
-        """What must be there before the gateways start."""
-
-    async def after(self) -> None:
-        """What must go once they have ended."""
-
-    def killed(self) -> set[int]:
-        """Gateways that were killed and not started again; their exit codes are the day's own doing."""
+                await self.clean_up()
+                for reserved in self._reserved:
+                    reserved.close()
+                stop_banks()
+        result = InvariantChecker(world.capture, self.terms(), self.stop_us).check(final_tokens)
+        if any(code for number, code in enumerate(codes) if number not in self.killed_gateways()):
+            result.violations["one_answer"].append(f"gateways ended with {codes}")
+        elections = sum(bank.elections for bank in world.embedded.banks)
+        return Report(result, elections, world.steps, codes, self.lag_monitor.worst_ms)
+
+    async def prepare(self, folder: Path) -> None:
+        """Set up what the gateways need before they start."""
+
+    async def clean_up(self) -> None:
+        """Release what `prepare` set up, after the gateways have ended."""
+
+    def killed_gateways(self) -> set[int]:
+        """Return the gateways that a fault killed without a restart; their exit codes are not violations."""
         return set()
 
     async def play(self) -> None:
-        """Clients, trouble and operators, until the last client has gone."""
-        clients = self.clients.begin()
-        beside = [
-            asyncio.ensure_future(Trouble(self.world, self.clients).run()),
-            asyncio.ensure_future(self.watch.run()),
+        """Run clients, faults and operators until the last client has ended."""
+        clients = self.clients.start()
+        background = [
+            asyncio.ensure_future(StepRunner(self.world, self.clients).run()),
+            asyncio.ensure_future(self.lag_monitor.run()),
         ]
-        if self._ask_every_s:
-            beside += [asyncio.ensure_future(operate(port, self._ask_every_s)) for port in self.world.admin_ports]
+        if self._poll_every_s:
+            background += [
+                asyncio.ensure_future(poll_gateway(port, self._poll_every_s)) for port in self.world.admin_ports
+            ]
         await asyncio.gather(*clients)
-        await self.clients.over()
-        for one in beside:
-            one.cancel()
+        await self.clients.wait_for_bursts()
+        for task in background:
+            task.cancel()
 
     def terms(self) -> Terms:
-        """What was promised."""
+        """Return the terms that the invariant checker holds the gateways to."""
         return Terms(
             classes={
                 "view": ("bounded", 2_000_000, STALENESS_MS * 1000),
@@ -127,7 +129,7 @@
                 "own": ("session", 2_000_000, 0),
                 "post": ("latest", 3_000_000, 0),
             },
-            harness_delay_us=int(self.watch.worst_ms * 1000),
+            harness_delay_us=int(self.lag_monitor.worst_ms * 1000),
             drain_grace_us=GRACE_US,
             cold_window_us=1_000_000,
             cold_load_factor=4.0,
@@ -146,8 +148,9 @@
     record_to: str = "",
     ask_every_s: float = 0.0,
 ) -> Report:
-    """Play and judge one day; with `record_to`, each gateway's recording is that path and its number.
+    """Run and check one scenario.
 
-    With `ask_every_s`, an operator asks each gateway what it believes, so often.
+    With `record_to`, each gateway writes a recording to that path with its number appended. With `ask_every_s`, an
+    operator polls each gateway at that interval.
     """
-    return asyncio.run(Day(scenario, seed, seconds, command_line, record_to, ask_every_s).run())
+    return asyncio.run(ScenarioRun(scenario, seed, seconds, command_line, record_to, ask_every_s).run())
--- a/oatlink/lab/days/__init__.py
+++ b/oatlink/lab/days/__init__.py
@@ -1,1 +1,1 @@
-"""What a planned day is made of: its schedule, processes, clients, trouble, and what is read at its end."""
+"""The parts of a scenario run: its schedule, gateway processes, clients, faults, and the data read at its end."""
--- a/oatlink/lab/days/clients.py
+++ b/oatlink/lab/days/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a day: open-loop ones, those of a crowd that ask at one instant, floods, and operators."""
+"""The clients of a scenario: open-loop clients, crowds that send at one instant, floods, and polling operators."""
 
 import asyncio
 import contextlib
@@ -9,136 +9,141 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from oatlink.gateway.links import connect
-from oatlink.lab.days.commands import Commands
+from oatlink.lab.days.commands import CommandFactory
 from oatlink.lab.days.world import World, now_us
 from oatlink.protocols.resp import ReplyReader, command
 
 SHARES = (("view", 0.62, 4), ("check", 0.1, 2), ("own", 0.14, 3), ("post", 0.14, 3))
-"""Kind, its share of the rate, its clients at each gateway."""
+"""Kind of client, its share of the request rate, and its number of clients at each gateway."""
+MAX_PENDING = 32  # requests of one open-loop client
 
 
 class Clients:
-    """All clients; every byte of theirs is kept."""
+    """Runs all clients; every byte that they send or receive is recorded."""
 
-    def __init__(self, world: World, commands: Commands) -> None:
+    def __init__(self, world: World, commands: CommandFactory) -> None:
         self._world, self._commands = world, commands
-        self._crowds: list[asyncio.Task[None]] = []
+        self._burst_tasks: list[asyncio.Task[None]] = []
 
-    def begin(self) -> list["asyncio.Task[None]"]:
-        """Begin the open-loop clients; each task ends with its client."""
+    def start(self) -> list["asyncio.Task[None]"]:
+        """Start the open-loop clients; each task ends when its client does."""
         scenario = self._world.scenario
         rate = scenario.rate / scenario.gateways
         return [
-            asyncio.ensure_future(self._client(f"client-{kind}-{at}-{number}", kind, port, rate * share / count))
-            for at, port in enumerate(self._world.ports)
+            asyncio.ensure_future(
+                self._run_open_loop_client(f"client-{kind}-{gateway}-{number}", kind, port, rate * share / count)
+            )
+            for gateway, port in enumerate(self._world.ports)
             for kind, share, count in SHARES
             for number in range(count)
         ]
 
-    async def over(self) -> None:
-        """Until the last of the crowds has gone."""
-        await asyncio.gather(*self._crowds)
+    async def wait_for_bursts(self) -> None:
+        """Wait until all clients of crowds and floods have ended."""
+        await asyncio.gather(*self._burst_tasks)
 
-    async def _client(self, place: str, kind: str, port: int, rate: float) -> None:
-        """An open-loop client: it sends when it is time to, whatever is still unanswered, at most 32 at once."""
+    async def _run_open_loop_client(self, place: str, kind: str, port: int, rate: float) -> None:
+        """Send at random times whether or not replies are pending, with at most `MAX_PENDING` requests pending."""
         world, rng = self._world, random.Random(f"{self._world.seed}/{place}")
         stream = await connect(f"127.0.0.1:{port}", 5)
-        reader, owed = ReplyReader(), 0
-        room = asyncio.Event()
+        reader, pending = ReplyReader(), 0
+        replied = asyncio.Event()
 
         async def receive() -> None:
-            nonlocal owed
+            nonlocal pending
             with contextlib.suppress(StreamClosedError):
                 while True:
-                    reader.feed(await world.hear(place, stream))
+                    reader.feed(await world.receive(place, stream))
                     while reader.take() is not None:
-                        owed -= 1
-                        room.set()
+                        pending -= 1
+                        replied.set()
 
         async def send(data: bytes) -> None:
-            nonlocal owed
-            owed += 1
-            await world.say(place, stream, data)
+            nonlocal pending
+            pending += 1
+            await world.send(place, stream, data)
 
         receiver = asyncio.ensure_future(receive())
         await send(command("CLIENT", "SETNAME", f"{kind}-{place.split('-', 2)[2]}"))
-        due = time.monotonic() + rng.expovariate(rate)
+        due_s = time.monotonic() + rng.expovariate(rate)
         try:
-            while due < world.end_s:
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
-                while owed >= 32 and not stream.closed():
-                    room.clear()
-                    await room.wait()
-                await send(self._commands.next(kind, place, rng))
-                due += rng.expovariate(rate)
-            end = time.monotonic() + 3.5
-            while owed > 0 and time.monotonic() < end and not stream.closed():
+            while due_s < world.end_s:
+                await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+                while pending >= MAX_PENDING and not stream.closed():
+                    replied.clear()
+                    await replied.wait()
+                await send(self._commands.next_command(kind, place, rng))
+                due_s += rng.expovariate(rate)
+            deadline_s = time.monotonic() + 3.5
+            while pending > 0 and time.monotonic() < deadline_s and not stream.closed():
                 await asyncio.sleep(0.02)
         except StreamClosedError:
             pass
-        await asyncio.sleep(0.1)  # an answer too many would still be seen
+        await asyncio.sleep(0.1)  # so that a surplus reply would still be recorded
         receiver.cancel()
         stream.close()
 
     # ---- Crowds and floods ----
 
-    async def gather_crowd(self, number: int, size: int) -> None:
-        """Connect them all beforehand; then they ask at once."""
-        start, kinds = asyncio.Event(), ("view", "view", "view", "check", "own", "post")
-        for at in range(size):
-            place = f"client-{kinds[at % 6]}-{at % len(self._world.ports)}-crowd{number}.{at}"
-            self._crowds.append(asyncio.ensure_future(self._one_of_crowd(place, at, start)))
+    async def start_crowd(self, number: int, size: int) -> None:
+        """Connect `size` clients, then let all of them send one request at the same instant."""
+        go, kinds = asyncio.Event(), ("view", "view", "view", "check", "own", "post")
+        for index in range(size):
+            place = f"client-{kinds[index % 6]}-{index % len(self._world.ports)}-crowd{number}.{index}"
+            self._burst_tasks.append(asyncio.ensure_future(self._run_crowd_client(place, index, go)))
         await asyncio.sleep(size / 2_000)
-        start.set()
+        go.set()
 
-    def flood(self, number: int, depth: int, seconds: float) -> None:
-        """Eight connections of one client, with so many commands out on each all the while."""
+    def start_flood(self, number: int, depth: int, seconds: float) -> None:
+        """Keep `depth` commands pending on each of eight connections of one client."""
         end_s = time.monotonic() + seconds
-        for at in range(8):
-            place = f"client-view-{at % len(self._world.ports)}-flood{number}.{at}"
-            self._crowds.append(asyncio.ensure_future(self._flood(place, at, depth, end_s)))
+        for index in range(8):
+            place = f"client-view-{index % len(self._world.ports)}-flood{number}.{index}"
+            self._burst_tasks.append(asyncio.ensure_future(self._run_flood_client(place, index, depth, end_s)))
 
-    async def _one_of_crowd(self, place: str, at: int, start: asyncio.Event) -> None:
+    async def _run_crowd_client(self, place: str, index: int, go: asyncio.Event) -> None:
         world = self._world
         kind, rng = place.split("-")[1], random.Random(f"{world.seed}/{place}")
-        await asyncio.sleep(at / 3_000)
+        await asyncio.sleep(index / 3_000)
         with contextlib.suppress(StreamClosedError):
-            stream = await connect(f"127.0.0.1:{world.ports[at % len(world.ports)]}", 5)
+            stream = await connect(f"127.0.0.1:{world.ports[index % len(world.ports)]}", 5)
             reader = ReplyReader()
-            await world.say(place, stream, command("CLIENT", "SETNAME", f"{kind}-{place.split('-', 2)[2]}"))
-            await self._hear(place, stream, reader, 1)
-            await start.wait()
-            await world.say(place, stream, self._commands.next(kind, place, rng))
-            await self._hear(place, stream, reader, 1)
+            await world.send(place, stream, command("CLIENT", "SETNAME", f"{kind}-{place.split('-', 2)[2]}"))
+            await self._read_replies(place, stream, reader, 1)
+            await go.wait()
+            await world.send(place, stream, self._commands.next_command(kind, place, rng))
+            await self._read_replies(place, stream, reader, 1)
             await asyncio.sleep(0.2)
             stream.close()
 
-    async def _flood(self, place: str, at: int, depth: int, end_s: float) -> None:
+    async def _run_flood_client(self, place: str, index: int, depth: int, end_s: float) -> None:
         world = self._world
         rng = random.Random(f"{world.seed}/{place}")
         with contextlib.suppress(StreamClosedError):
-            stream = await connect(f"127.0.0.1:{world.ports[at % len(world.ports)]}", 5)
+            stream = await connect(f"127.0.0.1:{world.ports[index % len(world.ports)]}", 5)
             reader = ReplyReader()
-            await world.say(place, stream, command("CLIENT", "SETNAME", f"view-{place.split('-', 2)[2]}"))
-            await self._hear(place, stream, reader, 1)
+            await world.send(place, stream, command("CLIENT", "SETNAME", f"view-{place.split('-', 2)[2]}"))
+            await self._read_replies(place, stream, reader, 1)
             while time.monotonic() < end_s:
-                await world.say(place, stream, b"".join(self._commands.next("view", place, rng) for _ in range(depth)))
-                await self._hear(place, stream, reader, depth)
+                await world.send(
+                    place, stream, b"".join(self._commands.next_command("view", place, rng) for _ in range(depth))
+                )
+                await self._read_replies(place, stream, reader, depth)
             stream.close()
 
-    async def _hear(self, place: str, stream: IOStream, reader: ReplyReader, count: int) -> None:
-        """Read so many replies, or as many as come within 5 s."""
+    async def _read_replies(self, place: str, stream: IOStream, reader: ReplyReader, count: int) -> None:
+        """Read `count` replies, or those that arrive within 5 s."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(5):
                 while count:
                     while count and reader.take() is not None:
                         count -= 1
                     if count:
-                        reader.feed(await self._world.hear(place, stream))
+                        reader.feed(await self._world.receive(place, stream))
 
 
-async def operate(port: int, every_s: float) -> None:
-    """One who asks a gateway again and again what it believes, until cancelled."""
+async def poll_gateway(port: int, every_s: float) -> None:
+    """Poll the status commands of a gateway in turn, as an operator does, until cancelled."""
     stream = await connect(f"127.0.0.1:{port}", 5)
     reader = ReplyReader()
     try:
@@ -151,19 +156,19 @@
         stream.close()
 
 
-class Watch:
-    """How late this process runs: a harness that is itself too slow must say so."""
+class LagMonitor:
+    """Measures how late this process runs, so that a report shows when the harness itself was too slow."""
 
     def __init__(self) -> None:
         self.worst_ms = 0.0
-        self.times: list[tuple[int, float]] = []  # when it was late by more than 20 ms, and by how much
+        self.lags: list[tuple[int, float]] = []  # time in microseconds, and the lag if above 20 ms
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Measure until cancelled."""
         while True:
-            at = time.monotonic()
+            start_s = time.monotonic()
             await asyncio.sleep(0.02)
-            late_ms = (time.monotonic() - at - 0.02) * 1000
-            self.worst_ms = max(self.worst_ms, late_ms)
-            if late_ms > 20 and len(self.times) < 10_000:
-                self.times.append((now_us(), late_ms))
+            lag_ms = (time.monotonic() - start_s - 0.02) * 1000
+            self.worst_ms = max(self.worst_ms, lag_ms)
+            if lag_ms > 20 and len(self.lags) < 10_000:
+                self.lags.append((now_us(), lag_ms))
--- a/oatlink/lab/days/final.py
+++ b/oatlink/lab/days/final.py
@@ -1,4 +1,4 @@
-"""What the banks hold at the end of a day, read over sockets."""
+"""Reads the data that the banks hold at the end of a run, over sockets."""
 
 import asyncio
 import time
@@ -9,8 +9,8 @@
 from oatlink.standins.box import PathFaults
 
 
-async def final(embedded: Embedded) -> dict[bytes, list[bytes]]:
-    """All tokens, read from each bank's primary over a socket once the trouble is over."""
+async def read_final_tokens(embedded: Embedded) -> dict[bytes, list[bytes]]:
+    """Clear all faults, then return the tokens stored under each key, read from the primary of each bank."""
     for box in embedded.boxes.values():
         box.faults.hang, box.faults.lag_ms, box.faults.die_on_write, box.faults.cut_replies = False, 0, False, 0
         box.faults.slow = 1.0
@@ -18,10 +18,10 @@
             box.paths[name] = PathFaults()
         if not box.running:
             box.start()
-    end = time.monotonic() + 8
-    found: dict[bytes, list[bytes]] = {}
+    deadline_s = time.monotonic() + 8
+    tokens: dict[bytes, list[bytes]] = {}
     for bank in embedded.banks:
-        while bank.primary is None and time.monotonic() < end:
+        while bank.primary is None and time.monotonic() < deadline_s:
             await asyncio.sleep(0.05)
         primary = bank.primary
         if primary is None:
@@ -29,26 +29,26 @@
         stream = await connect(f"127.0.0.1:{primary.port}", 2)
         reader = ReplyReader()
 
-        async def ask(words: bytes, stream: "object" = stream, reader: ReplyReader = reader) -> Array:
-            await stream.write(words)  # type: ignore[attr-defined]
+        async def request(data: bytes, stream: "object" = stream, reader: ReplyReader = reader) -> Array:
+            await stream.write(data)  # type: ignore[attr-defined]
             while (frame := reader.take()) is None:
                 reader.feed(await stream.read_bytes(1 << 20, partial=True))  # type: ignore[attr-defined]
             value = decode(frame)
             assert isinstance(value, Array)
             return value
 
-        for key in (await ask(command("KEYS", "*"))).items:
+        for key in (await request(command("KEYS", "*"))).items:
             assert isinstance(key, bytes)
             if key.startswith((b"layout:", b"oatlink:")):
-                continue  # what a change of layout has put there
+                continue  # written by a layout change
             if key.startswith(b"log:"):
-                rows = await ask(command("LRANGE", key, 0, -1))
-                found[key] = [one for one in rows.items if isinstance(one, bytes)]
+                rows = await request(command("LRANGE", key, 0, -1))
+                tokens[key] = [item for item in rows.items if isinstance(item, bytes)]
             else:
-                rows = await ask(command("XRANGE", key, "-", "+"))
-                found[key] = [_token(one) for one in rows.items]
+                rows = await request(command("XRANGE", key, "-", "+"))
+                tokens[key] = [_token(entry) for entry in rows.items]
         stream.close()
-    return found
+    return tokens
 
 
 def _token(entry: object) -> bytes:
--- a/oatlink/lab/days/report.py
+++ b/oatlink/lab/days/report.py
@@ -1,4 +1,4 @@
-"""What came of a day, as people and programs read it."""
+"""The report of a run, for people and programs."""
 
 from dataclasses import dataclass, field
 
@@ -7,46 +7,45 @@
 
 @dataclass(slots=True)
 class Report:
-    """What came of a day."""
+    """What the invariant checker and the harness found in one run."""
 
     verdict: CheckResult
     elections: int = 0
     steps: list[str] = field(default_factory=list)
     gateway_codes: list[int] = field(default_factory=list)
-    lag_of_harness_ms: float = 0.0
+    harness_lag_ms: float = 0.0
 
     @property
     def kept(self) -> bool:
-        """Whether every rule was kept."""
+        """Whether no invariant was violated."""
         return self.verdict.passed
 
     def as_json(self) -> dict[str, object]:
-        """The documented JSON."""
-        verdict = self.verdict
-        share = verdict.bounded_at_replicas / verdict.bounded_reads if verdict.bounded_reads else 0.0
+        """Return the report in its documented JSON form."""
+        result = self.verdict
+        share = result.bounded_at_replicas / result.bounded_reads if result.bounded_reads else 0.0
         return {
-            "requests": verdict.requests,
-            "served": verdict.served,
-            "refused": verdict.refused,
-            "failed": verdict.failed,
-            "unanswered": verdict.unanswered,
-            "lost_with_gateways": verdict.lost_with_gateways,
-            "answered_twice": verdict.answered_twice,
-            "ran_twice": verdict.ran_twice,
-            "stale_reads": verdict.stale_reads,
-            "stalest_us": verdict.stalest_us,
-            "late": verdict.late,
-            "bounded_reads": verdict.bounded_reads,
+            "requests": result.requests,
+            "served": result.served,
+            "refused": result.refused,
+            "failed": result.failed,
+            "unanswered": result.unanswered,
+            "lost_with_gateways": result.lost_with_gateways,
+            "answered_twice": result.answered_twice,
+            "ran_twice": result.ran_twice,
+            "stale_reads": result.stale_reads,
+            "stalest_us": result.stalest_us,
+            "late": result.late,
+            "bounded_reads": result.bounded_reads,
             "bounded_at_replicas": round(share, 3),
-            "slowest_served_post_us": verdict.slowest_served_post_us,
+            "slowest_served_post_us": result.slowest_served_post_us,
             "in_time": {
-                name: round(verdict.in_time_by_kind[name] / count, 3)
-                for name, count in verdict.requests_by_kind.items()
+                name: round(result.in_time_by_kind[name] / count, 3) for name, count in result.requests_by_kind.items()
             },
             "elections": self.elections,
             "steps": self.steps,
-            "harness_lag_ms": round(self.lag_of_harness_ms, 1),
+            "harness_lag_ms": round(self.harness_lag_ms, 1),
             "gateway_exit_codes": self.gateway_codes,
-            "violations": verdict.violation_counts(),
-            "examples": {rule: found[:3] for rule, found in verdict.violations.items() if found},
+            "violations": result.violation_counts(),
+            "examples": {rule: texts[:3] for rule, texts in result.violations.items() if texts},
         }
--- a/oatlink/lab/days/schedule.py
+++ b/oatlink/lab/days/schedule.py
@@ -1,4 +1,4 @@
-"""What happens on a day, as data: steps, scenarios, those that are built in."""
+"""Scenarios as data: the steps of a schedule, and the built-in scenarios."""
 
 from typing import Annotated, Literal
 
@@ -9,11 +9,12 @@
 
 
 class Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that happens. `box` may be a name, `primary:BANK` or `replica:BANK`; `hall` a number.
+    """One action of a schedule, such as a fault of a box, a roster change or a burst of clients.
 
-    `crowd`: `value` connections at all gateways together ask at the same instant, each once, over all classes.
-    From `silence` on, what happens happens to one address of the box, `path`: see `standins.box.PathFaults`.
-    `flood`: one client with eight connections, `value` commands out on each all the while, until `back` has passed.
+    `box` may be a name, `primary:BANK` or `replica:BANK`; `hall` is a number.
+    `crowd`: `value` connections, spread over all gateways and all classes, send one request each at the same instant.
+    `flood`: one client keeps `value` commands pending on each of eight connections until `back` has passed.
+    `silence` and the actions after it affect one address of the box, named by `path`; see `standins.box.PathFaults`.
     """
 
     at: Annotated[float, Meta(ge=0, le=1)]
@@ -42,18 +43,18 @@
         "reset_replies",
     ]
     box: str = ""
-    path: str = ""  # which of the box's addresses: `unix`, `ipv6`, or empty for its first
+    path: str = ""  # an address of the box: `unix`, `ipv6`, or empty for its first one
     bank: int = 0
     hall: int = 0
     value: float = 0.0
-    back: float = 0.0  # share of the day after which it is undone; 0: not
+    back: float = 0.0  # share of the run after which the step is undone; 0: never
 
 
-PATHS = ("silence", "deafen", "refuse", "slow_path", "lose_answers", "reset_requests", "reset_replies")
+PATH_FAULTS = ("silence", "deafen", "refuse", "slow_path", "lose_answers", "reset_requests", "reset_replies")
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A schedule, the fleet and the load it is played with."""
+    """A schedule, with the fleet and the load that it runs against."""
 
     steps: tuple[Step, ...]
     banks: Annotated[int, Meta(gt=0, le=16)] = 2
@@ -61,27 +62,27 @@
     gateways: Annotated[int, Meta(gt=0, le=16)] = 2
     rate: Annotated[float, Meta(gt=0)] = 160.0
     work_ms: Annotated[float, Meta(gt=0)] = 4.0
-    paths: bool = False  # boxes are also reached by Unix sockets and IPv6
+    paths: bool = False  # boxes also listen on Unix sockets and IPv6
 
 
-def _losses() -> tuple[Step, ...]:
-    """The address in use, lost in every way, again and again, at primaries and replicas."""
+def _address_losses() -> tuple[Step, ...]:
+    """Repeatedly break the address in use, in every way, at primaries and replicas."""
     steps = []
-    for at in range(12):
-        box = ("primary:0", "replica:0", "primary:1")[at % 3]
-        do, value, back = (("silence", 0.0, 0.035), ("reset_replies", 3.0, 0.0))[at % 2]
-        steps.append(Step(0.06 + 0.06 * at, do, box=box, path="unix", value=value, back=back))  # type: ignore[arg-type]
+    for index in range(12):
+        box = ("primary:0", "replica:0", "primary:1")[index % 3]
+        do, value, back = (("silence", 0.0, 0.035), ("reset_replies", 3.0, 0.0))[index % 2]
+        steps.append(Step(0.06 + 0.06 * index, do, box=box, path="unix", value=value, back=back))  # type: ignore[arg-type]
     steps.append(Step(0.80, "deafen", box="primary:0", path="unix", back=0.05))
     steps.append(Step(0.84, "lose_answers", box="primary:1", path="unix", back=0.05))
     steps.append(Step(0.90, "refuse", box="replica:0", path="unix", back=0.04))
     return tuple(steps)
 
 
-def _unanswered() -> tuple[Step, ...]:
-    """Replicas that lag, and writes whose answers break off, are lost or come after a silence, again and again."""
-    steps = [Step(0.02, "lag", box=f"box-{bank}-{one}", value=2_500, back=0.9) for bank in (0, 1) for one in (1, 2)]
-    for at in range(16):
-        steps.append(Step(0.05 + 0.05 * at, "cut", box=f"primary:{at % 2}", value=6))
+def _unanswered_writes() -> tuple[Step, ...]:
+    """Make replicas lag, and repeatedly cut, drop or delay the replies to writes."""
+    steps = [Step(0.02, "lag", box=f"box-{bank}-{box}", value=2_500, back=0.9) for bank in (0, 1) for box in (1, 2)]
+    for index in range(16):
+        steps.append(Step(0.05 + 0.05 * index, "cut", box=f"primary:{index % 2}", value=6))
     steps.append(Step(0.30, "lose_answers", box="primary:0", back=0.06))
     steps.append(Step(0.50, "lose_answers", box="primary:1", back=0.06))
     steps.append(Step(0.70, "hang", box="primary:0", back=0.05))
@@ -90,7 +91,7 @@
 
 SCENARIOS = {
     "quiet": Scenario(()),
-    "unanswered": Scenario(_unanswered()),
+    "unanswered": Scenario(_unanswered_writes()),
     "trouble": Scenario(
         (
             Step(0.06, "lag", box="replica:0", value=1_500, back=0.2),
@@ -141,7 +142,7 @@
         ),
         work_ms=2.0,
     ),
-    "lost-address": Scenario(_losses(), paths=True),
+    "lost-address": Scenario(_address_losses(), paths=True),
     "cold": Scenario(
         (
             Step(0.1, "crash", box="replica:0", back=0.04),
@@ -154,5 +155,5 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """A built-in scenario by name, else a Jsonnet file. Raises `SettingsError`."""
+    """Return a built-in scenario by its name, or load a Jsonnet file. Raises `SettingsError`."""
     return SCENARIOS[name] if name in SCENARIOS else decode_file(name, Scenario)
--- a/oatlink/lab/days/world.py
+++ b/oatlink/lab/days/world.py
@@ -1,4 +1,4 @@
-"""What all parts of a day share: the scenario, the fleet, the record of all bytes, and the time of its end."""
+"""The state that all parts of a run share: the scenario, the fleet, the capture of all bytes and the end time."""
 
 import time
 from dataclasses import dataclass, field
@@ -17,13 +17,13 @@
 
 
 def now_us() -> int:
-    """The monotonic clock, in microseconds."""
+    """Return the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 @dataclass
 class World:
-    """One day's shared state; no part of it decides anything."""
+    """The shared state of one run, without any decisions of its own."""
 
     scenario: Scenario
     seed: int
@@ -32,24 +32,24 @@
     capture: Capture
     ports: list[int]
     admin_ports: list[int]
-    end_s: float = 0.0  # no client asks for more after this time of the monotonic clock
+    end_s: float = 0.0  # monotonic time after which clients send no more requests
     roster: Path = Path()
-    steps: list[str] = field(default_factory=list)  # what happened, for people
+    steps: list[str] = field(default_factory=list)  # the steps as they were run, in words
 
     def write_roster(self) -> None:
-        """Tell the gateways which boxes there are."""
+        """Replace the roster file, from which the gateways learn their boxes."""
         text = msgspec.json.encode({"banks": self.embedded.roster()})
         temporary = self.roster.with_suffix(".new")
         temporary.write_bytes(text)
         temporary.rename(self.roster)
 
-    async def say(self, place: str, stream: IOStream, data: bytes, connection: int = 1) -> None:
-        """Write a client's bytes and keep them."""
+    async def send(self, place: str, stream: IOStream, data: bytes, connection: int = 1) -> None:
+        """Write a client's bytes and record them."""
         self.capture.add(now_us(), place, connection, True, data)
         await stream.write(data)
 
-    async def hear(self, place: str, stream: IOStream, connection: int = 1) -> bytes:
-        """Read what comes next for a client and keep it. Raises `StreamClosedError`."""
+    async def receive(self, place: str, stream: IOStream, connection: int = 1) -> bytes:
+        """Read the next bytes for a client and record them. Raises `StreamClosedError`."""
         data = await stream.read_bytes(65_536, partial=True)
         self.capture.add(now_us(), place, connection, False, data)
         return data
--- a/oatlink/lab/fleet/faults.py
+++ b/oatlink/lab/fleet/faults.py
@@ -121,7 +121,7 @@
             shutil.rmtree(self.state_dir(at))
             self.state_dir(at).mkdir(mode=0o700)
         try:
-            await self.gateways.again(at)
+            await self.gateways.restart(at)
             self.killed.discard(at)
         except (RuntimeError, TimeoutError):
             self.problems.append(f"{node_name(at)} did not start again after {fault.do}")
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -12,9 +12,9 @@
 from oatlink.audit.evidence import EvidenceChecker, EvidenceResult
 from oatlink.audit.quota import Allowance, QuotaChecker, QuotaResult, QuotaTerms
 from oatlink.audit.versions import VersionsChecker, VersionsResult
-from oatlink.lab.day import Day
+from oatlink.lab.day import ScenarioRun
+from oatlink.lab.days.faults import StepRunner
 from oatlink.lab.days.gateways import Gateways
-from oatlink.lab.days.trouble import Trouble
 from oatlink.lab.days.world import now_us
 from oatlink.lab.embedded import port_of, reserve
 from oatlink.lab.fleet.faults import Faults
@@ -28,7 +28,7 @@
 from oatlink.lab.fleet.wires import Wires
 
 
-class FleetDay(Day):
+class FleetScenarioRun(ScenarioRun):
     """One run."""
 
     def __init__(
@@ -50,31 +50,31 @@
         )
         self.operator = Operator(self.world, scenario.changes, self.faults.problems)
         self.watchers = Watchers(self.world)
-        self.trouble = Trouble(self.world, self.clients)
+        self.step_runner = StepRunner(self.world, self.clients)
         self.begun_us = self.asked_until_us = 0
         for box in self.world.embedded.boxes.values():
-            box.on_applied = self._applied
+            box.on_applied = self._record_applied
 
     def make_gateways(self, command_line: list[str] | None, record_to: str) -> Gateways:
-        """See `Day.make_gateways`."""
+        """See `ScenarioRun.make_gateways`."""
         return Gateways(self.world, command_line, record_to, NAMES, lambda at: self.parts.text(at, self.wires))
 
-    def killed(self) -> set[int]:
-        """See `Day.killed`."""
+    def killed_gateways(self) -> set[int]:
+        """See `ScenarioRun.killed_gateways`."""
         return self.faults.killed
 
-    async def before(self, folder: Path) -> None:
-        """See `Day.before`."""
+    async def prepare(self, folder: Path) -> None:
+        """See `ScenarioRun.prepare`."""
         self.parts.make(folder)
         await self.wires.start()
 
-    async def after(self) -> None:
-        """See `Day.after`."""
+    async def clean_up(self) -> None:
+        """See `ScenarioRun.clean_up`."""
         await self.wires.stop()
         for held in self._links_held:
             held.close()
 
-    def _applied(self, box: str, args: list[bytes]) -> None:
+    def _record_applied(self, box: str, args: list[bytes]) -> None:
         if args[0] == b"FLUSHALL" or (len(args) > 1 and args[1].startswith(b"layout:")):
             self.world.capture.add_applied(now_us(), box, args)
 
@@ -91,12 +91,12 @@
         return [asyncio.ensure_future(one.run()) for one in roamers]
 
     async def play(self) -> None:
-        """See `Day.play`."""
+        """See `ScenarioRun.play`."""
         self.begun_us = now_us()
         clients = self.begin()
         beside = [
-            asyncio.ensure_future(self.watch.run()),
-            asyncio.ensure_future(self.trouble.run()),
+            asyncio.ensure_future(self.lag_monitor.run()),
+            asyncio.ensure_future(self.step_runner.run()),
             asyncio.ensure_future(self.operator.run()),
         ]
         if self.fleet.judge == "verdicts":
@@ -127,7 +127,7 @@
 
     def _evidence(self) -> EvidenceResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
-        done = harms(self.trouble, banks, self.asked_until_us)
+        done = harms(self.step_runner, banks, self.asked_until_us)
         names = tuple(node_name(at) for at in range(self.fleet.gateways))
         return EvidenceChecker(self.world.capture, done, self.watchers.observations, banks, names).check()
 
@@ -145,7 +145,7 @@
             {name: Allowance(one.rate, one.burst, one.floor) for name, one in scenario.tenants.items()},
             scenario.gateways,
             scenario.drift,
-            recovery_us=settle_us + int(self.watch.worst_ms * 1000),
+            recovery_us=settle_us + int(self.lag_monitor.worst_ms * 1000),
             spans=tuple(spans),
             heals=tuple(heals),
         )
@@ -163,8 +163,8 @@
 
     A day of verdicts is played twice, with them and without.
     """
-    report = asyncio.run(FleetDay(scenario, seed, seconds, command_line, record_to).judged())
+    report = asyncio.run(FleetScenarioRun(scenario, seed, seconds, command_line, record_to).judged())
     if scenario.judge == "verdicts" and scenario.verdicts:
         other = msgspec.structs.replace(scenario, verdicts=False)
-        report.without = asyncio.run(FleetDay(other, seed, seconds, command_line).judged())
+        report.without = asyncio.run(FleetScenarioRun(other, seed, seconds, command_line).judged())
     return report
--- a/oatlink/lab/fleet/layouts.py
+++ b/oatlink/lab/fleet/layouts.py
@@ -11,7 +11,7 @@
 
 from oatlink.gateway.links import DialError, connect
 from oatlink.lab.days.clients import SHARES
-from oatlink.lab.days.commands import Commands
+from oatlink.lab.days.commands import CommandFactory
 from oatlink.lab.days.world import World, now_us
 from oatlink.lab.fleet.roamers import Batch, Roamer, Spread
 from oatlink.lab.fleet.scenarios import Change, FleetScenario
@@ -106,13 +106,13 @@
 
 
 def layouts_clients(
-    scenario: FleetScenario, world: World, commands: Commands, spread: Spread
+    scenario: FleetScenario, world: World, commands: CommandFactory, spread: Spread
 ) -> list[Callable[[], "asyncio.Future[None]"]]:
     """What begins each client of the day."""
     found: list[Callable[[], asyncio.Future[None]]] = []
 
     def take(space: str, place: str, rng: random.Random) -> Batch:
-        return Batch(commands.next(place.split("-")[1], place, rng, space))
+        return Batch(commands.next_command(place.split("-")[1], place, rng, space))
 
     for pin in scenario.pinned:
         for number in range(pin.clients):
--- a/oatlink/lab/fleet/roamers.py
+++ b/oatlink/lab/fleet/roamers.py
@@ -127,13 +127,13 @@
 
     async def _send(self, place: str, stream: IOStream, batch: Batch) -> None:
         self._owed += batch.replies
-        await self._world.say(place, stream, batch.data)
+        await self._world.send(place, stream, batch.data)
 
     async def _receive(self, place: str, stream: IOStream) -> None:
         reader = ReplyReader()
         with contextlib.suppress(StreamClosedError):
             while True:
-                reader.feed(await self._world.hear(place, stream))
+                reader.feed(await self._world.receive(place, stream))
                 while (frame := reader.take()) is not None:
                     self._owed -= 1
                     self._room.set()
--- a/oatlink/lab/fleet/tenants.py
+++ b/oatlink/lab/fleet/tenants.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from oatlink.lab.days.clients import SHARES
-from oatlink.lab.days.commands import Commands
+from oatlink.lab.days.commands import CommandFactory
 from oatlink.lab.days.world import World
 from oatlink.lab.fleet.roamers import Batch, Roamer, Spread
 from oatlink.lab.fleet.scenarios import FleetScenario
@@ -19,23 +19,23 @@
 class Asks:
     """Makes what clients send."""
 
-    def __init__(self, commands: Commands) -> None:
+    def __init__(self, commands: CommandFactory) -> None:
         self._commands = commands
 
     def one(self, place: str, rng: random.Random) -> Batch:
         """One command."""
-        return Batch(self._commands.next(place.split("-")[1], place, rng))
+        return Batch(self._commands.next_command(place.split("-")[1], place, rng))
 
     def some(self, place: str, rng: random.Random) -> Batch:
         """One command, or at times a MULTI of several."""
         if place.split("-")[1] != "post" or rng.random() >= MULTI_SHARE:
             return self.one(place, rng)
         key = f"nav:{rng.randrange(24)}"
-        inside = [self._commands.push(key) for _ in range(MULTI_SIZE)]
+        inside = [self._commands.next_push(key) for _ in range(MULTI_SIZE)]
         return Batch(b"".join([command("MULTI"), *inside, command("EXEC")]), MULTI_SIZE + 2)
 
 
-def tenants_clients(scenario: FleetScenario, world: World, commands: Commands, spread: Spread) -> list[Roamer]:
+def tenants_clients(scenario: FleetScenario, world: World, commands: CommandFactory, spread: Spread) -> list[Roamer]:
     """The clients of all tenants. A posting one asks less often, for a MULTI counts as several."""
     asks, found = Asks(commands), []
     for name, tenant in scenario.tenants.items():
@@ -48,7 +48,7 @@
     return found
 
 
-def others(scenario: FleetScenario, world: World, commands: Commands, spread: Spread) -> list[Roamer]:
+def others(scenario: FleetScenario, world: World, commands: CommandFactory, spread: Spread) -> list[Roamer]:
     """Clients of no tenant, with the five rules' whole mix."""
     asks, found = Asks(commands), []
     for kind, share, count in SHARES:
--- a/oatlink/lab/fleet/watching.py
+++ b/oatlink/lab/fleet/watching.py
@@ -6,7 +6,7 @@
 
 from oatlink.audit.evidence import InjectedFault, Observation
 from oatlink.gateway.links import DialError, connect
-from oatlink.lab.days.trouble import Trouble
+from oatlink.lab.days.faults import StepRunner
 from oatlink.lab.days.world import World, now_us
 from oatlink.lab.fleet.parts import node_name
 from oatlink.protocols.resp import Array, Map, ReplyReader, command, decode
@@ -59,10 +59,10 @@
                 self.observations.append((now_us(), *key, what))
 
 
-def harms(trouble: Trouble, banks: dict[str, str], end_us: int) -> list[InjectedFault]:
+def harms(step_runner: StepRunner, banks: dict[str, str], end_us: int) -> list[InjectedFault]:
     """What was done to boxes, from the schedule as it was played."""
     found = []
-    for one in trouble.episodes:
+    for one in step_runner.episodes:
         members = tuple(box.name for box in one.boxes)
         primaries = one.step.box.startswith("primary:") or one.step.do in ("hand_over", "lose_hall")
         hit = tuple(sorted({banks[name] for name in members})) if primaries else ()
