--- a/oatlink/lab/fleet/faults.py
+++ b/oatlink/lab/fleet/faults.py
@@ -12,9 +12,9 @@
 from oatlink.audit.quota import Span
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.world import World, now_us
+from oatlink.lab.fleet.links import Links
 from oatlink.lab.fleet.parts import node_name
 from oatlink.lab.fleet.scenarios import Fault
-from oatlink.lab.fleet.wires import Wires
 
 LEAST_SPAN_US = 3_000_000  # a shorter one says little of a rate
 HARMLESS = ("slow", "double")  # use, floors and the time back are owed with these too
@@ -35,7 +35,7 @@
 
     world: World
     gateways: Gateways
-    wires: Wires
+    wires: Links
     faults: tuple[Fault, ...]
     state_dir: Callable[[int], Path]
     keepers: int  # the first so many gateways
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -19,13 +19,13 @@
 from oatlink.lab.embedded import port_of, reserve
 from oatlink.lab.fleet.faults import Faults
 from oatlink.lab.fleet.layouts import Operator, layouts_clients
+from oatlink.lab.fleet.links import Links
 from oatlink.lab.fleet.parts import Parts, keepers, node_name
 from oatlink.lab.fleet.report import FleetReport
 from oatlink.lab.fleet.roamers import Spread
 from oatlink.lab.fleet.scenarios import FleetScenario
 from oatlink.lab.fleet.tenants import NAMES, others, tenants_clients
 from oatlink.lab.fleet.watching import Watchers, harms
-from oatlink.lab.fleet.wires import Wires
 
 
 class FleetScenarioRun(ScenarioRun):
@@ -42,7 +42,7 @@
         self.fleet = scenario
         self._links_held = [reserve() for _ in range(scenario.gateways)]
         ports = [port_of(one) for one in self._links_held]
-        self.wires = Wires(ports, seed)
+        self.wires = Links(ports, seed)
         self.parts = Parts(scenario, seed, ports)
         super().__init__(scenario.base(), seed, seconds, command_line, record_to)
         self.faults = Faults(
--- a/oatlink/lab/fleet/wires.py
+++ b/oatlink/lab/fleet/links.py
@@ -3,7 +3,7 @@
 from oatlink.lab.fleet.proxy import LinkProxy
 
 
-class Wires:
+class Links:
     """All links, by (from, to). A connection that i dialled bears both ways' bytes, so a way is cut at two proxies."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
--- a/oatlink/lab/fleet/parts.py
+++ b/oatlink/lab/fleet/parts.py
@@ -4,8 +4,8 @@
 import random
 from pathlib import Path
 
+from oatlink.lab.fleet.links import Links
 from oatlink.lab.fleet.scenarios import FleetScenario
-from oatlink.lab.fleet.wires import Wires
 
 
 def node_name(at: int) -> str:
@@ -40,7 +40,7 @@
         """Where gateway `at` keeps what it must not forget."""
         return self._folder / f"state-{at}"
 
-    def text(self, at: int, wires: Wires) -> str:
+    def text(self, at: int, wires: Links) -> str:
         """The part of gateway `at`, as a field of a Jsonnet object."""
         scenario = self._scenario
         if not scenario.fleet:
--- a/tests/fleet/life_world.py
+++ b/tests/fleet/life_world.py
@@ -23,7 +23,7 @@
 from oatlink.fleet.shell.files import NAME
 from oatlink.fleet.shell.history import BEGIN
 from oatlink.lab.embedded import Embedded, port_of, reserve
-from oatlink.lab.fleet.wires import Wires
+from oatlink.lab.fleet.links import Links
 from oatlink.protocols.resp import ReplyReader, command, decode
 from oatlink.settings.fleet import Fleet
 
@@ -250,7 +250,7 @@
         self.ports, self._spare = ports[:4], ports[12:14]
         self.more_port = ports[14]  # where no node listens
         self.changed: dict[int, dict[str, Any]] = {}  # what is otherwise in the fleet part of some
-        self.wires = Wires(self.ports, 5)
+        self.wires = Links(self.ports, 5)
         self.key = folder / "key"
         self.key.touch(mode=0o600)
         self.key.write_bytes(SECRET)
