--- a/oatlink/lab/day.py
+++ b/oatlink/lab/day.py
@@ -18,7 +18,7 @@
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.report import Report
 from oatlink.lab.days.schedule import SCENARIOS, Scenario, Step, load_scenario
-from oatlink.lab.days.world import COLD_SHARE, GRACE_US, STALENESS_MS, WARM_S, World, now_us
+from oatlink.lab.days.world import COLD_SHARE, DRAIN_GRACE_US, STALENESS_MS, WARM_S, World, now_us
 from oatlink.lab.embedded import Embedded, port_of, reserve
 from oatlink.standins.box import WorkProfile
 
@@ -130,7 +130,7 @@
                 "post": ("latest", 3_000_000, 0),
             },
             harness_delay_us=int(self.lag_monitor.worst_ms * 1000),
-            drain_grace_us=GRACE_US,
+            drain_grace_us=DRAIN_GRACE_US,
             cold_window_us=1_000_000,
             cold_load_factor=4.0,
             command_work_us=self._work.read_us,
--- a/oatlink/lab/days/clients.py
+++ b/oatlink/lab/days/clients.py
@@ -142,7 +142,7 @@
                         reader.feed(await self._world.receive(place, stream))
 
 
-async def poll_gateway(port: int, every_s: float) -> None:
+async def poll_gateway(port: int, interval_s: float) -> None:
     """Poll the status commands of a gateway in turn, as an operator does, until cancelled."""
     stream = await connect(f"127.0.0.1:{port}", 5)
     reader = ReplyReader()
@@ -151,7 +151,7 @@
             await stream.write(command(("MEMBERS", "BANKS", "SESSIONS", "ELECTIONS")[number % 4]))
             while reader.take() is None:
                 reader.feed(await stream.read_bytes(65_536, partial=True))
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
     finally:
         stream.close()
 
--- a/oatlink/lab/days/world.py
+++ b/oatlink/lab/days/world.py
@@ -13,7 +13,7 @@
 
 COLD_SHARE, WARM_S = 0.2, 3.0
 STALENESS_MS = 500
-GRACE_US = 2_000_000
+DRAIN_GRACE_US = 2_000_000
 
 
 def now_us() -> int:
--- a/oatlink/lab/fleet/__init__.py
+++ b/oatlink/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Trouble between the nodes of a fleet, on loopback."""
+"""Fault scenarios of a fleet of gateways, on loopback."""
--- a/oatlink/lab/fleet/faults.py
+++ b/oatlink/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a day of the fleet, and keeps when all was well for its judges."""
+"""Injects the faults of a fleet scenario, and records when the fleet was undisturbed for its checkers."""
 
 import asyncio
 import os
@@ -13,16 +13,16 @@
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.world import World, now_us
 from oatlink.lab.fleet.links import Links
-from oatlink.lab.fleet.parts import node_name
 from oatlink.lab.fleet.scenarios import Fault
+from oatlink.lab.fleet.settings import node_name
 
-LEAST_SPAN_US = 3_000_000  # a shorter one says little of a rate
-HARMLESS = ("slow", "double")  # use, floors and the time back are owed with these too
+MIN_SPAN_US = 3_000_000  # a rate over a shorter span means little
+HARMLESS_FAULTS = ("slow", "double")  # rate use, floors and recovery time are required despite these
 
 
 @dataclass
-class Episode:
-    """One fault from its begin to its end."""
+class FaultEpisode:
+    """One fault with its begin and end; `to_us` is -1 if it was not undone."""
 
     fault: Fault
     from_us: int
@@ -30,69 +30,72 @@
 
 
 @dataclass
-class Faults:
-    """Gateways and links go wrong by a schedule. `state_dir`: a gateway's folder, which may be lost with it."""
+class FaultInjector:
+    """Applies and undoes the faults of gateways and links by a schedule.
+
+    `state_dir` returns the state folder of a gateway, which a fault may empty.
+    """
 
     world: World
     gateways: Gateways
-    wires: Links
+    links: Links
     faults: tuple[Fault, ...]
     state_dir: Callable[[int], Path]
-    keepers: int  # the first so many gateways
-    episodes: list[Episode] = field(default_factory=list)
-    killed: set[int] = field(default_factory=set)  # gateways whose present process did not end by itself
+    acceptor_count: int  # the first gateways of the fleet are its acceptors
+    episodes: list[FaultEpisode] = field(default_factory=list)
+    killed: set[int] = field(default_factory=set)  # gateways whose latest process did not end by itself
     problems: list[str] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Play all; ends when the last is undone."""
-        begin = time.monotonic()
-        await asyncio.gather(*(self._one(begin, one) for one in self.faults))
+        """Run all faults, until the last one is undone."""
+        start_s = time.monotonic()
+        await asyncio.gather(*(self._run_fault(start_s, fault) for fault in self.faults))
 
-    async def _one(self, begin: float, fault: Fault) -> None:
+    async def _run_fault(self, start_s: float, fault: Fault) -> None:
         seconds = self.world.seconds
-        await asyncio.sleep(max(0.0, begin + fault.at * seconds - time.monotonic()))
-        episode = Episode(fault, now_us())
+        await asyncio.sleep(max(0.0, start_s + fault.at * seconds - time.monotonic()))
+        episode = FaultEpisode(fault, now_us())
         self.episodes.append(episode)
-        names = " ".join(node_name(one) for one in fault.nodes)
+        names = " ".join(node_name(at) for at in fault.nodes)
         self.world.steps.append(f"{fault.at * seconds:.1f}s {fault.do} {names}")
-        self._do(fault)
+        self._apply(fault)
         if fault.do == "sigstop":
             await asyncio.sleep(fault.value)
         elif fault.back:
-            await asyncio.sleep(max(0.0, begin + (fault.at + fault.back) * seconds - time.monotonic()))
+            await asyncio.sleep(max(0.0, start_s + (fault.at + fault.back) * seconds - time.monotonic()))
         elif fault.do != "heal":
-            return  # it lasts
+            return  # the fault stays until the end of the run
         await self._undo(fault)
         episode.to_us = now_us()
         self.world.steps.append(f"back: {fault.do} {names}")
 
-    def _do(self, fault: Fault) -> None:
+    def _apply(self, fault: Fault) -> None:
         if fault.do in ("kill9", "sigterm", "sigstop"):
             for at in fault.nodes:
-                what, number = {
+                event, signal_number = {
                     "kill9": ("killed", signal.SIGKILL),
                     "sigterm": ("ending", signal.SIGTERM),
                     "sigstop": ("halted", signal.SIGSTOP),
                 }[fault.do]
-                self.world.capture.add_event(now_us(), node_name(at), what)
+                self.world.capture.add_event(now_us(), node_name(at), event)
                 process = self.gateways.processes[at]
                 if process.returncode is None:
-                    os.kill(process.pid, number)
+                    os.kill(process.pid, signal_number)
                 if fault.do == "kill9":
                     self.killed.add(at)
         elif fault.do in ("cut_out", "cut_in", "split"):
-            self.wires.cut(fault.nodes, out=fault.do != "cut_in", into=fault.do != "cut_out")
+            self.links.cut(fault.nodes, out=fault.do != "cut_in", into=fault.do != "cut_out")
         elif fault.do == "slow":
-            self.wires.slow(fault.nodes, fault.value)
+            self.links.slow(fault.nodes, fault.value)
         elif fault.do == "double":
-            self.wires.double(fault.nodes, fault.value)
+            self.links.double(fault.nodes, fault.value)
         else:
-            self.wires.heal()
+            self.links.heal()
 
     async def _undo(self, fault: Fault) -> None:
         if fault.do in ("kill9", "sigterm"):
             for at in fault.nodes:
-                await self._again(at, fault)
+                await self._restart(at, fault)
         elif fault.do == "sigstop":
             for at in fault.nodes:
                 process = self.gateways.processes[at]
@@ -100,14 +103,14 @@
                     os.kill(process.pid, signal.SIGCONT)
                 self.world.capture.add_event(now_us(), node_name(at), "resumed")
         elif fault.do in ("cut_out", "cut_in", "split"):
-            self.wires.mend(fault.nodes)
+            self.links.restore(fault.nodes)
         elif fault.do == "slow":
-            self.wires.slow(fault.nodes, 0.0)
+            self.links.slow(fault.nodes, 0.0)
         elif fault.do == "double":
-            self.wires.double(fault.nodes, 0.0)
+            self.links.double(fault.nodes, 0.0)
 
-    async def _again(self, at: int, fault: Fault) -> None:
-        """Start a gateway that has ended, with its state or without."""
+    async def _restart(self, at: int, fault: Fault) -> None:
+        """Restart a gateway once its process has ended, with its state, or with none if the fault lost it."""
         try:
             async with asyncio.timeout(5):
                 code = await self.gateways.processes[at].wait()
@@ -127,41 +130,53 @@
             self.problems.append(f"{node_name(at)} did not start again after {fault.do}")
             self.killed.add(at)
 
-    def finish(self) -> None:
-        """Let those that still stand still go on, so that they can end."""
-        for one in self.episodes:
-            if one.fault.do == "sigstop" and one.to_us < 0:
-                for at in one.fault.nodes:
+    def resume_halted(self) -> None:
+        """Resume the gateways that are still halted by a sigstop fault, so that they can end."""
+        for episode in self.episodes:
+            if episode.fault.do == "sigstop" and episode.to_us < 0:
+                for at in episode.fault.nodes:
                     process = self.gateways.processes[at]
                     if process.returncode is None:
                         os.kill(process.pid, signal.SIGCONT)
                     self.world.capture.add_event(now_us(), node_name(at), "resumed")
 
-    # ---- For the judges ----
+    # ---- Inputs of the checkers ----
 
-    def _cut_off(self, nodes: tuple[int, ...]) -> tuple[str, ...]:
-        """The side of a split that has no majority of the keepers."""
-        away = 2 * sum(at < self.keepers for at in nodes) < self.keepers
-        return tuple(node_name(at) for at in range(len(self.world.ports)) if (at in nodes) is away)
+    def _minority_side(self, nodes: tuple[int, ...]) -> tuple[str, ...]:
+        """Return the side of a split that has no majority of the acceptors."""
+        is_minority = 2 * sum(at < self.acceptor_count for at in nodes) < self.acceptor_count
+        return tuple(node_name(at) for at in range(len(self.world.ports)) if (at in nodes) is is_minority)
 
     def spans(self, start_us: int, end_us: int, settle_us: int) -> tuple[list[Span], list[tuple[int, int]]]:
-        """Stretches with all links up and with gateways cut off, each without its first `settle_us`; and the heals.
+        """Return the spans to check rates in, and the heals.
 
-        A heal is (when all was well again, until when it stayed so).
+        A span has either no fault or exactly one split, and leaves out its first `settle_us`. A heal is the time from
+        which there was no fault again, and the time until which that lasted.
         """
-        bad = [one for one in self.episodes if one.fault.do not in (*HARMLESS, "heal")]
-        marks = sorted({start_us, end_us, *(one.from_us for one in bad), *(one.to_us for one in bad if one.to_us > 0)})
+        episodes = [episode for episode in self.episodes if episode.fault.do not in (*HARMLESS_FAULTS, "heal")]
+        marks = sorted(
+            {
+                start_us,
+                end_us,
+                *(episode.from_us for episode in episodes),
+                *(episode.to_us for episode in episodes if episode.to_us > 0),
+            }
+        )
         spans: list[Span] = []
         heals: list[tuple[int, int]] = []
         for since, until in zip(marks, marks[1:], strict=False):
-            on = [one for one in bad if one.from_us <= since and (one.to_us < 0 or one.to_us >= until)]
-            if not on and since > start_us:
+            active = [
+                episode.fault
+                for episode in episodes
+                if episode.from_us <= since and (episode.to_us < 0 or episode.to_us >= until)
+            ]
+            if not active and since > start_us:
                 heals.append((since, until))
-            if until - since <= settle_us + LEAST_SPAN_US:
-                continue  # too short to tell
-            cuts = [one.fault for one in on if one.fault.do == "split"]
-            if not on:
+            if until - since <= settle_us + MIN_SPAN_US:
+                continue  # too short to measure a rate
+            splits = [fault for fault in active if fault.do == "split"]
+            if not active:
                 spans.append(Span(since + settle_us, until))
-            elif len(on) == len(cuts) == 1:
-                spans.append(Span(since + settle_us, until, self._cut_off(cuts[0].nodes)))
+            elif len(active) == len(splits) == 1:
+                spans.append(Span(since + settle_us, until, self._minority_side(splits[0].nodes)))
         return spans, heals
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -1,7 +1,8 @@
-"""A planned day of the fleet: the day of `oatlink.lab.day` with links between the gateways, and faults in them.
+"""Runs a fleet scenario: a scenario of `oatlink.lab.day` with links between the gateways, and faults of these links.
 
-Each gateway is a process with a fleet part; each directed pair of them is joined by a proxy of its own, so that any
-link can be made bad one way or both. Gateways are killed, stopped and started again; their clients go elsewhere.
+Each gateway is a process with a `fleet` section in its settings. Each directed pair of gateways is connected through
+its own proxy, so that any link can be cut in one direction or both. Gateways are killed, halted and restarted; their
+clients then move to other gateways.
 """
 
 import asyncio
@@ -17,19 +18,19 @@
 from oatlink.lab.days.gateways import Gateways
 from oatlink.lab.days.world import now_us
 from oatlink.lab.embedded import port_of, reserve
-from oatlink.lab.fleet.faults import Faults
-from oatlink.lab.fleet.layouts import Operator, layouts_clients
+from oatlink.lab.fleet.clients import ClientSpread
+from oatlink.lab.fleet.faults import FaultInjector
+from oatlink.lab.fleet.layouts import LayoutOperator, make_layout_clients
 from oatlink.lab.fleet.links import Links
-from oatlink.lab.fleet.parts import Parts, keepers, node_name
+from oatlink.lab.fleet.observers import MemberObservers, injected_faults
 from oatlink.lab.fleet.report import FleetReport
-from oatlink.lab.fleet.roamers import Spread
 from oatlink.lab.fleet.scenarios import FleetScenario
-from oatlink.lab.fleet.tenants import NAMES, others, tenants_clients
-from oatlink.lab.fleet.watching import Watchers, harms
+from oatlink.lab.fleet.settings import FleetSettings, acceptor_count, node_name
+from oatlink.lab.fleet.tenants import CLIENT_NAME_PATTERN, make_clients_without_tenant, make_tenant_clients
 
 
 class FleetScenarioRun(ScenarioRun):
-    """One run."""
+    """One run of a fleet scenario, with the invariant check and the checker that the scenario names."""
 
     def __init__(
         self,
@@ -39,25 +40,36 @@
         command_line: list[str] | None = None,
         record_to: str = "",
     ) -> None:
-        self.fleet = scenario
-        self._links_held = [reserve() for _ in range(scenario.gateways)]
-        ports = [port_of(one) for one in self._links_held]
-        self.wires = Links(ports, seed)
-        self.parts = Parts(scenario, seed, ports)
+        self.fleet_scenario = scenario
+        self._reserved_links = [reserve() for _ in range(scenario.gateways)]
+        ports = [port_of(reserved) for reserved in self._reserved_links]
+        self.links = Links(ports, seed)
+        self.fleet_settings = FleetSettings(scenario, seed, ports)
         super().__init__(scenario.base(), seed, seconds, command_line, record_to)
-        self.faults = Faults(
-            self.world, self.gateways, self.wires, scenario.faults, self.parts.state_dir, keepers(scenario)
+        self.faults = FaultInjector(
+            self.world,
+            self.gateways,
+            self.links,
+            scenario.faults,
+            self.fleet_settings.state_dir,
+            acceptor_count(scenario),
         )
-        self.operator = Operator(self.world, scenario.changes, self.faults.problems)
-        self.watchers = Watchers(self.world)
+        self.operator = LayoutOperator(self.world, scenario.changes, self.faults.problems)
+        self.observers = MemberObservers(self.world)
         self.step_runner = StepRunner(self.world, self.clients)
-        self.begun_us = self.asked_until_us = 0
+        self.start_us = self.end_us = 0
         for box in self.world.embedded.boxes.values():
             box.on_applied = self._record_applied
 
     def make_gateways(self, command_line: list[str] | None, record_to: str) -> Gateways:
         """See `ScenarioRun.make_gateways`."""
-        return Gateways(self.world, command_line, record_to, NAMES, lambda at: self.parts.text(at, self.wires))
+        return Gateways(
+            self.world,
+            command_line,
+            record_to,
+            CLIENT_NAME_PATTERN,
+            lambda at: self.fleet_settings.section(at, self.links),
+        )
 
     def killed_gateways(self) -> set[int]:
         """See `ScenarioRun.killed_gateways`."""
@@ -65,84 +77,84 @@
 
     async def prepare(self, folder: Path) -> None:
         """See `ScenarioRun.prepare`."""
-        self.parts.make(folder)
-        await self.wires.start()
+        self.fleet_settings.write_files(folder)
+        await self.links.start()
 
     async def clean_up(self) -> None:
         """See `ScenarioRun.clean_up`."""
-        await self.wires.stop()
-        for held in self._links_held:
-            held.close()
+        await self.links.stop()
+        for reserved in self._reserved_links:
+            reserved.close()
 
     def _record_applied(self, box: str, args: list[bytes]) -> None:
         if args[0] == b"FLUSHALL" or (len(args) > 1 and args[1].startswith(b"layout:")):
             self.world.capture.add_applied(now_us(), box, args)
 
-    def begin(self) -> list["asyncio.Future[None]"]:
-        """Begin all clients; each future ends with its client."""
-        scenario, world = self.fleet, self.world
-        spread = Spread(world.seed, scenario.gateways, scenario.phase_s)
+    def start_clients(self) -> list["asyncio.Future[None]"]:
+        """Start all clients; each future ends when its client does."""
+        scenario, world = self.fleet_scenario, self.world
+        spread = ClientSpread(world.seed, scenario.gateways, scenario.phase_s)
         if scenario.judge == "versions":
-            return [one() for one in layouts_clients(scenario, world, self.commands, spread)]
-        roamers = [
-            *tenants_clients(scenario, world, self.commands, spread),
-            *others(scenario, world, self.commands, spread),
+            return [start() for start in make_layout_clients(scenario, world, self.commands, spread)]
+        roaming_clients = [
+            *make_tenant_clients(scenario, world, self.commands, spread),
+            *make_clients_without_tenant(scenario, world, self.commands, spread),
         ]
-        return [asyncio.ensure_future(one.run()) for one in roamers]
+        return [asyncio.ensure_future(client.run()) for client in roaming_clients]
 
     async def play(self) -> None:
         """See `ScenarioRun.play`."""
-        self.begun_us = now_us()
-        clients = self.begin()
-        beside = [
+        self.start_us = now_us()
+        clients = self.start_clients()
+        background = [
             asyncio.ensure_future(self.lag_monitor.run()),
             asyncio.ensure_future(self.step_runner.run()),
             asyncio.ensure_future(self.operator.run()),
         ]
-        if self.fleet.judge == "verdicts":
-            beside += [asyncio.ensure_future(self.watchers.run(at)) for at in range(self.fleet.gateways)]
+        if self.fleet_scenario.judge == "verdicts":
+            background += [asyncio.ensure_future(self.observers.run(at)) for at in range(self.fleet_scenario.gateways)]
         faults = asyncio.ensure_future(self.faults.run())
         try:
             await asyncio.gather(*clients)
-            self.asked_until_us = min(now_us(), self.begun_us + int(self.world.seconds * 1e6))
+            self.end_us = min(now_us(), self.start_us + int(self.world.seconds * 1e6))
             async with asyncio.timeout(20):
-                await faults  # a gateway that is being started again is not left half there
-            if self.fleet.changes:
-                await self.operator.look()
+                await faults  # lets a restart of a gateway complete
+            if self.fleet_scenario.changes:
+                await self.operator.read_status()
         finally:
-            self.faults.finish()
-            for one in (*beside, faults):
-                one.cancel()
+            self.faults.resume_halted()
+            for task in (*background, faults):
+                task.cancel()
 
-    async def judged(self) -> FleetReport:
-        """Play the day and judge it."""
+    async def run_and_check(self) -> FleetReport:
+        """Run the scenario, then the invariant checker and the checker that the scenario names."""
         report = FleetReport(await self.run(), problems=self.faults.problems)
-        if self.fleet.judge == "quota":
+        if self.fleet_scenario.judge == "quota":
             report.quota = self._quota()
-        elif self.fleet.judge == "versions":
+        elif self.fleet_scenario.judge == "versions":
             report.versions, report.layout = self._versions(), self.operator.status
-        elif self.fleet.judge == "verdicts":
+        elif self.fleet_scenario.judge == "verdicts":
             report.evidence = self._evidence()
         return report
 
     def _evidence(self) -> EvidenceResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
-        done = harms(self.step_runner, banks, self.asked_until_us)
-        names = tuple(node_name(at) for at in range(self.fleet.gateways))
-        return EvidenceChecker(self.world.capture, done, self.watchers.observations, banks, names).check()
+        faults = injected_faults(self.step_runner, banks, self.end_us)
+        names = tuple(node_name(at) for at in range(self.fleet_scenario.gateways))
+        return EvidenceChecker(self.world.capture, faults, self.observers.observations, banks, names).check()
 
     def _versions(self) -> VersionsResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
-        words = {one.version: one.word for one in self.fleet.changes}  # the last one on each
-        due = tuple(version for version, word in words.items() if word != "back")
+        last_words = {change.version: change.word for change in self.fleet_scenario.changes}
+        due = tuple(version for version, word in last_words.items() if word != "back")
         return VersionsChecker(self.world.capture, banks, self.operator.proposed, due).check()
 
     def _quota(self) -> QuotaResult:
-        scenario = self.fleet
+        scenario = self.fleet_scenario
         settle_us = int(2 * scenario.term_s * 1e6)
-        spans, heals = self.faults.spans(self.begun_us, self.asked_until_us, settle_us)
+        spans, heals = self.faults.spans(self.start_us, self.end_us, settle_us)
         terms = QuotaTerms(
-            {name: Allowance(one.rate, one.burst, one.floor) for name, one in scenario.tenants.items()},
+            {name: Allowance(tenant.rate, tenant.burst, tenant.floor) for name, tenant in scenario.tenants.items()},
             scenario.gateways,
             scenario.drift,
             recovery_us=settle_us + int(self.lag_monitor.worst_ms * 1000),
@@ -159,12 +171,13 @@
     command_line: list[str] | None = None,
     record_to: str = "",
 ) -> FleetReport:
-    """Play and judge one day of the fleet; with `record_to`, each gateway's recording is that path and its number.
+    """Run and check one fleet scenario.
 
-    A day of verdicts is played twice, with them and without.
+    With `record_to`, each gateway writes a recording to that path with its number appended. A scenario of the judge
+    `verdicts` runs twice, with `verdicts` on and off.
     """
-    report = asyncio.run(FleetScenarioRun(scenario, seed, seconds, command_line, record_to).judged())
+    report = asyncio.run(FleetScenarioRun(scenario, seed, seconds, command_line, record_to).run_and_check())
     if scenario.judge == "verdicts" and scenario.verdicts:
-        other = msgspec.structs.replace(scenario, verdicts=False)
-        report.without = asyncio.run(FleetScenarioRun(other, seed, seconds, command_line).judged())
+        variant = msgspec.structs.replace(scenario, verdicts=False)
+        report.without_verdicts = asyncio.run(FleetScenarioRun(variant, seed, seconds, command_line).run_and_check())
     return report
--- a/oatlink/lab/fleet/links.py
+++ b/oatlink/lab/fleet/links.py
@@ -1,13 +1,17 @@
-"""The links of a fleet: one proxy for each directed pair of nodes, and what may be wrong with all those of some."""
+"""The links of a fleet: one proxy for each directed pair of nodes, and faults for all links of a set of nodes."""
 
 from oatlink.lab.fleet.proxy import LinkProxy
 
 
 class Links:
-    """All links, by (from, to). A connection that i dialled bears both ways' bytes, so a way is cut at two proxies."""
+    """All links by (from, to).
+
+    A connection carries bytes both ways, whichever node dialled it. To cut one direction between two nodes, both of
+    their proxies must be set.
+    """
 
     def __init__(self, ports: list[int], seed: int) -> None:
-        """`ports`: where each node listens for others."""
+        """`ports`: the ports on which the nodes listen for each other."""
         count = len(ports)
         self.links = {
             (at, to): LinkProxy(("127.0.0.1", ports[to]), seed * 1_000 + at * count + to)
@@ -17,46 +21,46 @@
         }
 
     async def start(self) -> None:
-        """Listen everywhere."""
-        for one in self.links.values():
-            await one.start()
+        """Start all proxies."""
+        for link in self.links.values():
+            await link.start()
 
     async def stop(self) -> None:
-        """End all."""
-        for one in self.links.values():
-            await one.close()
+        """Stop all proxies."""
+        for link in self.links.values():
+            await link.close()
 
     def routes(self, at: int) -> dict[int, int]:
-        """The ports by which a node reaches each other one."""
-        return {to: link.port for (one, to), link in self.links.items() if one == at}
+        """Return the proxy port by which a node reaches each of the other nodes."""
+        return {to: link.port for (source, to), link in self.links.items() if source == at}
 
     def _between(self, nodes: tuple[int, ...]) -> list[tuple[bool, LinkProxy]]:
-        """Links between these and the rest; True where the connection was dialled by one of these."""
+        """Return the links between these nodes and the rest; the flag tells whether one of these nodes dials."""
         return [(at in nodes, link) for (at, to), link in self.links.items() if (at in nodes) is not (to in nodes)]
 
     def cut(self, nodes: tuple[int, ...], out: bool, into: bool) -> None:
-        """Nothing gets from these nodes to the rest (`out`), or from the rest to them (`into`)."""
+        """Cut all traffic from these nodes to the rest (`out`), from the rest to these nodes (`into`), or both."""
         for dialled_here, link in self._between(nodes):
             link.cut_forward = link.cut_forward or (out if dialled_here else into)
             link.cut_back = link.cut_back or (into if dialled_here else out)
 
-    def mend(self, nodes: tuple[int, ...]) -> None:
-        """Both ways are open again."""
+    def restore(self, nodes: tuple[int, ...]) -> None:
+        """Undo `cut` in both directions."""
         for _, link in self._between(nodes):
             link.cut_forward = link.cut_back = False
 
     def slow(self, nodes: tuple[int, ...], delay_ms: float) -> None:
-        """Bytes between these nodes and the rest take so much longer, each way."""
+        """Delay all bytes between these nodes and the rest, in each direction."""
         for _, link in self._between(nodes):
             link.delay_ms = delay_ms
 
-    def double(self, nodes: tuple[int, ...], how_probably: float) -> None:
-        """Messages between these nodes and the rest come twice so probably."""
+    def double(self, nodes: tuple[int, ...], probability: float) -> None:
+        """Duplicate messages between these nodes and the rest with this probability."""
         for _, link in self._between(nodes):
-            link.duplicate = how_probably
+            link.duplicate = probability
 
     def heal(self) -> None:
-        """All links are good."""
+        """Clear the cuts, delays, rate limits and duplication of all links."""
         for link in self.links.values():
             link.cut_forward = link.cut_back = False
             link.delay_ms, link.duplicate, link.rate_bytes_s = 0.0, 0.0, 0
--- a/oatlink/lab/fleet/proxy.py
+++ b/oatlink/lab/fleet/proxy.py
@@ -1,27 +1,27 @@
-"""A link between two nodes that can be made bad while it runs: one proxy for each directed pair.
+"""A TCP proxy between two nodes whose network faults can be set while it runs: one for each directed pair of nodes.
 
-What may live here: faults of a network, and nothing of what crosses it but where its frames end. Memory is bounded: a
-direction that is not let through, or is slow, is not read on.
+This module knows network faults and frame boundaries, and nothing else of the traffic. Memory is bounded, because a
+proxy stops reading from a direction that is cut or slow.
 """
 
 import asyncio
 import random
 from collections.abc import Callable
 
-CHUNK = 16_384
-MOST_CHUNKS = 64  # under way in one direction of one connection
-MOST_CONNECTIONS = 256
-MOST_FRAME = 1 << 21
-STEP_S = 0.005  # how soon a fault that is set or taken back is noticed
+CHUNK_BYTES = 16_384
+MAX_QUEUED_CHUNKS = 64  # for each direction of a connection
+MAX_CONNECTIONS = 256
+MAX_FRAME_BYTES = 1 << 21
+POLL_S = 0.005  # interval at which a changed fault is noticed
 
 
 class LinkProxy:
-    """One listening port of loopback that leads to a target, with faults that may be set at any time.
+    """A listening loopback port that forwards to a target, with faults that may be set at any time.
 
-    `cut_forward`, `cut_back`: bytes, ends of connections included, stay under way while it is set; with either, no new
-    connection comes about, and none is refused. `refuse`: all connections are closed, new ones at once. `delay_ms` and
-    `rate_bytes_s` (0: any) hold for each direction. `duplicate`: how probably a whole frame of the forward direction
-    comes twice, the first one (a Hello) never.
+    `cut_forward`, `cut_back`: bytes and ends of connections are held back in this direction while it is set. While
+    either is set, a new connection is accepted but not forwarded. `refuse`: all connections are closed, new ones at
+    once. `delay_ms` and `rate_bytes_s` (0: unlimited) apply to each direction. `duplicate`: the probability that a
+    frame of the forward direction is sent twice; the first frame (a Hello) never is.
     """
 
     def __init__(self, target: tuple[str, int], seed: int = 0) -> None:
@@ -31,97 +31,99 @@
         self.rate_bytes_s = 0
         self.duplicate = 0.0
         self.port = 0
-        self.doubled = 0  # frames
+        self.doubled = 0  # frames that were sent twice
         self._refuse = False
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def refuse(self) -> bool:
-        """Whether connections are closed and refused."""
+        """Whether all connections are closed and new ones refused."""
         return self._refuse
 
     @refuse.setter
-    def refuse(self, on: bool) -> None:
-        self._refuse = on
-        if on:
+    def refuse(self, refuse: bool) -> None:
+        self._refuse = refuse
+        if refuse:
             self.reset()
 
-    def draw(self) -> bool:
-        """Whether the next frame comes twice."""
-        twice = self._draws.random() < self.duplicate
-        self.doubled += twice
-        return twice
+    def draw_duplicate(self) -> bool:
+        """Draw whether the next frame is sent twice."""
+        is_duplicated = self._rng.random() < self.duplicate
+        self.doubled += is_duplicated
+        return is_duplicated
 
     async def start(self) -> None:
-        """Listen; `port` is known from then on."""
-        self._server = await asyncio.start_server(self._accepted, "127.0.0.1", 0, limit=CHUNK)
+        """Listen on a free port, which is then in `port`."""
+        self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0, limit=CHUNK_BYTES)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def reset(self) -> None:
-        """Close all connections at once; faults stay as they are."""
+        """Abort all connections; the faults stay as they are."""
         for task in list(self._tasks):
             task.cancel()
 
     async def close(self) -> None:
-        """End."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._refuse or len(self._tasks) >= MOST_CONNECTIONS:
+    def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self._refuse or len(self._tasks) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        task = asyncio.get_running_loop().create_task(self._carry(reader, writer))
+        task = asyncio.get_running_loop().create_task(self._forward_connection(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, until both directions have ended or one has broken."""
-        ends = [writer]
+    async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward one connection until both directions have ended or one has failed."""
+        writers = [writer]
         try:
             while self.cut_forward or self.cut_back:
-                await asyncio.sleep(STEP_S)
-            there, back = await asyncio.open_connection(*self.target, limit=CHUNK)
-            ends.append(back)
-            async with asyncio.TaskGroup() as both:
-                both.create_task(self._pass(reader, back, lambda: self.cut_forward, Doubling(self)))
-                both.create_task(self._pass(there, writer, lambda: self.cut_back, None))
+                await asyncio.sleep(POLL_S)
+            target_reader, target_writer = await asyncio.open_connection(*self.target, limit=CHUNK_BYTES)
+            writers.append(target_writer)
+            async with asyncio.TaskGroup() as directions:
+                directions.create_task(
+                    self._forward(reader, target_writer, lambda: self.cut_forward, FrameDuplicator(self))
+                )
+                directions.create_task(self._forward(target_reader, writer, lambda: self.cut_back, None))
         except* OSError:
             pass
         finally:
-            for one in ends:
-                one.transport.abort()
+            for end in writers:
+                end.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         is_cut: Callable[[], bool],
-        doubling: "Doubling | None",
+        duplicator: "FrameDuplicator | None",
     ) -> None:
-        under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MOST_CHUNKS)
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         loop = asyncio.get_running_loop()
 
-        async def take() -> None:
+        async def read() -> None:
             data = b"-"
             while data:
                 try:
-                    data = await reader.read(CHUNK)
+                    data = await reader.read(CHUNK_BYTES)
                 except OSError:
                     data = b""
-                await under_way.put((loop.time() + self.delay_ms / 1000, data))
+                await queue.put((loop.time() + self.delay_ms / 1000, data))
 
-        async def give() -> None:
+        async def write() -> None:
             data = b"-"
             while data:
-                due, data = await under_way.get()
-                while loop.time() < due or is_cut():
-                    await asyncio.sleep(STEP_S)
-                out = data if doubling is None else doubling.through(data)
+                due_s, data = await queue.get()
+                while loop.time() < due_s or is_cut():
+                    await asyncio.sleep(POLL_S)
+                out = data if duplicator is None else duplicator.process(data)
                 if out:
                     writer.write(out)
                     await writer.drain()
@@ -130,36 +132,36 @@
             if writer.can_write_eof():
                 writer.write_eof()
 
-        async with asyncio.TaskGroup() as both:
-            both.create_task(take())
-            both.create_task(give())
+        async with asyncio.TaskGroup() as directions:
+            directions.create_task(read())
+            directions.create_task(write())
 
 
-class Doubling:
-    """Finds where frames end, and lets some of them through twice."""
+class FrameDuplicator:
+    """Splits a byte stream into frames and repeats some of them."""
 
     def __init__(self, link: LinkProxy) -> None:
         self._link = link
-        self._held = bytearray()
-        self._frames = 0
-        self._raw = False  # no frames: all is let through as it comes
+        self._buffer = bytearray()
+        self._frame_count = 0
+        self._is_raw = False  # the stream has no frames, so all bytes pass unchanged
 
-    def through(self, data: bytes) -> bytes:
-        """What is written for these bytes; none are the end, where what is held goes too."""
-        self._held += data
+    def process(self, data: bytes) -> bytes:
+        """Return the bytes to write for these; empty input is the end of the stream and flushes the buffer."""
+        self._buffer += data
         out = bytearray()
-        while len(self._held) >= 4 and not self._raw:
-            size = 4 + int.from_bytes(self._held[:4], "big")
-            self._raw = size > MOST_FRAME
-            if self._raw or len(self._held) < size:
+        while len(self._buffer) >= 4 and not self._is_raw:
+            size = 4 + int.from_bytes(self._buffer[:4], "big")
+            self._is_raw = size > MAX_FRAME_BYTES
+            if self._is_raw or len(self._buffer) < size:
                 break
-            frame = bytes(self._held[:size])
-            del self._held[:size]
+            frame = bytes(self._buffer[:size])
+            del self._buffer[:size]
             out += frame
-            if self._frames and self._link.draw():
+            if self._frame_count and self._link.draw_duplicate():
                 out += frame
-            self._frames += 1
-        if self._raw or not data:
-            out += self._held
-            self._held.clear()
+            self._frame_count += 1
+        if self._is_raw or not data:
+            out += self._buffer
+            self._buffer.clear()
         return bytes(out)
--- a/oatlink/lab/fleet/scenarios.py
+++ b/oatlink/lab/fleet/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens on a day of the fleet, as data: its faults, its tenants, the days that are built in."""
+"""Fleet scenarios as data: their faults, tenants and layout changes, and the built-in scenarios."""
 
 from typing import Annotated, Literal
 
@@ -12,23 +12,26 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that happens to gateways or to the links between them.
-
-    kill9: killed; started again after `back`, with an empty state folder where `value` is 1. sigterm: asked to end;
-    started again after `back`. sigstop: stands still for `value` seconds. cut_out, cut_in: nothing gets from, or to,
-    `nodes` and the rest. split: neither way. slow: bytes between `nodes` and the rest take `value` ms longer each way.
-    double: so probably a message to or from `nodes` comes twice. heal: all links are good again.
+    """A fault of gateways or of the links between them.
+
+    kill9: the gateways are killed, and restarted after `back`, with an empty state folder if `value` is 1.
+    sigterm: they are stopped by SIGTERM, and restarted after `back`.
+    sigstop: they are halted for `value` seconds.
+    cut_out, cut_in, split: no byte passes from `nodes` to the rest, from the rest to `nodes`, or either way.
+    slow: bytes between `nodes` and the rest are delayed by `value` ms in each direction.
+    double: a message between `nodes` and the rest is duplicated with the probability `value`.
+    heal: all faults of links end.
     """
 
     at: Share
     do: Literal["kill9", "sigterm", "sigstop", "cut_out", "cut_in", "split", "slow", "double", "heal"]
     nodes: Annotated[tuple[int, ...], Meta(max_length=16)] = ()
     value: float = 0.0
-    back: Share = 0.0  # share of the day after which it is undone; 0: not
+    back: Share = 0.0  # share of the run after which the fault is undone; 0: never
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One tenant: what it may have and what its clients want, in requests a second."""
+    """A tenant: its quota, and the demand of its clients in requests a second."""
 
     rate: float
     burst: float
@@ -38,7 +41,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An operator's word about layouts. `stay`: share of the day in which both are served, at least."""
+    """A layout command of an operator. `stay`: the least share of the run in which both layouts are served."""
 
     at: Share
     word: Literal["propose", "back", "resume"]
@@ -47,7 +50,7 @@
 
 
 class Pinned(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Clients of one layout, there from `begin` to `end`; `rate` in requests a second of them all."""
+    """Clients that are pinned to a layout and run from `begin` to `end`; `rate` is requests a second of all of them."""
 
     version: Annotated[int, Meta(gt=0)]
     begin: Share = 0.0
@@ -57,10 +60,10 @@
 
 
 class FleetScenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A day of the fleet. `steps` happen to boxes, `faults` to gateways and links.
+    """A fleet scenario. `steps` affect boxes; `faults` affect gateways and links.
 
-    `phase_s`: how long clients spread over the gateways in one uneven way, before they spread in another. `term_s`: the
-    fleet's longest lease, which the bounds are multiples of. `rate`: requests a second of clients of no tenant.
+    `phase_s`: how long an uneven spread of clients over the gateways lasts before another one is drawn. `term_s`: the
+    longest lease of the fleet; time bounds are multiples of it. `rate`: requests a second of clients without a tenant.
     """
 
     judge: Literal["quota", "versions", "verdicts"]
@@ -79,14 +82,15 @@
     term_s: Annotated[float, Meta(gt=0)] = 2.0
     drift: float = 0.001
     verdicts: bool = True
-    fleet: bool = True  # False: the same gateways, clients and faults without a fleet part
+    fleet: bool = True  # False: the same gateways, clients and faults, without a `fleet` section in the settings
 
     def base(self) -> Scenario:
-        """What a day without a fleet needs of it."""
+        """Return the part that a run without a fleet has too."""
         return Scenario(self.steps, self.banks, self.members, self.gateways, self.rate, self.work_ms)
 
 
-# Clients that obey their times to come back stay away meanwhile: at twice the rate there is not always demand.
+# Demand is four times the rate: clients that obey retry times send nothing meanwhile, so twice the rate would leave
+# times without any demand.
 TENANTS = {
     "a": Tenant(rate=200, burst=40, floor=0.2, demand=800, clients=108),
     "b": Tenant(rate=60, burst=20, floor=0.4, demand=240, clients=54),
@@ -160,9 +164,9 @@
 
 
 def load_fleet_scenario(name: str) -> FleetScenario | None:
-    """A built-in day by name, or a Jsonnet file that has a `judge`; None where it is no day of a fleet.
+    """Return a built-in fleet scenario by its name, or load a Jsonnet file that has a `judge`; None for any other.
 
-    Raises `SettingsError` where it is one with a mistake in it.
+    Raises `SettingsError` if the file is an invalid fleet scenario.
     """
     if name in BUILT_IN:
         return BUILT_IN[name]
--- a/tests/fleet/test_days.py
+++ b/tests/fleet/test_days.py
@@ -1,7 +1,7 @@
-"""Whole days of the fleet through real gateways and links; each sabotaged gateway must be found.
+"""Runs whole fleet scenarios through real gateways and links, and requires that each mutation of a gateway is found.
 
-What depends on how fast the machine is (use of a rate, time back to it) is played and judged by `oatlink day`; here
-only what must hold at any speed is asserted.
+Results that depend on the speed of the machine (use of a rate, recovery time) are checked by `oatlink day`. The tests
+here only assert what must hold at any speed.
 """
 
 import sys
@@ -15,7 +15,7 @@
 from oatlink.lab.fleet.scenarios import BUILT_IN, Change, Fault, FleetScenario, Pinned, Tenant, load_fleet_scenario
 from oatlink.settings import SettingsError
 
-SABOTAGE = str(Path(__file__).with_name("sabotage.py"))
+MUTATIONS = str(Path(__file__).with_name("sabotage.py"))
 QUOTA = FleetScenario(
     "quota",
     faults=(
@@ -38,61 +38,63 @@
 )
 
 
-def kept(report: FleetReport) -> None:
-    """The five rules, and processes that did as they were told."""
+def assert_kept(report: FleetReport) -> None:
+    """Assert that no invariant was violated, all processes obeyed the schedule, and every request was answered."""
     data = report.as_json()
-    assert report.day.kept, data["examples"]
+    assert report.base.kept, data["examples"]
     assert not report.problems and data["requests"] > 500 and data["unanswered"] == 0  # type: ignore[operator]
 
 
 def test_a_quota_is_never_over_whatever_happens_to_its_nodes() -> None:
     report = play_fleet(QUOTA, seed=3, seconds=14)
-    kept(report)
+    assert_kept(report)
     assert report.quota is not None
     for rule in ("never_over", "floor", "told"):
         assert not report.quota.violations[rule], report.quota.violations
-    for one in report.quota.tenants.values():
-        assert one.admitted > 150 and one.refused > 50
+    for tenant in report.quota.tenants.values():
+        assert tenant.admitted > 150 and tenant.refused > 50
 
 
-def test_a_change_of_layout_is_finished_and_no_command_meets_the_wrong_one() -> None:
+def test_a_layout_change_completes_and_no_command_uses_the_wrong_layout() -> None:
     scenario = msgspec.structs.replace(LAYOUTS, faults=(Fault(0.12, "kill9", nodes=(1,), back=0.2),))
-    report = play_fleet(scenario, seed=4, seconds=26)  # a sequencer after a killed one waits for that one's terms
-    kept(report)
+    report = play_fleet(scenario, seed=4, seconds=26)  # the successor of a killed sequencer waits for its terms to end
+    assert_kept(report)
     assert report.versions is not None and report.versions.passed, report.versions
     assert report.versions.commands[1] > 50 and report.versions.commands[2] > 50
-    assert report.versions.refused["v1"] and report.versions.refused["v2"]  # after its end, and before its begin
+    # Clients of v1 are refused after its end, and clients of v2 before its begin.
+    assert report.versions.refused["v1"] and report.versions.refused["v2"]
 
 
-def test_verdicts_pass_over_nobody_who_is_well() -> None:
+def test_verdicts_never_exclude_a_healthy_member() -> None:
     report = play_fleet(msgspec.structs.replace(BUILT_IN["verdicts"], gateways=3), seed=5, seconds=6)
-    kept(report)
-    assert report.evidence is not None and report.without is not None and report.without.evidence is not None
+    assert_kept(report)
+    without_verdicts = report.without_verdicts
+    assert report.evidence is not None and without_verdicts is not None and without_verdicts.evidence is not None
     assert not report.evidence.healthy_passed_over
-    assert report.evidence.checks and report.without.evidence.checks
+    assert report.evidence.checks and without_verdicts.evidence.checks
 
 
 @pytest.mark.parametrize(
-    ("scenario", "lie", "rules"),
+    ("scenario", "mutation", "rules"),
     [
         (msgspec.structs.replace(QUOTA, faults=(), gateways=3), "never_over", {"never_over"}),
         (msgspec.structs.replace(QUOTA, faults=(), gateways=3), "told", {"told"}),
         (LAYOUTS, "layouts", {"expanded", "not_contracted"}),
     ],
 )
-def test_a_sabotaged_fleet_is_found(scenario: FleetScenario, lie: str, rules: set[str]) -> None:
-    report = play_fleet(scenario, seed=6, seconds=8, command_line=[sys.executable, SABOTAGE, lie])
-    found = report.quota or report.versions
-    assert found is not None
-    assert rules <= {rule for rule, texts in found.violations.items() if texts}, found.violations
+def test_a_mutated_fleet_is_found(scenario: FleetScenario, mutation: str, rules: set[str]) -> None:
+    report = play_fleet(scenario, seed=6, seconds=8, command_line=[sys.executable, MUTATIONS, mutation])
+    result = report.quota or report.versions
+    assert result is not None
+    assert rules <= {rule for rule, texts in result.violations.items() if texts}, result.violations
     assert not report.kept
 
 
 def test_a_scenario_from_a_file(tmp_path: Path) -> None:
     path = tmp_path / "day.jsonnet"
     path.write_text("{ judge: 'quota', faults: [{ at: 0.5, do: 'kill9', nodes: [0] }] }")
-    found = load_fleet_scenario(str(path))
-    assert found is not None and found.faults[0].nodes == (0,)
+    scenario = load_fleet_scenario(str(path))
+    assert scenario is not None and scenario.faults[0].nodes == (0,)
     path.write_text("{ judge: 'quota', faults: [{ at: 0.5, do: 'kill' }] }")
     with pytest.raises(SettingsError, match=r"faults\[0\]\.do"):
         load_fleet_scenario(str(path))
