--- a/oatlink/lab/days/report.py
+++ b/oatlink/lab/days/report.py
@@ -9,7 +9,7 @@
 class Report:
     """What the invariant checker and the harness found in one run."""
 
-    verdict: CheckResult
+    result: CheckResult
     elections: int = 0
     steps: list[str] = field(default_factory=list)
     gateway_codes: list[int] = field(default_factory=list)
@@ -18,11 +18,11 @@
     @property
     def kept(self) -> bool:
         """Whether no invariant was violated."""
-        return self.verdict.passed
+        return self.result.passed
 
     def as_json(self) -> dict[str, object]:
         """Return the report in its documented JSON form."""
-        result = self.verdict
+        result = self.result
         share = result.bounded_at_replicas / result.bounded_reads if result.bounded_reads else 0.0
         return {
             "requests": result.requests,
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,7 +13,7 @@
 def test_a_day_of_trouble_keeps_every_rule(day_of_trouble: tuple[Report, list[Path]]) -> None:
     report, _ = day_of_trouble
     data = report.as_json()
-    assert report.verdict.passed, data["examples"]
+    assert report.result.passed, data["examples"]
     assert data["requests"] > 1_000 and data["unanswered"] == 0 and data["answered_twice"] == 0  # type: ignore[operator]
     assert data["served"] > 0.7 * data["requests"]  # type: ignore[operator]
     assert data["bounded_at_replicas"] > 0.5  # type: ignore[operator]
@@ -23,7 +23,7 @@
 def test_a_crowd_and_a_flood_keep_every_rule() -> None:
     report = play(SCENARIOS["crowd"], seed=2, seconds=8)
     data = report.as_json()
-    assert report.verdict.passed, data["examples"]
+    assert report.result.passed, data["examples"]
     assert data["requests"] > 3_000 and data["unanswered"] == 0 and data["answered_twice"] == 0  # type: ignore[operator]
     assert data["served"] > 500 and report.elections >= 1  # type: ignore[operator]
 
@@ -31,7 +31,7 @@
 def test_a_lost_address_again_and_again_breaks_no_rule_and_costs_little() -> None:
     report = play(SCENARIOS["lost-address"], seed=3, seconds=6)
     data = report.as_json()
-    assert report.verdict.passed, data["examples"]
+    assert report.result.passed, data["examples"]
     assert data["requests"] > 600 and data["unanswered"] == 0 and data["ran_twice"] == 0  # type: ignore[operator]
     assert data["served"] > 0.9 * data["requests"]  # type: ignore[operator]
     # Addresses are not boxes: no bank has elected another primary for them.
@@ -61,7 +61,7 @@
     for seed in (3, 4, 5):
         seconds = 5 if rule == "cold_spared" else 4  # a box that falls over must be seen to fall
         reports.append(play(SCENES[rule], seed=seed, seconds=seconds, command_line=[sys.executable, SABOTAGE, rule]))
-        if reports[-1].verdict.violations[rule]:
+        if reports[-1].result.violations[rule]:
             return
     raise AssertionError([one.as_json() for one in reports])
 
@@ -69,7 +69,7 @@
 def test_a_session_sees_its_writes_that_were_never_answered() -> None:
     report = play(SCENARIOS["unanswered"], seed=3, seconds=6)
     data = report.as_json()
-    assert report.verdict.passed, data["examples"]
+    assert report.result.passed, data["examples"]
     assert data["failed"] > 5 and data["unanswered"] == 0  # type: ignore[operator]
 
 
@@ -78,6 +78,6 @@
     for seed in (3, 4, 5):
         line = [sys.executable, SABOTAGE, "own_writes_seen"]
         reports.append(play(SCENARIOS["unanswered"], seed=seed, seconds=6, command_line=line))
-        if reports[-1].verdict.violations["no_stale_read"]:
+        if reports[-1].result.violations["no_stale_read"]:
             return
     raise AssertionError([one.as_json() for one in reports])
