--- a/oatlink/lab/fleet/clients.py
+++ b/oatlink/lab/fleet/clients.py
@@ -83,14 +83,14 @@
         while time.monotonic() < self.end_s:
             preferred = self._choose_gateway()
             for offset in range(count):
-                at = (preferred + offset) % count
+                gateway = (preferred + offset) % count
                 try:
-                    stream = await connect(f"127.0.0.1:{world.ports[at]}", 2)
+                    stream = await connect(f"127.0.0.1:{world.ports[gateway]}", 2)
                 except DialError:
                     continue
                 self._connection_count += 1
                 place = f"{self._base}.{self._connection_count}"
-                world.capture.set_gateway(place, 1, node_name(at))
+                world.capture.set_gateway(place, 1, node_name(gateway))
                 receiver = asyncio.ensure_future(self._receive(place, stream))
                 try:
                     await self._send_batches(place, stream, preferred)
--- a/oatlink/lab/fleet/faults.py
+++ b/oatlink/lab/fleet/faults.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(max(0.0, start_s + fault.at * seconds - time.monotonic()))
         episode = FaultEpisode(fault, now_us())
         self.episodes.append(episode)
-        names = " ".join(node_name(at) for at in fault.nodes)
+        names = " ".join(node_name(number) for number in fault.nodes)
         self.world.steps.append(f"{fault.at * seconds:.1f}s {fault.do} {names}")
         self._apply(fault)
         if fault.do == "sigstop":
@@ -71,18 +71,18 @@
 
     def _apply(self, fault: Fault) -> None:
         if fault.do in ("kill9", "sigterm", "sigstop"):
-            for at in fault.nodes:
+            for number in fault.nodes:
                 event, signal_number = {
                     "kill9": ("killed", signal.SIGKILL),
                     "sigterm": ("ending", signal.SIGTERM),
                     "sigstop": ("halted", signal.SIGSTOP),
                 }[fault.do]
-                self.world.capture.add_event(now_us(), node_name(at), event)
-                process = self.gateways.processes[at]
+                self.world.capture.add_event(now_us(), node_name(number), event)
+                process = self.gateways.processes[number]
                 if process.returncode is None:
                     os.kill(process.pid, signal_number)
                 if fault.do == "kill9":
-                    self.killed.add(at)
+                    self.killed.add(number)
         elif fault.do in ("cut_out", "cut_in", "split"):
             self.links.cut(fault.nodes, out=fault.do != "cut_in", into=fault.do != "cut_out")
         elif fault.do == "slow":
@@ -94,14 +94,14 @@
 
     async def _undo(self, fault: Fault) -> None:
         if fault.do in ("kill9", "sigterm"):
-            for at in fault.nodes:
-                await self._restart(at, fault)
+            for number in fault.nodes:
+                await self._restart(number, fault)
         elif fault.do == "sigstop":
-            for at in fault.nodes:
-                process = self.gateways.processes[at]
+            for number in fault.nodes:
+                process = self.gateways.processes[number]
                 if process.returncode is None:
                     os.kill(process.pid, signal.SIGCONT)
-                self.world.capture.add_event(now_us(), node_name(at), "resumed")
+                self.world.capture.add_event(now_us(), node_name(number), "resumed")
         elif fault.do in ("cut_out", "cut_in", "split"):
             self.links.restore(fault.nodes)
         elif fault.do == "slow":
@@ -109,43 +109,43 @@
         elif fault.do == "double":
             self.links.double(fault.nodes, 0.0)
 
-    async def _restart(self, at: int, fault: Fault) -> None:
+    async def _restart(self, number: int, fault: Fault) -> None:
         """Restart a gateway once its process has ended, with its state, or with none if the fault lost it."""
         try:
             async with asyncio.timeout(5):
-                code = await self.gateways.processes[at].wait()
+                code = await self.gateways.processes[number].wait()
         except TimeoutError:
-            self.problems.append(f"{node_name(at)} did not end within 5 s of {fault.do}")
-            self.gateways.processes[at].kill()
-            code = await self.gateways.processes[at].wait()
+            self.problems.append(f"{node_name(number)} did not end within 5 s of {fault.do}")
+            self.gateways.processes[number].kill()
+            code = await self.gateways.processes[number].wait()
         if fault.do == "sigterm" and code:
-            self.problems.append(f"{node_name(at)} ended with {code} when asked to")
+            self.problems.append(f"{node_name(number)} ended with {code} when asked to")
         if fault.do == "kill9" and fault.value:
-            shutil.rmtree(self.state_dir(at))
-            self.state_dir(at).mkdir(mode=0o700)
+            shutil.rmtree(self.state_dir(number))
+            self.state_dir(number).mkdir(mode=0o700)
         try:
-            await self.gateways.restart(at)
-            self.killed.discard(at)
+            await self.gateways.restart(number)
+            self.killed.discard(number)
         except (RuntimeError, TimeoutError):
-            self.problems.append(f"{node_name(at)} did not start again after {fault.do}")
-            self.killed.add(at)
+            self.problems.append(f"{node_name(number)} did not start again after {fault.do}")
+            self.killed.add(number)
 
     def resume_halted(self) -> None:
         """Resume the gateways that are still halted by a sigstop fault, so that they can end."""
         for episode in self.episodes:
             if episode.fault.do == "sigstop" and episode.to_us < 0:
-                for at in episode.fault.nodes:
-                    process = self.gateways.processes[at]
+                for number in episode.fault.nodes:
+                    process = self.gateways.processes[number]
                     if process.returncode is None:
                         os.kill(process.pid, signal.SIGCONT)
-                    self.world.capture.add_event(now_us(), node_name(at), "resumed")
+                    self.world.capture.add_event(now_us(), node_name(number), "resumed")
 
     # ---- Inputs of the checkers ----
 
     def _minority_side(self, nodes: tuple[int, ...]) -> tuple[str, ...]:
         """Return the side of a split that has no majority of the acceptors."""
-        is_minority = 2 * sum(at < self.acceptor_count for at in nodes) < self.acceptor_count
-        return tuple(node_name(at) for at in range(len(self.world.ports)) if (at in nodes) is is_minority)
+        is_minority = 2 * sum(number < self.acceptor_count for number in nodes) < self.acceptor_count
+        return tuple(node_name(number) for number in range(len(self.world.ports)) if (number in nodes) is is_minority)
 
     def spans(self, start_us: int, end_us: int, settle_us: int) -> tuple[list[Span], list[tuple[int, int]]]:
         """Return the spans to check rates in, and the heals.
--- a/oatlink/lab/fleet/harness.py
+++ b/oatlink/lab/fleet/harness.py
@@ -68,7 +68,7 @@
             command_line,
             record_to,
             CLIENT_NAME_PATTERN,
-            lambda at: self.fleet_settings.section(at, self.links),
+            lambda number: self.fleet_settings.section(number, self.links),
         )
 
     def killed_gateways(self) -> set[int]:
@@ -112,7 +112,9 @@
             asyncio.ensure_future(self.operator.run()),
         ]
         if self.fleet_scenario.judge == "verdicts":
-            background += [asyncio.ensure_future(self.observers.run(at)) for at in range(self.fleet_scenario.gateways)]
+            background += [
+                asyncio.ensure_future(self.observers.run(number)) for number in range(self.fleet_scenario.gateways)
+            ]
         faults = asyncio.ensure_future(self.faults.run())
         try:
             await asyncio.gather(*clients)
@@ -140,7 +142,7 @@
     def _evidence(self) -> EvidenceResult:
         banks = {box.name: bank.name for bank in self.world.embedded.banks for box in bank.boxes}
         faults = injected_faults(self.step_runner, banks, self.end_us)
-        names = tuple(node_name(at) for at in range(self.fleet_scenario.gateways))
+        names = tuple(node_name(number) for number in range(self.fleet_scenario.gateways))
         return EvidenceChecker(self.world.capture, faults, self.observers.observations, banks, names).check()
 
     def _versions(self) -> VersionsResult:
--- a/oatlink/lab/fleet/links.py
+++ b/oatlink/lab/fleet/links.py
@@ -4,7 +4,7 @@
 
 
 class Links:
-    """All links by (from, to).
+    """All links by (source, target).
 
     A connection carries bytes both ways, whichever node dialled it. To cut one direction between two nodes, both of
     their proxies must be set.
@@ -14,10 +14,10 @@
         """`ports`: the ports on which the nodes listen for each other."""
         count = len(ports)
         self.links = {
-            (at, to): LinkProxy(("127.0.0.1", ports[to]), seed * 1_000 + at * count + to)
-            for at in range(count)
-            for to in range(count)
-            if at != to
+            (source, target): LinkProxy(("127.0.0.1", ports[target]), seed * 1_000 + source * count + target)
+            for source in range(count)
+            for target in range(count)
+            if source != target
         }
 
     async def start(self) -> None:
@@ -30,13 +30,17 @@
         for link in self.links.values():
             await link.close()
 
-    def routes(self, at: int) -> dict[int, int]:
+    def routes(self, node: int) -> dict[int, int]:
         """Return the proxy port by which a node reaches each of the other nodes."""
-        return {to: link.port for (source, to), link in self.links.items() if source == at}
+        return {target: link.port for (source, target), link in self.links.items() if source == node}
 
     def _between(self, nodes: tuple[int, ...]) -> list[tuple[bool, LinkProxy]]:
         """Return the links between these nodes and the rest; the flag tells whether one of these nodes dials."""
-        return [(at in nodes, link) for (at, to), link in self.links.items() if (at in nodes) is not (to in nodes)]
+        return [
+            (source in nodes, link)
+            for (source, target), link in self.links.items()
+            if (source in nodes) is not (target in nodes)
+        ]
 
     def cut(self, nodes: tuple[int, ...], out: bool, into: bool) -> None:
         """Cut all traffic from these nodes to the rest (`out`), from the rest to these nodes (`into`), or both."""
--- a/oatlink/lab/fleet/observers.py
+++ b/oatlink/lab/fleet/observers.py
@@ -22,11 +22,11 @@
         self._last: dict[tuple[str, str], str] = {}
         self.observations: list[Observation] = []
 
-    async def run(self, at: int) -> None:
-        """Poll gateway `at` until cancelled; reconnect if it is away."""
+    async def run(self, number: int) -> None:
+        """Poll gateway `number` until cancelled; reconnect if it is away."""
         while True:
             try:
-                stream = await connect(f"127.0.0.1:{self._world.admin_ports[at]}", 2)
+                stream = await connect(f"127.0.0.1:{self._world.admin_ports[number]}", 2)
             except DialError:
                 await asyncio.sleep(0.2)
                 continue
@@ -36,7 +36,7 @@
                     await stream.write(command("MEMBERS"))
                     while (frame := reader.take()) is None:
                         reader.feed(await stream.read_bytes(65_536, partial=True))
-                    self._record(node_name(at), decode(frame))
+                    self._record(node_name(number), decode(frame))
                     await asyncio.sleep(POLL_INTERVAL_S)
             except StreamClosedError:
                 await asyncio.sleep(0.2)
--- a/oatlink/lab/fleet/settings.py
+++ b/oatlink/lab/fleet/settings.py
@@ -8,9 +8,9 @@
 from oatlink.lab.fleet.scenarios import FleetScenario
 
 
-def node_name(at: int) -> str:
-    """Return the node name of gateway `at`."""
-    return f"g{at}"
+def node_name(number: int) -> str:
+    """Return the node name of gateway `number`."""
+    return f"g{number}"
 
 
 def acceptor_count(scenario: FleetScenario) -> int:
@@ -33,26 +33,26 @@
         key = folder / "fleet.key"
         key.touch(mode=0o600)
         key.write_text(random.Random(f"{self._seed}/key").randbytes(32).hex())
-        for at in range(len(self._ports)):
-            self.state_dir(at).mkdir(mode=0o700)
+        for number in range(len(self._ports)):
+            self.state_dir(number).mkdir(mode=0o700)
 
-    def state_dir(self, at: int) -> Path:
-        """Return the folder in which gateway `at` stores its durable state."""
-        return self._folder / f"state-{at}"
+    def state_dir(self, number: int) -> Path:
+        """Return the folder in which gateway `number` stores its durable state."""
+        return self._folder / f"state-{number}"
 
-    def section(self, at: int, links: Links) -> str:
-        """Return the `fleet` section of gateway `at`, as a field of a Jsonnet object."""
+    def section(self, number: int, links: Links) -> str:
+        """Return the `fleet` section of gateway `number`, as a field of a Jsonnet object."""
         scenario = self._scenario
         if not scenario.fleet:
             return ""
         section: dict[str, object] = {
-            "node": node_name(at),
+            "node": node_name(number),
             "nodes": [
                 {"name": node_name(node), "address": f"127.0.0.1:{port}", "keeper": node < acceptor_count(scenario)}
                 for node, port in enumerate(self._ports)
             ],
             "key_files": [str(self._folder / "fleet.key")],
-            "state_dir": str(self.state_dir(at)),
+            "state_dir": str(self.state_dir(number)),
             "drift": scenario.drift,
             "tenants": [
                 {
@@ -65,7 +65,7 @@
                 for name, tenant in scenario.tenants.items()
             ],
             "verdicts": scenario.verdicts,
-            "routes": {node_name(to): f"127.0.0.1:{port}" for to, port in links.routes(at).items()},
+            "routes": {node_name(to): f"127.0.0.1:{port}" for to, port in links.routes(number).items()},
         }
         if scenario.judge == "versions":
             section["versions"] = {"first": 1}
