--- a/oatlink/platform/__main__.py
+++ b/oatlink/platform/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Run until an orderly shutdown; 2 where the configuration is wrong."""
+    """Run until an orderly shutdown. Returns the exit code: 2 if the configuration is wrong."""
     signals.block()  # until the gateway has handlers: the imports below take most of its startup time
     from oatlink.platform.start import run
 
--- a/oatlink/platform/clients/connection.py
+++ b/oatlink/platform/clients/connection.py
@@ -21,11 +21,11 @@
 from oatlink.transport.ending import Ending
 
 READ_CHUNK_BYTES = 16_384
-SILENT_TIMEOUT_US = 2_500_000  # a connection without a request so long after its accept is closed
+SILENT_TIMEOUT_US = 2_500_000  # a connection that has sent no request this long after its accept is closed
 TRANSFER_TIMEOUT_US = 2_000_000  # for one message to be received whole, or one answer to be taken by the client
-DRAIN_TIMEOUT_US = 300_000  # for a message that was partly received when the drain began to be received whole
+DRAIN_TIMEOUT_US = 300_000  # for the rest of a message that was partly received when the drain began
 MAX_MISTAKES = 4  # statements that cannot be parsed, per connection; then it is closed
-MISTAKE_PAUSE_S = 0.05  # times the count of mistakes: a client that repeats one at once takes no time from others
+MISTAKE_PAUSE_S = 0.05  # times the count of mistakes, so that a client that repeats one takes no time from others
 LIMITS = Limits(message_bytes=MAX_QUERY_BYTES)
 LOCAL_COMMANDS = frozenset((b"SET", b"RESET", b"DISCARD"))  # answered here, since connections have no session state
 
@@ -46,7 +46,7 @@
         ...
 
     def abandon_query(self, query: "Query") -> None:
-        """Take note that the client of an unanswered query has gone, or was sent away."""
+        """Handle that the client of an unanswered query has left or was disconnected."""
         ...
 
     @property
@@ -231,7 +231,7 @@
             self._handler.submit_query(query)
             self.has_submitted = True
         except StatementError as error:
-            self._answer(query, answers.error(error.sqlstate, str(error)))  # in its own place
+            self._answer(query, answers.error(error.sqlstate, str(error)))  # sent in its turn
             self._pause()
 
     def _answer_mistake(self, answer: bytes) -> None:
--- a/oatlink/platform/clients/listener.py
+++ b/oatlink/platform/clients/listener.py
@@ -13,10 +13,10 @@
 from oatlink.platform.clients.connection import READ_CHUNK_BYTES, Client, QueryHandler
 
 MAX_UNSENT_BYTES = 262_144  # of answers that a client has not taken
-SEARCH_PAUSE_US = 20_000  # after no connection could be closed to admit another, until the next search for one
+SEARCH_PAUSE_US = 20_000  # until the next search for a connection to close, after a search that found none
 MIN_IDLE_US = 2_000_000  # a connection that is idle for less is not closed
 PRESSURE_SHARE = 0.25  # of all client connections: beyond it, idle ones are closed
-DESCRIPTORS_PER_ENDING = 8  # one in so many descriptors is reserved for connections that are ending
+DESCRIPTORS_PER_ENDING = 8  # one in this many descriptors is reserved for connections that are ending
 ACCEPTS_PER_TURN = 16  # the rest wait in the kernel for the next turn of the loop
 
 
--- a/oatlink/platform/clients/pipeline.py
+++ b/oatlink/platform/clients/pipeline.py
@@ -14,11 +14,10 @@
 from dataclasses import dataclass, field
 
 SLACK_US = 50_000  # between the client's clock and ours: the protocol extends every time limit by as much
-MAX_WAITING_BYTES = (
-    262_144  # of answers that wait for those before them: beyond, no command is added until they are sent
-)
+# Of answers that wait for those before them. Beyond this limit, no command is added until they are sent.
+MAX_WAITING_BYTES = 262_144
 MAX_WRITE_BYTES = 65_536  # of answers written at once, unless a single answer is longer
-MAX_ARRIVALS = 64  # times of arrival kept; beyond, newer bytes count as arrived with the last ones
+MAX_ARRIVALS = 64  # times of arrival kept; beyond this, newer bytes count as arrived with the last ones
 
 
 @dataclass(slots=True)
--- a/oatlink/platform/config.py
+++ b/oatlink/platform/config.py
@@ -18,10 +18,11 @@
 MIN_SOCKETS = 64
 WATCHES_PER_PERIOD = 4  # watch calls within the period (`ask_within_us`) in which the roster has to be requested
 # The platform counts a gateway as notified of a change 6 s after discovery had it and could be reached, whatever
-# failed before. An unanswered call takes 1.8 s, the pause after it 1.5 quarters of this period, and the call
-# that brings the change 1.8 s: 5.85 s together.
+# failed before. An unanswered call takes 1.8 s, the pause after it 1.5 times a quarter of this period (2.25 s), and the
+# call that brings the change 1.8 s: 5.85 s together.
 NOTIFIED_US = 6_000_000
-MAX_WATCH_S = 2.5  # with 1.8 s until the call counts as unanswered, a first pause and another call, this is 6 s too
+# Together with the 1.8 s until the call counts as unanswered, a first pause and another call, this is 6 s too.
+MAX_WATCH_S = 2.5
 
 
 class ConfigError(Exception):
@@ -77,9 +78,10 @@
     """Return the settings as they apply on sockets, where the gateway has to request each roster itself.
 
     Prevents missed drains and starts when the settings say that the roster is pushed: nothing pushes it on sockets.
-    With pushed rosters, what the platform's agent has counts as notified from the process's first moment on, even with
-    no watch open, so the gateway then requests the roster within the time in which it has to stop sending. Also caps
-    settings that allow more time to request it than until a change counts as notified anyway.
+    With such settings, the gateway counts as notified of whatever the platform's agent has, from the process's first
+    moment on, even while no watch is open. It therefore requests the roster within the time in which it has to stop
+    sending. If the settings allow more time for the request than passes until a change counts as notified anyway, the
+    shorter time applies.
     """
     within_us = min(settings.ask_within_us, NOTIFIED_US)
     if not settings.must_ask_roster and options.obligations.stop_sending_within_us > 0:
--- a/oatlink/platform/discovery/watch.py
+++ b/oatlink/platform/discovery/watch.py
@@ -12,8 +12,8 @@
 from oatlink.platform.discovery.lists import ListError, News, read
 from oatlink.platform.discovery.order import AnswerStatus, VersionTracker
 
-CALL_S = 1.8  # limit of an answer beyond the wait of a watch: 0.2 s less than until its news counts as notified
-FIRST_WAIT_S = 0.001  # of a watch's first call
+CALL_S = 1.8  # time limit of a call beyond the wait of a watch: 0.2 s before its news counts as notified
+FIRST_WAIT_S = 0.001  # the wait of a watch's first call
 LIST_PATH = "/v1/endpoints"
 
 
@@ -123,7 +123,7 @@
         except (calls.CallError, ListError) as problem:
             self._report_failure(path, str(problem))
             return None
-        except Exception as problem:  # a watch that ended unnoticed, whatever the peer sent, would miss drains
+        except Exception as problem:  # whatever the peer sent: a watch that ended unnoticed would miss drains
             self._report_failure(path, f"{type(problem).__name__} {problem}")
             return None
         version_before = self.version
--- a/oatlink/platform/gateway.py
+++ b/oatlink/platform/gateway.py
@@ -36,7 +36,7 @@
 RESERVED_DESCRIPTORS = 24  # for the log, the event loop, the listener, signals and calls to discovery
 SERVER_DESCRIPTOR_SHARE = 0.45  # of the other descriptors; the rest are for clients
 ANSWER_MEMORY_SHARE = 0.125  # of the memory: for answers that wait for earlier ones on their connections
-SHUTDOWN_GRACE_S = 0.7  # after SIGTERM, in which connections and requests are still accepted
+SHUTDOWN_GRACE_S = 0.7  # time after SIGTERM in which connections and requests are still accepted
 
 
 class Gateway:
@@ -133,7 +133,7 @@
                 LOG.exception("fault")
 
     def _log_state(self) -> None:
-        """Log the gateway's state: each member as role, running attempts and concurrency limit, `?` where in doubt.
+        """Log the gateway's state: for each member its role, running attempts and concurrency limit; `?` marks doubt.
 
         Members with nothing open are only counted, because writing a line with thousands of names would block the loop.
         """
@@ -198,7 +198,11 @@
             self._carry_out_all(self._requests.handle(api.Roster(RosterKind.CHANGES), now_us()))
 
     def _update_room(self) -> None:
-        """Set how many requests connections may have open: a share of the gateway's, bounded by memory for answers."""
+        """Set how many requests client connections may have open.
+
+        Each connection may have its share of the gateway's limit. The memory for answers, if it is limited, bounds the
+        requests of all connections beyond the first of each.
+        """
         max_open = self._config.settings.max_open
         memory_bytes = self._config.limits.memory_mb * 1024 * 1024 * ANSWER_MEMORY_SHARE
         self.pipeline_limits.per_connection = max(1, max_open // self._max_clients)
@@ -250,7 +254,7 @@
         unread = (self._numbers.number_for(name) for name in news.unread)
         entries += [known for number in unread if (known := self._entries.get(number)) is not None]
         self._carry_out_all(self._requests.handle(api.Roster(news.kind, tuple(entries)), now_us()))
-        for entry in entries:  # jobs that wait for a connection there were decided by an older list
+        for entry in entries:  # jobs that wait for a connection to this member were sent on the basis of an older list
             pool = self._servers.pool(entry.member)
             if pool is not None:
                 pool.recheck_waiting()
@@ -281,7 +285,7 @@
         if self._requests.is_open(statement.id):
             raise StatementError("42710", "id: a request by this id is open")
         if len(self._requests) >= self._config.settings.max_open:
-            # Not a mistake of the client's, so the connection goes on unchanged.
+            # This is not the client's mistake, so the connection continues without a pause.
             query.answered(req.Final(refused=True))
             return
         at_us = now_us()
@@ -312,9 +316,9 @@
     def may_write(self, attempt: req.Attempt) -> bool:
         """Whether an attempt may be written at this moment.
 
-        Checks the client's socket, because the loop may not have seen that the client has closed: its end lies behind
-        bytes that were not read yet, or, after this process stood still, came in the same turn of the loop as the
-        event that causes this attempt.
+        Also checks the client's socket, because the loop may not have noticed yet that the client has closed it: the
+        close may lie behind bytes that were not read yet or, after this process was stalled, may have arrived in the
+        same turn of the loop as the event that causes this attempt.
         """
         if not self._requests.may_write(attempt, now_us()):
             return False
--- a/oatlink/platform/reload.py
+++ b/oatlink/platform/reload.py
@@ -14,7 +14,7 @@
 
 
 class Reload:
-    """Runs at most one reading of the file: a newer signal's reading replaces one that is in progress."""
+    """Reads the file, at most once at a time: a new signal cancels a read in progress and starts another one."""
 
     def __init__(self, apply: Callable[[Config], None], track_task: Callable[["asyncio.Future[None]"], None]) -> None:
         self._apply, self._track_task = apply, track_task
--- a/oatlink/platform/reply.py
+++ b/oatlink/platform/reply.py
@@ -126,7 +126,7 @@
             # Outcomes follow the platform's table. The server's SQLSTATE itself is never sent to a client, only logged.
             sqlstate = pg.fields(message).get("C", "")
             outcome = Outcome.ERROR
-            if not self._parts:  # once it has begun to answer, the statement has run, whatever the error says
+            if not self._parts:  # a server that has begun to answer has run the statement, whatever the error says
                 if sqlstate in MISS_SQLSTATES:
                     outcome = Outcome.MISS
                 elif sqlstate == FULL_SQLSTATE:
--- a/oatlink/platform/requests.py
+++ b/oatlink/platform/requests.py
@@ -30,7 +30,7 @@
 
 
 class Owner(Protocol):
-    """Made a request and receives its answer."""
+    """The sender of a request, which receives its answer."""
 
     def answered(self, final: "Final") -> None:
         """Receive the final answer; called once."""
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """Log something that the Router should have actions and did not."""
+    """Log that the Router failed to do something, such as to answer a request before its deadline."""
 
     text: str
 
@@ -306,7 +306,7 @@
         self._actions.append(SendAnswer(request.owner, final))
 
     def _close(self, request: Open) -> None:
-        """Mark a request as owed no answer any more; its client may use its id again."""
+        """Mark a request as no longer owed an answer; its client may use its id again."""
         request.is_closed = True
         if self._by_client_id.get(request.statement.id) is request:
             del self._by_client_id[request.statement.id]
--- a/oatlink/platform/servers/connection.py
+++ b/oatlink/platform/servers/connection.py
@@ -1,8 +1,8 @@
 """One connection to a database server, from its startup handshake to its end.
 
 A connection returns to its pool only if no bytes on it are unread or not understood. A job is committed to it at the
-moment of its write, never before. Servers are never owed anything, so a connection closes without waiting for its
-peer: `Closing` with a linger time of 0.
+moment of its write, never before. The gateway owes its servers no answers, so a connection closes without waiting for
+its peer: `Closing` with a linger time of 0.
 """
 
 import asyncio
@@ -59,7 +59,7 @@
 
 
 class Connection:
-    """One connection. Closing is idempotent; its job, if any, is told how it ended."""
+    """One connection. Closing is idempotent; its job, if any, is notified of how it ended."""
 
     def __init__(self, owner: ConnectionOwner, stream: Stream) -> None:
         self._owner, self.stream = owner, stream
@@ -86,7 +86,7 @@
             self.close()
 
     async def handshake(self) -> Answer | None:
-        """Start up and return the server's answer; None if the connection ended or what came is not understood."""
+        """Start up and return the server's answer; None if the connection ended or the answer is invalid."""
         try:
             await self.stream.write(STARTUP)
             while (answer := self._reader.feed(await self.stream.read_bytes(READ_CHUNK_BYTES, partial=True))) is None:
@@ -124,8 +124,8 @@
                 if answer is None:
                     reading = self._read()
                     continue
-                # Reads again before the job gets its answer: what the answer causes may use this connection, or has
-                # to see that it ended.
+                # Reads again before the job gets its answer, because the actions that the answer causes may use this
+                # connection, or have to see that it has ended.
                 try:
                     reading = self._read()
                 except StreamClosedError:
@@ -165,7 +165,7 @@
         self._carry_out(self._closing.close())
 
     def close(self) -> None:
-        """Close; a job that was not written whole could not connect, any other was reset."""
+        """Close; a job that was not written whole ends as `NO_CONNECTION`, any other as `RESET`."""
         is_whole = self.stream.sent_bytes >= self._job_end_bytes
         self._end(Outcome.RESET if is_whole else Outcome.NO_CONNECTION, None)
 
--- a/oatlink/platform/servers/pool.py
+++ b/oatlink/platform/servers/pool.py
@@ -17,7 +17,7 @@
 
 MAX_BUFFERED_BYTES = 262_144  # per connection, of bytes that wait to be read, and of bytes that wait to be written
 MAX_PARALLEL_DIALS = 8  # to one server
-IDLE_MARGIN = 0.1  # share of the idle time by which a connection is closed before the server would close it
+IDLE_MARGIN = 0.1  # share of the idle time; a connection is closed this much earlier than the server would close it
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         self.servers, self.number, self.address = servers, number, address
         self.idle: list[Connection] = []
         self.busy: dict[Job, Connection] = {}
-        self.waiting: dict[Job, int] = {}  # jobs without a connection, in order, with the time since when they wait
+        self.waiting: dict[Job, int] = {}  # jobs without a connection, in order, and when each began to wait
         self.dialing = 0
         self.is_retired = False  # the server has left the list, or has another address
 
@@ -81,7 +81,7 @@
         return False
 
     def abandon(self, job: Job) -> None:
-        """Stop waiting for a job: its connection is closed at once, and the job is not told."""
+        """Stop waiting for a job: its connection is closed at once, and the job is not notified."""
         self.waiting.pop(job, None)
         connection = self.busy.pop(job, None)
         if connection is not None:
@@ -116,7 +116,7 @@
                 self._withdraw(job)
 
     def retire(self) -> None:
-        """The server has left or moved: withdraw waiting jobs at once and let running ones end in their own time."""
+        """Withdraw waiting jobs at once and let running ones end in their own time: the server has left or moved."""
         self.is_retired = True
         for connection in [*self.idle, *self.busy.values()]:
             connection.drain()
--- a/oatlink/platform/start.py
+++ b/oatlink/platform/start.py
@@ -32,7 +32,7 @@
 
 
 def run() -> int:
-    """Run until an orderly shutdown; 2 where the configuration is wrong."""
+    """Run until an orderly shutdown. Returns the exit code: 2 if the configuration is wrong or the listener fails."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(levelname)s %(message)s", "%H:%M:%S"))
     handler.addFilter(LogRateLimit())
--- a/oatlink/platform/statement.py
+++ b/oatlink/platform/statement.py
@@ -46,9 +46,9 @@
     group: int
     session: str
     after_ms: int | None
-    key: bytes  # of idempotency; empty if the statement has none
+    key: bytes  # the idempotency key; empty if the statement has none
     _prefix: bytes  # the text up to the value of `d`
-    _suffix: bytes  # and after it
+    _suffix: bytes  # the text after the value of `d`
 
     @property
     def is_write(self) -> bool:
