--- a/oatlink/cli/operators.py
+++ b/oatlink/cli/operators.py
@@ -171,8 +171,8 @@
 async def probe_boxes(path: str) -> tuple[dict[str, dict[str, str]], dict[str, dict[str, str]]]:
     """Probe every box of a settings file over each of its addresses, with an engine of this process.
 
-    The engine judges the boxes as a gateway would. Returns the rows of the boxes, and those of the paths if any box has
-    several. Raises `SettingsError`.
+    The engine evaluates the boxes as a gateway would. Returns the rows of the boxes, and those of the paths if any box
+    has several. Raises `SettingsError`.
     """
     settings = load(path)
     gateway = Gateway(
--- a/oatlink/gateway/clients.py
+++ b/oatlink/gateway/clients.py
@@ -26,26 +26,26 @@
         self.unanswered = 0  # commands without an answer
         self.outgoing: list[bytes] = []
         self.hangup_us = 0  # when the engine asked to close the connection after what is still to be written; 0 if not
-        self.is_given_up = False  # no pending answer is waited for any more
+        self.is_given_up = False  # pending answers are no longer waited for
         self.paused_until_us = 0
         self.pause_began_us = 0
         self.unsent_bytes = 0  # written, but not yet taken by the client
         self.last_write: asyncio.Future[None] | None = None
-        self.is_pipeline_full = False  # it waits until fewer of its commands are unanswered
+        self.is_pipeline_full = False  # reading waits until fewer of its commands are unanswered
         self._wakeup: asyncio.Future[None] | None = None
 
     @property
     def is_over(self) -> bool:
-        """Whether commands that it has sent are not to be carried out any more."""
+        """Whether commands that the client has already sent are no longer carried out."""
         return bool(self.hangup_us) or self.ending.discards or self.stream.closed()
 
     @property
     def discards_input(self) -> bool:
-        """Whether what it sends is discarded."""
+        """Whether input from the client is discarded."""
         return bool(self.hangup_us) or self.ending.discards
 
     def _has_pending_output(self) -> bool:
-        """Whether it is still to get bytes that are not handed over, an answer, or one to what it is just sending."""
+        """Whether the client is owed unsent bytes, an answer, or the answer to a command that it may be sending now."""
         if self.is_given_up:
             return False
         if self.unsent_bytes or self.outgoing:
--- a/oatlink/gateway/links/connection.py
+++ b/oatlink/gateway/links/connection.py
@@ -44,7 +44,7 @@
     send: m.Send
     sent_us: int
     frame_count: int  # frames that answer it, with the report behind it
-    runs_from_byte: int  # until so many bytes of the connection have been handed over, nothing of it can have run
+    runs_from_byte: int  # it cannot have run before the socket took this many bytes of the connection
     flushed_us: int = 0
     frames: list[bytes] = field(default_factory=list)
 
@@ -179,7 +179,7 @@
             raise problem
 
     def _process_reply(self, frame: bytes, has_next: bool, more_announced: bool) -> bool:
-        """Process one reply. Returns whether the engine has been told that more replies follow."""
+        """Process one reply. Returns whether the engine was notified that more replies follow."""
         head = self.pending[0]
         head.frames.append(frame)
         if len(head.frames) < head.frame_count:
--- a/oatlink/gateway/links/dialling.py
+++ b/oatlink/gateway/links/dialling.py
@@ -12,7 +12,7 @@
 from oatlink.gateway.clock import Stream, TurnClock, timeout_excluding_stalls
 from oatlink.settings.parts import is_address
 
-UNANSWERED_KEEPALIVES = 3  # after which the kernel ends a connection
+UNANSWERED_KEEPALIVES = 3  # the kernel ends a connection after this many
 
 
 class DialError(Exception):
--- a/oatlink/gateway/links/leases.py
+++ b/oatlink/gateway/links/leases.py
@@ -22,7 +22,7 @@
         self._config, self._reports, self._dial_requests = config, reports, dial_requests
         self._open: dict[int, Connection] = {}
         self.waiting: dict[int, deque[m.Send]] = {}
-        self._lost: set[int] = set()  # leases whose client has not been told of the loss yet
+        self._lost: set[int] = set()  # leases whose client has not been notified of the loss yet
         self._released: set[Connection] = set()  # released connections with pending requests
 
     def __len__(self) -> int:
@@ -64,8 +64,9 @@
         """Queue a request on its client's own connection, or lose the lease.
 
         Prevents an EXEC from running without the WATCH before it when the WATCH was not written or was on a connection
-        that has ended. So a lease is one unit: its requests go on its one connection in order; from the first one that
-        may not be written, none is, and no second connection is opened. The engine then knows that nothing is watched.
+        that has ended. A lease is therefore one unit: its requests go on its one connection in order, none is written
+        after one that may not be written, and no second connection is opened. The engine then knows that nothing is
+        watched.
         """
         connection = self._open.get(send.lease)
         if connection is not None and self._reports.may_write(send):
--- a/oatlink/gateway/links/link.py
+++ b/oatlink/gateway/links/link.py
@@ -57,7 +57,7 @@
     # ---- Events of connections ----
 
     def connection_closed(self, connection: Connection) -> None:
-        """Tell all parts that a connection has closed."""
+        """Notify all parts that a connection has closed."""
         for pool in self._pools.values():
             pool.connection_closed(connection)
         self._leases.connection_closed(connection)
@@ -127,7 +127,7 @@
             self.reports.ended(send, effect.how, self.reports.now(), [], b"")
 
     def close_address(self, address: str) -> None:
-        """Close all connections over an address, as `ClosePath` asks."""
+        """Close all connections over an address, as `ClosePath` requests."""
         with self.reports.batch():
             for connection in self._connections():
                 if connection.address == address:
@@ -147,7 +147,7 @@
         self._leases.review()
 
     def sweep(self) -> None:
-        """Close connections that have been idle, or without a due answer, for longer than the settings allow."""
+        """Close connections that were idle, or waited for an answer, for longer than the settings allow."""
         now, settings = self.reports.now(), self._config.settings
         for connection in self._connections():
             if (
--- a/oatlink/gateway/links/reports.py
+++ b/oatlink/gateway/links/reports.py
@@ -1,4 +1,4 @@
-"""What a link reports to its gateway and asks of it. No other module of the package feeds the engine.
+"""What a link reports to its gateway and requests from it. No other module of the package feeds the engine.
 
 The module translates each event of a link to an input of the engine and makes the final check of a request before its
 write. It has no state.
--- a/oatlink/gateway/metrics.py
+++ b/oatlink/gateway/metrics.py
@@ -40,8 +40,8 @@
 
     def count(self, answer: Counted) -> None:
         """Count a final answer."""
-        # To record a value in a histogram takes longer than the whole refusal that it counts, so latencies are
-        # collected here first and merged later.
+        # Recording a value in a histogram takes longer than the whole handling of a refusal that is counted, so
+        # latencies are collected here first and merged later.
         key = (answer.class_name, answer.outcome)
         took_us = answer.took_us
         dropped_bits = took_us.bit_length() - KEPT_BITS
--- a/oatlink/gateway/reading.py
+++ b/oatlink/gateway/reading.py
@@ -46,9 +46,9 @@
         reader.feed(data)
         while True:
             # Prevents a pipeline from being refused for its own length. A command waits for its client's earlier ones
-            # because the client chose so; only the delay of the first of them is this process's. The time of the
-            # client's commands runs all the same: otherwise commands behind hung ones would get their whole time anew
-            # each time one of those ends.
+            # because the client chose so; only the delay of the first of them is this process's. The time limits of
+            # the waiting commands run all the same: otherwise commands behind hung ones would start again with their
+            # whole time each time one of those ends.
             now = now_us()
             late_us, waited_us = max(0, now - max(turn_us, resumed_us)), max(0, now - turn_us)
             taken_count, may_have_more = 0, True
--- a/oatlink/gateway/run.py
+++ b/oatlink/gateway/run.py
@@ -25,7 +25,7 @@
 READY_BYTE = b"r"  # a worker writes it to its parent's pipe once it serves
 
 Prepare = Callable[[], Awaitable[Callable[[], None]]]
-"""Starts what a gateway needs beside it, and returns the function that ends it."""
+"""Starts what has to run alongside a gateway, and returns the function that ends it."""
 
 
 def worker_settings(settings: Settings, number: int) -> Settings:
--- a/oatlink/gateway/server.py
+++ b/oatlink/gateway/server.py
@@ -32,7 +32,7 @@
 from oatlink.transport.ending import LINGER_S, Ending
 
 MIN_SLEPT_US = 10_000  # smaller differences are the inaccuracy of reading two clocks
-MAX_ENDING_CONNECTIONS = 256  # that have had their last answer; above it, the oldest are closed at once
+MAX_ENDING_CONNECTIONS = 256  # connections that have had their last answer; beyond this, the oldest are closed at once
 SWEEP_INTERVAL_MS = 1_000
 
 
@@ -62,7 +62,8 @@
         self._limits = Limits(limits.bulk_bytes, limits.message_bytes, limits.items)
         self._clients: dict[int, Client] = {}
         self._hanging_up: dict[Client, None] = {}  # connections that the engine closes, until they have ended
-        self._ending: dict[Ending, None] = {}  # have had their last answer; not counted in the limit of clients
+        # Connections that have had their last answer; they do not count towards the limit of clients.
+        self._ending: dict[Ending, None] = {}
         self._last_client = 0
         self._links: dict[str, Link] = {}
         self._inputs: deque[m.AnyInput] = deque()
@@ -318,7 +319,7 @@
     def _refuse(self, stream: Stream) -> None:
         """Refuse a connection above the limit of clients.
 
-        Prevents the refusal from being lost when the connection is closed over bytes that it has sent already.
+        Prevents the refusal from being lost when the connection is closed while bytes of the client are still unread.
         """
         ending = Ending(stream, lambda: False, lambda: self._ending.pop(ending, None))
         written = stream.write(error("ERR max number of clients reached"))
