--- a/oatlink/interface.py
+++ b/oatlink/interface.py
@@ -150,7 +150,7 @@
     listing: Listing = Listing.READY
     primary: bool = False
     started_us: int = 0
-    # Other gateways saw it fail at the first time; until the second, its expected wait is taken to be longer.
+    # When other gateways saw it fail, and until when its expected wait therefore counts as longer.
     suspicion: tuple[int, int] = (0, 0)
 
 
--- a/oatlink/pending.py
+++ b/oatlink/pending.py
@@ -3,7 +3,7 @@
 Queues. A `PendingQueue` has the requests with one `QueueKey` in order of arrival, each with the position that it needs.
 It holds two segment trees over arrival numbers, of the smallest and the largest position, and so finds in O(log n) the
 oldest request that a member at some position can serve, and the newest that it can't. The trees cover a window of
-arrival numbers; when a number falls outside, they are built anew around it, wide enough that this costs O(1) a number.
+arrival numbers; when a number falls outside, they are rebuilt around it, wide enough that this costs O(1) per number.
 
 Ends. When a request is given up depends on the time to reserve for an answer, which changes and is the same for all.
 So there are three heaps: `earliest_ends` by the time from which that reserve can matter; then `soft_ends` by the end
@@ -20,7 +20,7 @@
 QueueKey = tuple[str, float, bool, tuple[int, ...], bool, float]
 """Class, worth, whether late, members tried, whether no more checks are allowed, admission draw.
 
-Requests with the same key can stand for each other (`rules.queueing.queue_key`).
+One request can stand for all others with the same key (`rules.queueing.queue_key`).
 """
 
 MIN_WINDOW_SIZE = 1024  # arrival numbers
@@ -86,7 +86,7 @@
             lowest[node], highest[node] = new_lowest, new_highest
 
     def _rebuild(self, number: int) -> None:
-        """Build the trees for a window that has this arrival number, and on both sides as many leaves again."""
+        """Build the trees for the numbers in use and this one, with at least as many free leaves on either side."""
         positions = {present: self.min_positions[present - self.first_number + self.size] for present in self.requests}
         least, most = min([number, *positions]), max([number, *positions])
         span = most - least + 1
--- a/oatlink/router_state.py
+++ b/oatlink/router_state.py
@@ -55,7 +55,8 @@
     roster_request_us: int = NEVER
     roster_retry_wait_us: int = 0
 
-    # The moving average over the answers of all groups (`concurrency`), the number of attempts sent (`sending`).
+    # The moving average of the service time over all groups (`concurrency`), and the number of attempts sent
+    # (`sending`).
     average_service_us: float = 0.0
     round_robin_position: float = 0.0
 
@@ -63,9 +64,9 @@
     warm_rate: float = 0.0
     warm_rate_us: int = LONG_AGO
 
-    # Of arrivals (`arrivals`): their number and the share that only a primary takes, both counted where there are many
-    # routers, recent answers for each of them (also `concurrency`), and their average worth. Of each tenant: the rate
-    # at this router, the tokens left of at most a second's worth, and when these were counted.
+    # Arrivals (`arrivals`): their number and the share that only a primary takes, both counted only where there are
+    # many routers, the recent number of answers per arrival (also `concurrency`), and their average worth. For each
+    # tenant: its rate at this router, its remaining tokens (at most one second's worth), and when these were counted.
     arrival_count: int = 0
     primary_only_share: float = 0.0
     answers_per_arrival: float = 1.0
--- a/oatlink/rules/arrivals.py
+++ b/oatlink/rules/arrivals.py
@@ -19,21 +19,20 @@
     state.average_worth += 0.05 * (request.worth - state.average_worth)
     draw = state.random.random() ** max(request.worth, 0.01) if group.admission_ratio < 1.0 else 0.0
     admitted_share = group.admission_ratio**state.average_worth
-    # When none was admitted for `fall_us` the next one is: without an answer the ratio would never rise
-    # again.
+    # If none was admitted for `fall_us`, the next one is: without an answer the ratio would never rise again.
     if draw > admitted_share and state.now_us - group.admitted_us < state.settings.fall_us:
         queueing.give_up(state, request)
     else:
         group.admitted_us, has_pending = state.now_us, bool(state.pending[group.id].entries)
-        # A tenant over its rate doesn't overtake what is pending, so that its flood takes no capacity from
-        # others. Where the group's dispatch is deferred no request overtakes.
+        # A request of a tenant over its rate doesn't overtake the pending ones, so that its flood takes no capacity
+        # from others. While the group's dispatch is deferred, no request overtakes them.
         must_wait = has_pending and (request.worth < rule.worth or group.id in state.deferred_groups)
         dispatch.submit(state, request, must_wait)
     sweeps.plan_sweep(state, group)
 
 
 def _make_request(state: RouterState, rule: RequestClass, group: Group, event: Arrival) -> Request:
-    """The record of a request, with its place among the arrivals counted."""
+    """Create the record of a request and count it among the arrivals of its group."""
     group.arrival_count += 1
     carried_us = event.since_write_us if rule.freshness is Freshness.SESSION else None
     position_us = event.min_position_us if carried_us is None else state.now_us - carried_us
@@ -61,7 +60,7 @@
 
 
 def _tenant_factor(state: RouterState, tenant: str | None) -> float:
-    """The factor on a request's worth: 1 within its tenant's rate here, `over_share_worth` beyond it."""
+    """The factor on a request's worth: 1 while its tenant is within its rate here, beyond it `over_share_worth`."""
     if tenant is None or tenant not in state.tenant_budgets:
         return 1.0
     rate, left, updated_us = state.tenant_budgets[tenant]
--- a/oatlink/rules/outcomes.py
+++ b/oatlink/rules/outcomes.py
@@ -6,7 +6,7 @@
 
 
 def handle_check(state: RouterState, event: Checked) -> None:
-    """Take in the end of a check. `FULL` means nothing; any other failure turns the member's role unknown."""
+    """Process the end of a check. `FULL` says nothing of the member; any other failure makes its role unknown."""
     member = state.members.get(event.member)
     if member is None:
         return
@@ -25,7 +25,7 @@
 
 
 def _record_check(state: RouterState, group: Group, member: Member, event: Checked) -> None:
-    """Take in the report of a check that was answered."""
+    """Record the report of a check that was answered."""
     if member.failed_check_count:
         # A member that comes back is cold and may still work on requests that hung: it starts at one attempt.
         member.failed_check_count, member.concurrency_limit = 0, 1.0
@@ -37,7 +37,7 @@
 
 
 def handle_attempt(state: RouterState, event: AttemptEnded) -> None:
-    """Take in the end of an attempt: what it says of its member, then end, retry or queue its request."""
+    """Process the end of an attempt: update its member, then end, retry or queue its request."""
     member, request = state.members.get(event.member), state.requests.get(event.request)
     key = (event.request, event.attempt)
     sent_us = member.outstanding.pop(key, None) if member is not None else None
@@ -56,7 +56,7 @@
 
 
 def _record_outcome(state: RouterState, member: Member, event: AttemptEnded, sent_us: int) -> None:
-    """Update a member by the outcome of an attempt, by the error rules."""
+    """Apply the error rules to a member for the outcome of an attempt."""
     if event.answer is not None:
         member.answered_us = state.now_us
         primaries.record_report(state, member, event.answer, is_current=True)
@@ -66,15 +66,15 @@
         concurrency.record_outcome(state, member, event)
     silent_us = state.now_us - member.heard_us
     if event.outcome is Outcome.NO_CONNECTION and silent_us < parameters.HEARTBEAT_US:
-        # Heard of lately, so it is more likely full for this router than dead. Connections that worked are
-        # kept; a check finds out.
+        # The member was heard of recently, so it is more likely full for this router than dead. Connections that worked
+        # are kept, and a check shows which of the two it is.
         if silent_us > state.target_service_us:
             checks.check(state, member)
     elif event.outcome is Outcome.RESET and member.heard_us > max(
         member.connection_broken_us, state.now_us - state.target_service_us
     ):
-        # The member was heard of just before, so one connection broke and not the member. A second break
-        # means more.
+        # The member was heard of just before, so one connection broke and not the member. A second break before the
+        # member is heard of again counts as the member's failure.
         member.connection_broken_us = state.now_us
         checks.check(state, member)
     elif event.outcome in (Outcome.RESET, Outcome.NO_CONNECTION):
@@ -105,8 +105,8 @@
     if event.outcome is Outcome.NOT_SENT or state.now_us >= request.expires_us - state.margin_us:
         return queueing.give_up(state, request)
     request.tried_members.append(event.member)
-    # Each send loads a cold primary, a repeat as well: a higher draw makes it wait for a larger released
-    # share.
+    # A repeat loads a cold primary as much as a first send does. After `FULL` the draw is raised, so that the request
+    # waits until a larger share is released.
     request.admission_draw += request.is_primary_only and event.outcome is Outcome.FULL
     # One error may be the member's fault; a second is the request's, which would fail everywhere.
     is_error = event.outcome is Outcome.ERROR
--- a/oatlink/rules/primaries.py
+++ b/oatlink/rules/primaries.py
@@ -8,8 +8,8 @@
 def record_report(state: RouterState, member: Member, report: Report | None, is_current: bool) -> None:
     """Set a member's role, position and time heard.
 
-    What a report says was true at the time of its position, or now (`is_current`); it overturns no later
-    role.
+    What a report says was true at the time of its position, or now (`is_current`). It does not replace a role that was
+    true at a later time.
     """
     member.heard_us = state.now_us
     if report is None:
@@ -28,9 +28,9 @@
 
 
 def _record_claim(state: RouterState, member: Member, true_us: int) -> None:
-    """Take in that a member is primary.
+    """Record that a member claims to be primary.
 
-    A group has one: the later claim holds, the older is checked at once.
+    A group has one primary: the later claim counts, and the member with the earlier claim is checked at once.
     """
     group = state.groups[member.entry.group]
     if true_us < member.role_us:
@@ -48,7 +48,7 @@
 
 
 def adopt_listed_role(state: RouterState, member: Member) -> None:
-    """Use the role that discovery lists, where members don't report theirs, until an answer says another."""
+    """Use the role that discovery lists, where members don't report theirs, until an answer shows another."""
     if member.entry.primary:
         _record_claim(state, member, member.role_us)
     else:
@@ -56,7 +56,7 @@
 
 
 def mark_unknown(state: RouterState, member: Member) -> None:
-    """Turn a member's role unknown, and queue its outstanding idempotent requests for other members.
+    """Make a member's role unknown, and queue its outstanding idempotent requests for other members.
 
     Otherwise requests at a member that has fallen silent would wait for it until they expire.
     """
--- a/oatlink/rules/roster.py
+++ b/oatlink/rules/roster.py
@@ -1,4 +1,4 @@
-"""Keeps which members are there and which are draining, and decides when discovery is asked."""
+"""Maintains the members and which of them are draining, and decides when discovery is asked."""
 
 from oatlink import interface as api
 from oatlink.router_state import NEVER, Member, RouterState
@@ -9,7 +9,7 @@
 
 
 def start(state: RouterState) -> None:
-    """Subscribe where discovery must be asked; at a random time, as all routers may start together."""
+    """Plan the subscription where discovery must be asked; at a random time, as all routers may start together."""
     if state.settings.must_ask_roster:
         has_many_peers = state.settings.peers > parameters.FEW_PEERS_COUNT
         spread_us = state.settings.ask_within_us // 4 if has_many_peers else 0
@@ -17,7 +17,7 @@
 
 
 def request_roster(state: RouterState) -> None:
-    """Subscribe, and plan to again if nothing comes; fetch the roster too once that has failed for long."""
+    """Subscribe, and plan to do so again if no roster comes. At the longest back-off, fetch the roster as well."""
     state.roster_request_us = state.now_us + state.settings.ask_within_us // 4
     state.actions.append(api.FollowRoster())
     if state.now_us + state.roster_retry_wait_us >= state.roster_request_us:
@@ -25,7 +25,7 @@
 
 
 def apply_roster(state: RouterState, roster: api.Roster) -> None:
-    """Take in a roster: members that are there, drain, have started or are gone."""
+    """Apply a roster: its members may be new, draining, restarted or gone."""
     if roster.kind is api.RosterKind.FAILED:
         # While discovery fails, drains go unseen: it is asked again, with back-off.
         longest_us = state.settings.ask_within_us // 4
@@ -44,7 +44,7 @@
 
 
 def _apply_entry(state: RouterState, entry: api.RosterEntry) -> None:
-    """Take in one entry of a roster."""
+    """Apply one entry of a roster."""
     member = state.members.get(entry.member)
     if entry.listing is api.Listing.GONE:
         return _remove_member(state, member)
@@ -73,8 +73,7 @@
 def _remove_member(state: RouterState, member: Member | None) -> None:
     """Remove a member that is gone.
 
-    Where members dropped from the roster stay open (`dropped_stay_open`), only one that was draining is
-    removed.
+    Where members dropped from the roster stay open (`dropped_stay_open`), only one that was draining is removed.
     """
     if member is None or state.settings.dropped_stay_open and not member.was_terminating:
         return
--- a/oatlink/rules/sessions.py
+++ b/oatlink/rules/sessions.py
@@ -29,7 +29,7 @@
 ) -> None:
     """Update a write whose attempt has ended, or which has ended itself (`is_over`).
 
-    It is committed (at `position_us`), has never run, or may have run.
+    With `position_us` the write is committed at that position. Without, it has never run or may have run.
     """
     if position_us is None and write.may_have_run:
         if not is_over:
--- a/oatlink/state.py
+++ b/oatlink/state.py
@@ -117,7 +117,7 @@
     primary: int | None = None
     arrival_count: int = 0
     average_service_us: float = 0.0  # moving average over its answers
-    typical_service_us: float = -1.0  # mean of its members' averages; below 0 if it must be computed anew
+    typical_service_us: float = -1.0  # mean of its members' averages; below 0 if it must be computed again
     admission_ratio: float = 1.0
     admitted_us: int = LONG_AGO  # when a request was last admitted by that ratio
     checked_us: int = LONG_AGO
