--- a/oatlink/core/boxes.py
+++ b/oatlink/core/boxes.py
@@ -46,7 +46,7 @@
             self._out.append(m.ReportEvidence(state.box.name, bank, kind, history, offset))
 
     def _apply_health_report(self, seen: Seen) -> None:
-        """Apply other gateways' weighed observations of a box, which cause no more than a check or a later turn.
+        """Apply other gateways' weighted observations of a box: at most they cause a check or a longer expected wait.
 
         Reports that are older than the box's last contact with this gateway are ignored, because the box has answered
         here since.
@@ -57,7 +57,7 @@
         if seen.act == "position":
             report = state.report
             if report is not None and report.replid == seen.history and 0 <= report.offset < seen.offset:
-                # What it has applied of one history only grows, so every report requested from now on shows as much.
+                # Its offset in one history only grows, so every report requested from now on shows at least this one.
                 state.report, state.report_received_us = msgspec.structs.replace(report, offset=seen.offset), self._now
         elif seen.act == "later" and seen.until_us <= self._now:
             self._set_doubt(state, (0, 0))
@@ -108,9 +108,8 @@
             self._out.append(m.PublishRoster(message.boxes))
         if not self._has_roster:
             self._has_roster = True
-            self._on_refresh_requested(
-                message
-            )  # a gateway that starts probes every box once, before a request needs it
+            # A gateway that has just started probes every box once, before a request needs its report.
+            self._on_refresh_requested(message)
 
     def _remove_box(self, state: BoxState) -> None:
         """Drop what is pending for a box that was removed, or whose name another box has now."""
@@ -261,7 +260,7 @@
                 self._route(api.Roster(api.RosterKind.CHANGES, (self._entry(state),)))
 
     def _replace_member(self, state: BoxState, why: str) -> None:
-        """Make the box a new member of the Router, which nothing binds that the old member has shown."""
+        """Make the box a new member of the Router, to which nothing applies that the old member has shown."""
         entry = self._entry(state)
         gone = api.RosterEntry(entry.member, entry.group, entry.zone, entry.kind, api.Listing.GONE)
         state.member = self._assign_member(state.box.name)
@@ -289,7 +288,7 @@
         return None
 
     def _start_check(self, member: int) -> None:
-        """The Router wants a report. A replica's offset needs one of the primary's to compare with, asked for first."""
+        """Start a check for the Router. A replica's offset is compared with the primary's, which is requested first."""
         state = self._boxes.get(self._box_names.get(member, ""))
         if state is None or state.member != member:
             return
--- a/oatlink/core/explain.py
+++ b/oatlink/core/explain.py
@@ -67,7 +67,7 @@
         """Return the Router's choice, unchanged."""
         if self.request_id is not None and request.id != self.request_id:
             return self._router_choose(book, request)
-        # The rules are asked before the choice, since the choice may ask a member for a report, which holds it back.
+        # The rules are asked before the choice, since the choice may ask for a report, and the request then waits.
         candidates = [self._candidate(book, request, member) for member in book.groups[request.group].members.values()]
         member = self._router_choose(book, request)
         chosen = self.names.get(member.entry.member, "") if member is not None else ""
--- a/oatlink/core/gated.py
+++ b/oatlink/core/gated.py
@@ -2,9 +2,9 @@
 
 The gate (`oatlink.fleet.gate`) answers each question at once. A request that the quota refuses is refused before any
 state of it is kept. A request for which the gate has no grant yet (`GRANT_PENDING`) takes its place in its client's
-order and waits here, at most for as long as the gate holds requests (`limits.node.PATIENCE_US`); its client's later
-commands wait for it as for any open request. Admitted requests are charged for good, even if the client leaves.
-Otherwise a client could send, leave and send again without limit.
+order and waits here for at most `limits.node.PATIENCE_US`; its client's later commands wait for it as for any open
+request. Admitted requests stay charged even if the client leaves. Otherwise a client could send, leave and send again
+without limit.
 """
 
 from oatlink.core import messages as m
@@ -16,13 +16,13 @@
 from oatlink.fleet.versions.compatible import Place, applied
 from oatlink.settings.model import RequestClass
 
-# How often waiting requests are checked again while the gate holds them: a new grant's bucket starts empty.
+# How often requests that wait for a grant are checked again: a new grant's bucket starts empty.
 QUOTA_RETRY_INTERVAL_US = 20_000
 NOT_OFFERED_RETRY_US = 200_000  # when to retry if a bank or its primary does not offer a version that is served
 
 
 class Gated(Boxes):
-    """Requests before the fleet's gate."""
+    """Checks requests with the fleet's gate before they are sent."""
 
     def versions_in_use(self) -> tuple[int, ...]:
         """The versions of the requests that are open or wait for a grant."""
@@ -127,7 +127,7 @@
         self._retry_quota_checks()
 
     def _retry_quota_checks(self) -> None:
-        """Check the waiting requests again. After its patience the gate either admits or refuses them."""
+        """Check the waiting requests again. After `PATIENCE_US` the gate either admits or refuses them."""
         waiting, self._waiting_for_grant, self._quota_retry_us = self._waiting_for_grant, {}, 2**62
         for ask in waiting.values():
             session = self._sessions.get(ask.client)
--- a/oatlink/core/messages.py
+++ b/oatlink/core/messages.py
@@ -74,8 +74,8 @@
 
     `late_us`: the longest time that it can have waited for this process.
     `behind`: the number of other clients whose commands have arrived and still wait for this process.
-    `waited_us`: the longest time since it can have arrived. It exceeds `late_us` if the client sent before the end of
-    its pause and was not read.
+    `waited_us`: the longest time that can have passed since it arrived. It exceeds `late_us` if the client sent it
+    before the end of its pause, when the connection was not read.
     `own_us`: the time that it waited before that behind its client's own earlier commands, because the client had as
     many open as it may. This does not count as lateness of the process, but it is part of the client's waiting time.
     """
--- a/oatlink/core/overload.py
+++ b/oatlink/core/overload.py
@@ -19,8 +19,8 @@
   not cost much more than one that obeys it. A command that is refused because it waited too long pauses no connection.
   Otherwise, on a connection that many clients share, the pause after each command would make the next one too late.
 
-What was not seen for `WINDOW_US` has no weight, and after a flood the limit is one that nobody reaches. The work per
-command is O(1), amortized over the parties that have gone.
+A party that was not seen for `WINDOW_US` has no weight, and after a flood the limit grows until it is not reached any
+more. The work per command is O(1), amortized over the parties that have gone.
 """
 
 from collections import OrderedDict
--- a/oatlink/core/paths.py
+++ b/oatlink/core/paths.py
@@ -57,7 +57,7 @@
         return paths
 
     def _update_paths(self, paths: Paths, box: m.Box, taken: set[str]) -> None:
-        """Use a box's listed addresses, except those that a box before it in the roster has."""
+        """Use a box's listed addresses, except those that belong to an earlier box of the roster."""
         ways = [way for way in addresses_of(box) if way.address not in taken]
         for way in addresses_of(box):
             if way.address in taken:
--- a/oatlink/core/requests.py
+++ b/oatlink/core/requests.py
@@ -2,7 +2,7 @@
 
 A request is created, waits for earlier requests of the same client if it has to, is handed to the Router, sent, ended
 and answered. It is answered exactly once: only `_finish` sets a pending reply's answer. The Router decides which member
-a request goes to and when it is held, sent again, refused or failed; this module turns the Router's actions into
+a request goes to and when it waits, is sent again, refused or failed; this module turns the Router's actions into
 effects.
 """
 
@@ -168,7 +168,7 @@
             )
             is_answered = request.pending_reply.answer is not None
         if not is_answered:
-            # The Router gives up held requests in time by itself. This makes sure that every request is answered.
+            # The Router gives up pending requests in time by itself. This makes sure that every request is answered.
             self._route(api.Departure(str(request_id)))
             self._fail(request)
         self._forget_request(request_id)
@@ -242,7 +242,7 @@
         self._finish(request, data)
 
     def _note_unserved(self, request: PendingRequest) -> None:
-        """Remember when a request ended unserved past its aim: the commands behind it have waited in vain."""
+        """Remember when a request ended unserved past its aim, because the commands behind it have waited in vain."""
         session = self._sessions.get(request.client)
         if session is not None and self._now >= min(
             request.arrived_us + request.rule.aim_ms * 1_000, self._deadline_us(request)
--- a/oatlink/core/sessions.py
+++ b/oatlink/core/sessions.py
@@ -86,7 +86,7 @@
     fleet_replies: deque[PendingReply] = field(default_factory=deque)  # not yet answered by the fleet's node
 
     def may_start(self, request: PendingRequest) -> bool:
-        """Whether no unfinished command must end before a new one may start."""
+        """Whether a request may start now, because it need not wait for an unfinished command."""
         for slot in request.slots:
             counts = self.unfinished_by_slot.get(slot)
             if counts is not None and (counts[1] or (request.is_write and counts[0])):
@@ -107,7 +107,7 @@
                 del self.unfinished_by_slot[slot]
 
     def take_startable(self) -> Iterator[PendingRequest]:
-        """Remove and return the waiting commands that no unfinished earlier command holds back any longer."""
+        """Remove and return the waiting commands that no longer have to wait for an unfinished earlier one."""
         if not self.waiting:
             return
         unfinished = {slot: list(counts) for slot, counts in self.unfinished_by_slot.items()}
--- a/oatlink/core/shared.py
+++ b/oatlink/core/shared.py
@@ -44,7 +44,7 @@
     refresh_pending: bool = False  # the engine itself needs its position
     refreshed_us: int = -(2**62)
     check_deadline_us: int = 0  # a check waits for a sample of the primary's offset until this time; 0: none waits
-    doubt: tuple[int, int] = (0, 0)  # what other gateways observed of it (`api.RosterEntry.doubt`)
+    doubt: tuple[int, int] = (0, 0)  # what other gateways observed of it (`api.RosterEntry.suspicion`)
     offset_asked_us: int = -(2**62)  # when its offset was last requested, by a probe or behind a request
 
 
--- a/oatlink/core/snapshot.py
+++ b/oatlink/core/snapshot.py
@@ -240,7 +240,7 @@
 
 
 def _restore_session_writes(book: RouterState, old: RouterState, now_us: int) -> None:
-    """Require of sessions' reads what they had written, what was still open, and anything after the snapshot."""
+    """Make sessions' reads see their known writes, those that were still open, and any made since the snapshot."""
     book.forgotten_position_us = max(old.forgotten_position_us, now_us)
     for session, position_us in old.session_positions.items():
         book.record_session_write(session, max(position_us, now_us))
