--- a/oatlink/fleet/control/age.py
+++ b/oatlink/fleet/control/age.py
@@ -5,7 +5,7 @@
 
 A beat reports the age as of when it was sent. No process knows when that was, but the beat carries the mark of a
 message of this process and the time since that message came: so it was sent no earlier than that long after this
-process sent the mark. All other time since then counts as spent on the link. So a link that holds messages for a
+process sent the mark. All other time since then counts as delay of the link. So a link that delays messages by a
 minute, or a recorded stream that is replayed, never makes the knowledge look younger. Times of the own clock are
 divided by (1 - drift), those of the upstream's by (1 + drift): each clock may be wrong by that much.
 """
@@ -27,7 +27,7 @@
 class Age:
     """The age of what one reader knows.
 
-    `drift`: by how much of its rate each clock may be wrong; `mark`: the mark to begin after.
+    `drift`: the maximum relative error of each clock's rate; `mark`: the first mark is the one after it.
 
     The caller draws `mark` from the incarnation. This prevents a beat from before a restart from matching a new mark.
     """
--- a/oatlink/fleet/control/agreement.py
+++ b/oatlink/fleet/control/agreement.py
@@ -28,12 +28,12 @@
     def __init__(self, scope: str, source: str, incarnation: int, checker: Checker, applied: Applied) -> None:
         self.scope, self.table, self.queue = scope, Table(scope), OfferQueue()
         self.open_slot: tuple[int, int, int] | None = None
-        self.must_read = True  # the next slot must be read, whatever waits in the queue
+        self.must_read = True  # the next slot must be read before anything in the queue is tried
         self.newer_epoch = 0  # a known epoch whose first version is not here yet
-        self.needs_snapshot = False  # the registers do not hold the next version any more
+        self.needs_snapshot = False  # the registers do not contain the next version any more
         self.is_caught_up = False  # its next slot was read as open, and it was not too far behind since
-        self.are_registers_lost = False  # the registers hold less than this source
-        self.has_bad_slot = False  # the next slot holds what cannot be applied
+        self.are_registers_lost = False  # the registers contain less than this source has
+        self.has_bad_slot = False  # the next slot has a content that cannot be applied
         self._source, self._incarnation = source, incarnation
         self._checker, self._applied = checker, applied
 
@@ -50,7 +50,7 @@
         )
 
     def slot_read(self, fence: int, value: bytes) -> list[Effect]:
-        """Handle what the register of the target holds."""
+        """Handle the content of the target's register, which was just read."""
         epoch, version = self.target
         slot = decoded(value)
         self.must_read, self.open_slot, self.has_bad_slot = False, None, False
@@ -81,7 +81,7 @@
         return []
 
     def _apply_slot(self, slot: Slot) -> list[Effect]:
-        """Apply a slot that holds the target, or the first version of a later epoch."""
+        """Apply a slot that contains the target, or the first version of a later epoch."""
         offer = self.queue.front
         is_own = self.is_own(slot)
         if slot.epoch > self.table.head.epoch:
@@ -114,7 +114,7 @@
     def offer_error(self, offer: Offer) -> str:
         """Return why this change must not follow on the current state, or ''."""
         if offer.is_tried:
-            return ""  # it was checked on this very state, and may have happened
+            return ""  # it was already checked against this state, and may have happened
         if offer.epoch >= 0:
             return state_error(self.scope, {}, offer.entries, self._checker)
         return base_error(offer.base, self.table.head.version) or state_error(
--- a/oatlink/fleet/control/bounds.py
+++ b/oatlink/fleet/control/bounds.py
@@ -10,7 +10,7 @@
 from oatlink.fleet.messages.base import NEVER_US
 
 MAX_NAME_BYTES = 128  # of a process's name
-MAX_ADDRESS_BYTES = 256  # bytes
+MAX_ADDRESS_BYTES = 256  # of a process's address
 MAX_MESSAGE_BYTES = PAGE_BYTES + c.MAX_ENTRY_VALUE_BYTES  # of entries in one message
 MAX_DELTAS = 256  # in one message
 MAX_READERS = 65_536  # below one child: 18 times the size of the fleet
--- a/oatlink/fleet/control/downstream.py
+++ b/oatlink/fleet/control/downstream.py
@@ -1,12 +1,12 @@
-"""Holds the children of a relay or source: who they are, when each gets a beat, and when one is removed. No I/O.
+"""Tracks the children of a relay or source: who they are, when each gets a beat, and when one is removed. No I/O.
 
 What a child is sent is decided in `feed`; its reports are added up in `sums`.
 
-- There are at most `max_children` children; a further one is refused (`full`), so that it asks elsewhere.
+- There are at most `max_children` children; a further one is refused (`full`), so that it tries another process.
 - Each child gets a beat each second: the first one at once, the next one after a random part of a second, so that
   children that connect at one moment do not get their beats at one moment ever after. All beats are in one heap, so an
   event costs the logarithm of the number of children.
-- A child that was not heard for `CHILD_TIMEOUT_US` is removed: each child sends a report every 5 s.
+- A child that sent nothing for `CHILD_TIMEOUT_US` is removed: each child sends a report every 5 s.
 - A child that names its address is made known to the shell before it is answered, and forgotten when it goes.
 """
 
@@ -44,9 +44,9 @@
 class Downstream:
     """The children of one process.
 
-    `add_scopes(scopes)` makes the owner take all of these, and returns whether it does; `age_us(now_us)` is the age of
-    the owner's data. `covers(scope)` tells whether that age applies to a scope. This keeps beats from naming a scope
-    that a relay has just begun to take for a child and has no data of.
+    `add_scopes(scopes)` makes the owner receive all of these, and returns whether it does; `age_us(now_us)` is the age
+    of the owner's data. `covers(scope)` tells whether that age applies to a scope. This keeps beats from naming a scope
+    that a relay has just begun to receive for a child and has no data of.
     """
 
     def __init__(
--- a/oatlink/fleet/control/log.py
+++ b/oatlink/fleet/control/log.py
@@ -4,11 +4,11 @@
 means, and who is notified of a version, is decided elsewhere.
 
 Version n of an epoch is stored in the register `control/SCOPE/(n mod SLOTS)`. A source that has n - 1 reads that
-register. If it holds version n, that is version n. If it holds n - SLOTS (or nothing, or an older epoch, while n <=
-SLOTS), n is open: the source checks its own change against n - 1 and writes it on the fence that it read, so only one
-of all sources succeeds. If the register holds a later version, this source is too far behind for the registers and
-needs a snapshot (`needs_snapshot`). If it holds less, the acceptors have lost what they agreed on: nothing is offered
-until an operator raises the epoch.
+register. If it contains version n, version n is agreed. If it contains n - SLOTS (or nothing, or an older epoch, while
+n <= SLOTS), n is open: the source checks its own change against n - 1 and writes it conditionally on the fence that it
+read, so only one of all sources succeeds. If the register contains a later version, this source is too far behind for
+the registers and needs a snapshot (`needs_snapshot`). If it contains less than that, the acceptors have lost what they
+agreed on: nothing is offered until an operator raises the epoch.
 
 - A change with an unknown outcome may still happen, even after a read that did not show it. Until the fence of the slot
   has moved on, the same change is offered again, for the same version and no other; source, incarnation and number tell
@@ -33,11 +33,11 @@
 from oatlink.fleet.messages.control import Delta, Entry, Head, Page
 
 RETRY_US = 100_000  # after an unknown answer; up to twice that
-ANSWER_TIMEOUT_US = 10_000_000  # without an answer by then, the question counts as lost
+ANSWER_TIMEOUT_US = 10_000_000  # without an answer by then, the request counts as lost
 
 
 class Log:
-    """See the module."""
+    """The log of one scope at one source; the module's docstring describes how versions are agreed."""
 
     def __init__(
         self,
@@ -51,13 +51,13 @@
     ) -> None:
         """`applied(delta, own)` returns the effects of a version; `sources` are all of them, including this one."""
         self.scope = scope
-        self.due_us = 0  # a new log reads at once where it is
+        self.due_us = 0  # a new log reads its next slot at once
         self._agreement = Agreement(scope, source, incarnation, checker, applied)
         self._source, self._incarnation, self._sources = source, incarnation, sources
         self._rng = Random(f"{seed}/{scope}/{source}/{incarnation}")
         self._last_ask = 0
-        self._waiting, self._waiting_us = 0, 0  # the question without an answer yet
-        self._asked_target = (0, 0)  # the epoch and version that it is about
+        self._waiting, self._waiting_us = 0, 0  # the pending request and when it was sent
+        self._asked_target = (0, 0)  # the epoch and version of the pending request
         self._open_us = self._again_us = 0
         self._heads: dict[str, tuple[int, int]] = {}
 
@@ -102,7 +102,7 @@
     def receive_committed(self, source: str, delta: Delta, now_us: int) -> list[Effect]:
         """Handle another source's message on an agreed version.
 
-        It is dropped unless it is the next; the slots show it then.
+        It is dropped unless it is the next one; a dropped version is read from its slot later.
         """
         effects: list[Effect] = []
         if not self._agreement.queue.is_front_tried and (delta.epoch, delta.version) == (
--- a/oatlink/fleet/control/logs.py
+++ b/oatlink/fleet/control/logs.py
@@ -1,14 +1,12 @@
-"""Holds the logs of all scopes of one source, what the other sources report of them, and the age of the whole.
-
-No I/O.
+"""The logs of all scopes of one source, what the other sources report of them, and the age of all its data. No I/O.
 
 This module opens scopes, passes messages and answers to their logs, serves other sources what they lack, and reads the
 next slots in turn. What a version means is decided elsewhere: `state_changed` is called for each version.
 
 Freshness: each answer of a register comes from a majority. The next slot of each scope is read in turn, at least two
 per second and each scope once in `ROUND_US`, so a version that nobody reported is noticed by then. After an answer to a
-question asked within `FRESH_US` the age is 0, otherwise the time since then. After a time without answers, a scope is
-not reported before its next slot was read again; all of them are read at once.
+request sent within `FRESH_US` the age is 0, otherwise the time since then. After a time without answers, a scope is not
+reported before its next slot was read again; all of them are read at once.
 """
 
 from collections.abc import Callable
@@ -34,12 +32,12 @@
 # A beat is sent after so many versions, so that a burst of them need not wait for the next beat to reuse slots.
 BEAT_VERSIONS = SLOTS // 4
 
-# gets the head in force, the entries that changed or all, whether it is all, and now
+# gets the head in force, the changed entries or all of them, whether these are all, and the time
 StateChanged = Callable[[c.Head, tuple[c.Entry, ...], bool, int], list[Effect]]
 
 
 class Logs:
-    """See the module. Times are microseconds of the source's own monotonic clock."""
+    """The logs of one source by scope. Times are microseconds of the source's own monotonic clock."""
 
     def __init__(
         self,
@@ -191,7 +189,7 @@
         """Do what is due."""
         self._now_us = now_us
         if now_us >= self._next_read_us:
-            # Finds a version whose source was cut off before it told any other.
+            # Finds a version whose source was cut off before it notified any other source.
             logs = list(self._logs.values())
             self._turn += 1
             logs[self._turn % len(logs)].request_read(now_us)
@@ -234,7 +232,7 @@
         return [Tell(source, c.Subscribe(self._incarnation, (log.head,), resume))] if source else []
 
     def _serve_peer(self, sender: str, request: c.Subscribe) -> list[Effect]:
-        """Answer another source with the next part of what it lacks; nothing is remembered of it."""
+        """Answer another source with the next part of what it lacks; no state is kept for the request."""
         messages: list[Message] = []
         resume = {scope: (epoch, first, after) for scope, epoch, first, after in request.resume}
         for head in request.heads[: c.MAX_SCOPES_PER_READER]:
--- a/oatlink/fleet/control/members.py
+++ b/oatlink/fleet/control/members.py
@@ -1,7 +1,8 @@
 """Derives changes of the names from processes that join, leave or fall silent. No I/O.
 
-This module holds what waits to become a change and decides whether a process may have a name. The log agrees on the
-change: it is made for one version, and when another source was faster it is made again from the new state.
+This module queues joins and departures until they become a change, and decides whether a process may have a name. The
+log agrees on the change: it is made for one version, and when another source was faster it is made again from the new
+state.
 
 - Joins that come within `BATCH_US` become one change of at most `MAX_CHANGE_BYTES` bytes; each zone has one change
   under way.
--- a/oatlink/fleet/control/names.py
+++ b/oatlink/fleet/control/names.py
@@ -1,6 +1,6 @@
-"""Holds which process has which name, as the scopes `names/R/Z` say and as processes are heard. No I/O.
+"""Tracks which process has which name, by the scopes `names/R/Z` and by the processes' signs of life. No I/O.
 
-This module has the agreed names by zone, when each was last heard of, and which are silent. Changes of names are
+This module stores the agreed names by zone, when each was last heard of, and which are silent. Changes of names are
 derived in `members`. Only sources use it. An event costs the same whatever the size of the fleet: lookups are by name,
 and names are kept in the order in which they were heard.
 
--- a/oatlink/fleet/control/offers.py
+++ b/oatlink/fleet/control/offers.py
@@ -1,7 +1,7 @@
 """Queues a source's own changes of one scope until each gets its version, in order. No I/O, no clock.
 
 The change at the front may be under way. It then stays at the front until its slot shows the outcome, however long that
-takes: after some time the caller is told that the outcome is unknown, and nothing else is offered meanwhile.
+takes: after some time the caller gets the answer that the outcome is unknown, and nothing else is offered meanwhile.
 """
 
 from collections import deque
@@ -42,7 +42,7 @@
 
 
 class OfferQueue:
-    """See the module."""
+    """The queue of one scope's own changes."""
 
     def __init__(self) -> None:
         self._offers: deque[Offer] = deque()
@@ -72,7 +72,7 @@
         return min((offer.due_us for offer in self._offers), default=NEVER_US)
 
     def add(self, entries: tuple[Entry, ...], base: int, done: OnDone, epoch: int, now_us: int) -> bool:
-        """Append a change; one that begins an epoch goes to the front, as nothing else may help then.
+        """Append a change; one that begins an epoch goes to the front, as that may be the only remedy.
 
         False if the queue is full.
         """
--- a/oatlink/fleet/control/participant.py
+++ b/oatlink/fleet/control/participant.py
@@ -3,8 +3,8 @@
 This module decides by the settings which of the two a process is, and which part gets a message or a register's answer.
 The effects that are left are the shell's: `Tell`, `Keep`, `Known`, `InForce`, `Replied`, `Note`.
 
-Only sources are heard on registers. This prevents a process that the key has proved, but that no settings list, from
-asking the acceptors for registers.
+Messages about registers are accepted from sources only. This prevents a process that is authenticated by the key, but
+not listed in the settings, from using the acceptors.
 """
 
 from collections import Counter, deque
@@ -97,7 +97,7 @@
         return self._core.entries(scope)
 
     def age_us(self, now_us: int) -> int:
-        """Return the greatest possible age of the data; `NEVER_US` if no source was ever heard."""
+        """Return the greatest possible age of the data; `NEVER_US` if no data of a source ever arrived."""
         return self._core.age_us(now_us)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
@@ -110,7 +110,7 @@
     # ---- Events ----
 
     def receive(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
-        """Handle a message of a process whose name the key has proved."""
+        """Handle a message of a process whose name is authenticated."""
         return self._run(self._take(sender, message, now_us), now_us)
 
     def tick(self, now_us: int) -> list[f.Effect]:
--- a/oatlink/fleet/control/peers.py
+++ b/oatlink/fleet/control/peers.py
@@ -1,7 +1,8 @@
-"""Knows the other sources: which are heard, which one leads, when to send a beat. No I/O.
+"""Tracks the other sources: which are heard from, which one leads, when to send a beat. No I/O.
 
 Sources are readers of one another: a version is sent at once (`Committed`), and a beat each second names all heads, so
-that a lost version is noticed. Agreement needs nothing of this; a leader only saves work that all sources could do.
+that a lost version is noticed. Agreement does not depend on a leader; the leader only does work that otherwise all
+sources would repeat.
 """
 
 from random import Random
@@ -9,7 +10,7 @@
 from oatlink.fleet.messages.control import Place
 
 BEAT_INTERVAL_US = 1_000_000
-HEARD_US = 3_500_000  # a source not heard for three beats and a half counts as gone
+HEARD_US = 3_500_000  # a source that sent nothing for three and a half beats counts as gone
 PULL_TIMEOUT_US = 500_000  # without an answer by then, what is missing is requested from another source
 
 
--- a/oatlink/fleet/control/reader.py
+++ b/oatlink/fleet/control/reader.py
@@ -5,7 +5,7 @@
 before a new peer is sent anything, `InForce` and `Note`.
 
 Only the upstream's messages on versions are applied, and only forward (`table`). A relay serves its children from its
-own tables. A scope that only a child takes is borrowed: it is handled as an own scope, but not reported as in force
+own tables. A scope that only a child takes is *borrowed*: it is handled like an own scope, but not reported as in force
 here.
 """
 
@@ -83,7 +83,7 @@
         return MappingProxyType(self._tables[scope].entries if scope in self._tables else {})
 
     def age_us(self, now_us: int) -> int:
-        """Return the greatest possible age of the data; `NEVER_US` if none of a source ever came."""
+        """Return the greatest possible age of the data; `NEVER_US` if no data of a source ever arrived."""
         return self._age.age_us(now_us)
 
     @property
@@ -121,7 +121,7 @@
         return [] if self._is_stopped else self._finish([], now_us)
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
-        """Handle a message of another process, whose name the link has proved."""
+        """Handle a message of another process, whose name the link has authenticated."""
         return [] if self._is_stopped else self._finish(self._dispatch(sender, message, now_us), now_us)
 
     def link_failed(self, peer: str, now_us: int) -> list[Effect]:
@@ -133,7 +133,7 @@
         )
 
     def leave(self, now_us: int) -> list[Effect]:
-        """Tell upstream and children that the process stops in an orderly way; it does nothing after that."""
+        """Notify upstream and children that the process stops in an orderly way; it does nothing after that."""
         peers = [self._upstream.peer] if self._upstream.peer else []
         self._is_stopped = True
         return [Tell(peer, c.Leave(self._incarnation)) for peer in [*peers, *self._downstream.names()]]
@@ -145,7 +145,7 @@
             case c.Changes() | c.Page() | c.Beat():
                 return self._updates.receive(sender, message, now_us)
             case c.Subscribe():
-                if sender == self._upstream.peer:  # prevents two that hear each other and no source
+                if sender == self._upstream.peer:  # prevents a cycle of two relays without a source
                     return [Tell(sender, c.Refused(message.incarnation, "bad", REFUSED_WAIT_MS))]
                 effects = self._downstream.subscribe(sender, message, now_us)
                 if self._has_new_scopes:
@@ -203,7 +203,7 @@
         return c.Subscribe(self._incarnation, heads, resume, self._age.new_mark(now_us), self._place.address)
 
     def _add_scopes(self, scopes: tuple[str, ...]) -> bool:
-        """Take the scopes of a child, if there is room.
+        """Receive the scopes of a child too, if the limit on scopes allows it.
 
         Borrowed scopes that no child takes any more are dropped to make room.
         """
--- a/oatlink/fleet/control/roster.py
+++ b/oatlink/fleet/control/roster.py
@@ -4,8 +4,8 @@
 have a name is decided in `members`, where a process sits in `seats`, and how a change is agreed in the log.
 
 A process is answered when its name is agreed. If no majority answers, it is answered after `UNNAMED_SEAT_US` all the
-same: a seat makes processes ask no further, and the name can wait. What a source hears of processes it passes on to the
-other sources once, as it came.
+same: a process that has a seat stops asking other sources, and its name can be agreed later. A source forwards reports
+of live processes to the other sources once and unchanged.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,7 +23,7 @@
 
 UNNAMED_SEAT_US = 1_000_000  # a reader asks another source after 2 s
 COUNT_INTERVAL_US = 60_000_000  # between two changes of the counts; the first count of a zone is offered at once
-RETRY_US = 1_000_000  # after a change of names that failed without a race
+RETRY_US = 1_000_000  # after a change of names that failed for another reason than a lost race
 MIN_WAIT_MS = 1_000
 
 # gets scope, entries, the version that they are made for, done and now; `OnDone` gets the outcome
@@ -31,7 +31,7 @@
 
 
 class Roster:
-    """See the module. `tables` are the source's, by scope; only entries and versions are read."""
+    """Joins and names at one source. `tables` are the source's, by scope; only entries and versions are read."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         return [Tell(peer.name, report) for peer in self._peers.others]
 
     def mark_alive(self, alive: tuple[tuple[str, int], ...], children: int, now_us: int) -> None:
-        """Note that these are alive; the first has so many children. Costs one step for each."""
+        """Note that these processes are alive, in one step each. `children`: number of children of the first one."""
         for name, incarnation in alive:
             self.members.names.mark_heard(name, incarnation, now_us)
         if alive:
@@ -149,7 +149,7 @@
         return effects + (self._offer(scope, entries, base, done, now_us) if entries else [])
 
     def _offer_counts(self, now_us: int) -> list[Effect]:
-        """Offer how many processes are where, as entries of `all`."""
+        """Offer the number of processes in each region and zone, as entries of `all`."""
         if self._is_counting:
             return []
         counts: dict[str, int] = {}
--- a/oatlink/fleet/control/seats.py
+++ b/oatlink/fleet/control/seats.py
@@ -1,11 +1,11 @@
 """Chooses relays, upstreams and spares, and when each process may connect. No I/O.
 
-This module chooses among processes that have a name; which ones have one is `members`' part.
+This module chooses among processes that have a name; which processes have one is decided in `members`.
 
 - **Depth 2, no cycle.** Whether a process is a relay is decided once per incarnation, together with its name, and
   agreed with it. There are as few relays as can serve `CAPACITY_FACTOR` times the zone, and at least two; among
-  processes that join at once, the first by rendezvous hash of seed and name. A relay hears sources only, every other
-  process a relay or a source, and no process itself.
+  processes that join at once, the first by rendezvous hash of seed and name. The upstream of a relay is always a
+  source, that of any other process a relay or a source, and never the process itself.
 - **Upstream and spare.** Candidates are the zone's relays that are less than half full, its other relays with free
   places, those of its region, and the sources, in this order. The first two by rendezvous hash of seed, process and
   relay are taken, the less loaded one as upstream. The load of a relay is what it last reported plus the children
@@ -13,10 +13,10 @@
   even if there is only one other relay.
 - **Lost upstreams.** An upstream that a process reports as lost is not assigned to it again for `LOST_UPSTREAM_US`; one
   that `WITNESSES` processes have lost is assigned to nobody for as long.
-- **Rate.** `SEATS_PER_S` seats are assigned per second; each names the time to wait for the turn, so a source is asked
-  only once. A process that would wait longer than `MAX_WAIT_US` is refused and told to ask again. At one source, 190
-  processes of a zone are seated within 1.9 s and 720 of a region within 7.2 s; 3,600 over six sources within 6 s, with
-  600 in the worst second over all of them.
+- **Rate.** `SEATS_PER_S` seats are assigned per second; each states how long to wait, so a source is asked only once. A
+  process that would wait longer than `MAX_WAIT_US` is refused and told to ask again. At one source, 190 processes of a
+  zone are seated within 1.9 s and 720 of a region within 7.2 s; 3,600 over six sources within 6 s, with 600 in the
+  worst second over all of them.
 """
 
 from collections import OrderedDict
@@ -100,7 +100,7 @@
     # ---- Assignments ----
 
     def reserve_turn(self, now_us: int) -> int | None:
-        """Return how many microseconds the next process has to wait; None if that is longer than any may be told."""
+        """Return how many microseconds the next process has to wait; None if that is longer than `MAX_WAIT_US`."""
         turn_us = max(self._next_turn_us, now_us)
         if turn_us - now_us > MAX_WAIT_US:
             return None
--- a/oatlink/fleet/control/slots.py
+++ b/oatlink/fleet/control/slots.py
@@ -1,4 +1,4 @@
-"""Defines what a register of the stream holds, and which register a version is stored in. No state."""
+"""Defines the content of the stream's registers, and which register a version is stored in. No state."""
 
 import msgspec
 
--- a/oatlink/fleet/control/source.py
+++ b/oatlink/fleet/control/source.py
@@ -128,7 +128,7 @@
         return self._downstream.remove(peer)
 
     def leave(self, now_us: int) -> list[Effect]:
-        """Tell sources and children that the process stops in an orderly way; it does nothing after that."""
+        """Notify sources and children that the process stops in an orderly way; it does nothing after that."""
         peers = [*(source.name for source in self._peers.others), *self._downstream.names()]
         self._is_stopped = True
         return [Tell(peer, c.Leave(self._incarnation)) for peer in peers]
--- a/oatlink/fleet/control/sums.py
+++ b/oatlink/fleet/control/sums.py
@@ -81,7 +81,7 @@
             if table is None or lag.head.scope not in sums.lags:
                 reason = "report on a scope not taken"
             elif (lag.head.epoch, lag.head.version) > (table.head.epoch, table.head.version):
-                # It comes by another upstream, and this process has the version soon, or there is no such version.
+                # The child got that version from another upstream and it arrives here soon, or no such version exists.
                 reason = "report ahead of this process"
             else:
                 if lag != sums.lags[lag.head.scope]:
--- a/oatlink/fleet/control/table.py
+++ b/oatlink/fleet/control/table.py
@@ -1,4 +1,4 @@
-"""Holds one scope's state in one process: whole versions, in order, never older ones. No I/O.
+"""Stores one scope's state in one process: complete versions, in order, never an older one. No I/O.
 
 A table has the entries, their version, the latest changes up to it (a bounded number of bytes), and a snapshot that is
 being received. Who sends what and when, and what an entry means, is decided elsewhere.
@@ -47,12 +47,12 @@
 
 
 class Table:
-    """See the module. `head` is the version in force here."""
+    """The state of one scope. `head` is the version in force here."""
 
     def __init__(self, scope: str, kept_bytes: int = KEPT_BYTES) -> None:
         self.head = Head(scope)
         self.entries: dict[str, bytes] = {}
-        self.dropped = 0  # messages that went back, left a gap or broke a bound
+        self.dropped = 0  # messages that were older than the state, left a gap or broke a bound
         self._kept_bytes, self._held_bytes = kept_bytes, 0
         self._kept: deque[Delta] = deque()  # the newest changes, without a gap, up to the head
         self._keys: list[str] | None = None  # sorted, while a snapshot is read from here
--- a/oatlink/fleet/control/upstream.py
+++ b/oatlink/fleet/control/upstream.py
@@ -1,7 +1,7 @@
 """Finds one upstream and a spare for a reader without overloading the sources. No I/O.
 
 This module decides whom to subscribe to, when the upstream counts as silent, and when a source is asked for a seat. The
-upstream's messages are the reader's part.
+upstream's messages are handled by `reader`.
 
 - There is one upstream at a time; messages on versions from other processes are dropped. Only a beat shows that the
   upstream is alive. When it is silent for `UPSTREAM_TIMEOUT_US`, its link fails, it leaves or it refuses, the spare is
@@ -11,7 +11,7 @@
   a source does not answer within `JOIN_TIMEOUT_US`, the next one in an order drawn from the seed is asked.
 - A seat is renewed each `SEAT_RENEWAL_US`: a spare named hours ago is usually gone.
 - An upstream whose data is older than `STALE_US` is kept, but a source is asked, and its answer is used at once. This
-  ends cycles of relays that hear one another and no source, all of them sending beats.
+  ends cycles of relays that are upstreams of one another without a source, and all send beats.
 """
 
 from collections.abc import Callable
@@ -36,7 +36,10 @@
 
 
 class Upstream:
-    """`subscription(now_us)` makes the message for a new upstream; `join` is the message for a source."""
+    """The upstream of one reader.
+
+    `subscription(now_us)` makes the message for a new upstream; `join` is the message for a source.
+    """
 
     def __init__(
         self,
@@ -175,7 +178,7 @@
     # ---- Parts ----
 
     def _apply_seat(self, seat: Seat, now_us: int) -> list[Effect]:
-        """Use a seat: whole if there is no upstream or a stale one, otherwise only its spare."""
+        """Use upstream and spare of a seat if there is no upstream or a stale one, otherwise only the spare."""
         self._seat, self._seat_us = None, NEVER_US
         places = [place for place in (seat.upstream, seat.spare) if place.name not in ("", self._name)]
         effects: list[Effect] = []
--- a/oatlink/fleet/envelope.py
+++ b/oatlink/fleet/envelope.py
@@ -33,7 +33,7 @@
 LENGTH_BYTES = 4
 NUMBER_BYTES = 8
 MIN_FRAME_BYTES = NUMBER_BYTES + TAG_BYTES  # a frame without a body; the length is not counted
-MAX_GREETING_BYTES = 512  # of a frame from a peer that is not authenticated, and of all that an accepting node sends
+MAX_GREETING_BYTES = 512  # limit for frames of peers not yet authenticated, and for all that an accepting node sends
 
 _length_format = struct.Struct(">I")
 _number_format = struct.Struct(">Q")
@@ -50,7 +50,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True):
-    """Greeting of a dialling node. `to`: the node it wants to reach; `address`: where it listens, empty if not told."""
+    """Greeting of a dialling node. `to`: the node it wants to reach; `address`: where it listens, or empty."""
 
     version: int
     node: str
--- a/oatlink/fleet/messages/control.py
+++ b/oatlink/fleet/messages/control.py
@@ -146,7 +146,7 @@
 
     `mark` is that of the child's last `Subscribe` or `Report`, received `since_ms` ago. The child knows when it sent
     that message, and so how long the link can have delayed this beat at most. Prevents stale state from being taken for
-    fresh when a link holds messages back and delivers them late.
+    fresh when a link delays messages and delivers them late.
     """
 
     age_ms: int
@@ -190,10 +190,9 @@
 
 
 class Committed(Message, frozen=True, gc=False):
-    """A version is agreed: the register of its slot holds it.
+    """A version is agreed: the register of its slot contains it.
 
-    A source that missed the message notices it by the
-    next `Beat`.
+    A source that missed this message learns of the version from the next `Beat`.
     """
 
     scope: str
--- a/oatlink/fleet/messages/effects.py
+++ b/oatlink/fleet/messages/effects.py
@@ -48,7 +48,7 @@
     """Result of a `Read` or `Change`.
 
     `how` is one of found (the register was read), changed (`fence` and `value` are the new ones), differs (the register
-    holds `fence` and `value` instead; this change has not happened and will not happen) and unknown (no majority
+    contains `fence` and `value` instead; this change has not happened and will not happen) and unknown (no majority
     answered in time; the change may have happened or may still happen). `asked_us`: when the read or change was
     requested, by this node's clock.
     """
@@ -68,7 +68,7 @@
        the marker to begun (`marker.encode`), EXEC. Any error, also one within the list of EXEC, means failed.
     2. WATCH, GET; if the marker still shows this step as begun: MULTI, SET it to done, EXEC. INFO replication again.
 
-    The result is the verdict and, if done, history and offset of the last INFO. It is unknown where an answer is
+    The result is the outcome and, if done, history and offset of the last INFO. It is unknown where an answer is
     missing, EXEC returns nil, the two INFO answers differ in their history, or either is not that of a master.
     """
 
--- a/oatlink/fleet/messages/limits.py
+++ b/oatlink/fleet/messages/limits.py
@@ -1,4 +1,7 @@
-"""Rate limits: messages between nodes and homes, the coordinators that grant shares of an allowance. No logic."""
+"""Rate limits: messages between nodes and the coordinators, which grant shares of allowances. No logic.
+
+The names of the messages call the coordinator the *home* of its allowances.
+"""
 
 import msgspec
 
@@ -14,7 +17,7 @@
 
 
 class Want(Message, frozen=True, gc=False):
-    """Request of a node to the home of its allowances. `ask` numbers the requests of a node.
+    """Request of a node to the coordinator of its allowances. `ask` numbers the requests of a node.
 
     By the number in the answer the node knows when it sent the request.
     """
@@ -38,7 +41,7 @@
 
 
 class Grants(Message, frozen=True, gc=False):
-    """Answer of a home. `fence` is that of its lease: a node ignores answers with a lower fence than it has seen."""
+    """Answer of a coordinator. `fence` is that of its lease: a node ignores answers with a lower fence than seen."""
 
     ask: int
     shard: int
@@ -54,7 +57,7 @@
 
 
 class NotHome(Message, frozen=True, gc=False):
-    """The receiver of a `Want` is not the home. `home`: the node that it believes to be the home, empty if unknown."""
+    """The receiver of a `Want` is not the coordinator. `home`: the node that it believes to be it, empty if unknown."""
 
     ask: int
     shard: int
--- a/oatlink/fleet/messages/versions.py
+++ b/oatlink/fleet/messages/versions.py
@@ -27,8 +27,8 @@
 class Adopt(Message, frozen=True, gc=False):
     """Request of a node for the versions that it may serve. `busy`: versions with requests of this node pending.
 
-    `heard`: the newest ask whose answer the node accepted. `since`: the first ask of this process. A restarted process
-    does not know which requests of the process before it are still pending.
+    `heard`: the newest `ask` whose answer the node accepted. `since`: the first `ask` of this process. A restarted
+    process does not know which requests of the process before it are still pending.
     """
 
     ask: int
--- a/oatlink/fleet/shell/addresses.py
+++ b/oatlink/fleet/shell/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses of nodes: those of the settings, and a bounded number of others that peers have told. No I/O.
+"""Addresses of nodes: those of the settings, and a bounded number that peers have sent. No I/O.
 
-Prevents a peer from making this node dial thousands of addresses: their number is limited, and the node that was sent
-to least recently is forgotten first.
+Prevents a peer from making this node dial thousands of addresses: their number is limited, and the node to which
+nothing was sent for the longest time is forgotten first.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 class Addresses:
-    """`max_unlisted`: how many nodes that are not in the settings are known at once.
+    """The addresses by node. `max_unlisted`: how many nodes that are not in the settings are known at once.
 
     `greeted_address(name)` returns where a node listens by its newest greeting. `on_forgotten(name)` is called when a
     node is not known any more.
@@ -36,14 +36,14 @@
         """The address to dial for sending to a node; empty if it is not known."""
         if name in self.listed:
             return self.listed[name]
-        if greeted := self._greeted_address(name):  # newer than what others have told
+        if greeted := self._greeted_address(name):  # newer than what other nodes have sent
             self.know(name, greeted)
         if name in self.known:
             self.known[name] = self.known.pop(name)
         return self.known.get(name, "")
 
     def know(self, name: str, address: str) -> None:
-        """Another node has told the address of this one. Addresses of the settings are kept."""
+        """Store the address of a node, as received from another node. Addresses in the settings take precedence."""
         if name in self.listed or name == self._node:
             return
         if not may_be_dialled(address):
--- a/oatlink/fleet/shell/control.py
+++ b/oatlink/fleet/shell/control.py
@@ -2,8 +2,8 @@
 
 It decides nothing except how to read an operator's command: inputs are handed to the participant, and the effects that
 the participant returns are carried out in order. Only a source stores anything, in the keeper's file: its registers,
-and each version before another source is told that this one has it. Prevents a slot from being overwritten while its
-version is on no disk, which would lose the version if all sources restarted.
+and each version before another source is notified that this one has it. Prevents a slot from being overwritten while
+its version is on no disk, which would lose the version if all sources restarted.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 MAX_SOURCE_PEERS = 4_096  # nodes other than the sources that a source knows, and accepts as senders, at once
 MAX_READER_PEERS = 512  # the same at a reader: its children, upstream, spare, and some that have just left
 MIN_WAIT_S, MAX_WAIT_S = 0.001, 60.0  # of the timer
-COMMAND_S = 35.0  # a source answers after 30 s that the outcome of a change is unknown
-POSSESSION_MESSAGES = (c.Beat, c.Committed)  # by which another source knows what this one has
+COMMAND_S = 35.0  # more than the 30 s after which a source answers that the outcome of a change is unknown
+POSSESSION_MESSAGES = (c.Beat, c.Committed)  # they show another source which versions this one has
 
 
 def new_incarnation() -> int:
-    """A number above that of any process before, as long as the system clock does not go back: milliseconds and a draw.
+    """A number above that of any process before, unless the system clock goes back: milliseconds and a random part.
 
     If the system clock was set back, the old process of this name counts as the newer one, and this process is refused
     until the old one counts as gone.
@@ -68,7 +68,7 @@
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """What the links did, and what they dropped by reason."""
+        """Counts of what the links did, and of what they dropped, by reason."""
         return self._transport.counters
 
     @property
@@ -109,7 +109,7 @@
             self._note("control", f"what was on disk is not restored: {error}")
 
     async def stop(self) -> None:
-        """Tell the peers that this process leaves, and close."""
+        """Notify the peers that this process leaves, and close."""
         if self._participant is not None:
             self._do(self._participant.leave(now_us()))
             self._participant = None
@@ -220,7 +220,7 @@
         self._set_timer()
 
     def _must_wait(self, tell: f.Tell) -> bool:
-        """Whether the message tells another source what this one has, which must be on disk first."""
+        """Whether the message shows another source which versions this one has, which must be on disk first."""
         is_to_source = self._scope_records is not None and tell.to in self._other_sources
         return is_to_source and isinstance(tell.message, POSSESSION_MESSAGES)
 
--- a/oatlink/fleet/shell/inbound.py
+++ b/oatlink/fleet/shell/inbound.py
@@ -72,7 +72,7 @@
             self.context.receive(self.name, body)
 
     def acknowledge(self) -> None:
-        """Tell the sender which frames have been accepted, unless it has not read the last acknowledgement yet."""
+        """Acknowledge the accepted frames, unless the sender has not read the last acknowledgement yet."""
         if self._transport is None or self._closed or self._accepted == self._acknowledged:
             return
         if self._transport.get_write_buffer_size() == 0:
--- a/oatlink/fleet/shell/inbound_context.py
+++ b/oatlink/fleet/shell/inbound_context.py
@@ -15,7 +15,7 @@
     ) -> None:
         self.node, self.fleet, self.max_frame_bytes = node, fleet, max_frame_bytes
         self.receive, self.counters = receive, counters
-        self.ticks = 0  # the unit of time here: a process that was stopped does not take its peers for silent
+        self.ticks = 0  # timeouts count ticks: after a pause of the process, its peers do not count as silent
 
 
 class PeerConnection(Protocol):
@@ -25,10 +25,10 @@
     incarnation: int
     nonce: bytes
     last_heard_tick: int
-    address: str  # where the sender listens by its greeting; empty if it does not tell
+    address: str  # where the sender listens, according to its greeting; empty if not given
 
     def acknowledge(self) -> None:
-        """Tell the sender which frames have been accepted."""
+        """Acknowledge the frames accepted so far to the sender."""
         ...
 
     def close(self) -> None:
--- a/oatlink/fleet/shell/journal.py
+++ b/oatlink/fleet/shell/journal.py
@@ -2,16 +2,16 @@
 
 A record with an empty payload deletes the one before it, and is dropped itself when the file is compacted.
 
-This module has the steps of a commit, who waits for which commit, and when the file is compacted. A process or machine
-that crashes after any step leaves a file that `history.replay` reads correctly. That module documents what is damage,
-what is a torn end, and what cannot be distinguished.
+This module implements the steps of a commit, tracks who waits for which commit, and compacts the file. A process or
+machine that crashes after any step leaves a file that `history.replay` reads correctly. That module documents what is
+damage, what is a torn end, and what cannot be distinguished.
 
 A commit writes the records, syncs, writes the mark and syncs again. Only then are those who wait notified. There are
 two syncs because a mark that reaches the disk before its records would promise records that are not there. One thread
 writes; records that are added meanwhile share the next commit.
 
-Once a write or a sync has failed nothing more is written, because it is not known then what the disk holds: a second
-sync may succeed without meaning anything. The keeper stops answering, and the gateway continues.
+Once a write or a sync has failed nothing more is written, because it is not known then what is on the disk: a second
+sync may report success although the data is lost. The keeper stops answering, and the gateway continues.
 """
 
 import asyncio
@@ -33,8 +33,8 @@
 STANDING = "standing"  # kind of the one record of the `Standing`
 COMPACT_BYTES = 1 << 20  # smaller files are not compacted
 COMPACT_FACTOR = 4  # compact when the file is this many times the size of its live records
-CLOSE_S = 1.0  # for a write in progress at the end
-ROW_OVERHEAD_BYTES = 24  # of a record in the file, beside its kind, key and payload
+CLOSE_S = 1.0  # wait for a write in progress at shutdown
+ROW_OVERHEAD_BYTES = 24  # of a record in the file, in addition to its kind, key and payload
 
 Records = dict[tuple[str, str], bytes]
 
--- a/oatlink/fleet/shell/listener.py
+++ b/oatlink/fleet/shell/listener.py
@@ -24,14 +24,14 @@
 MAX_GREETED_ADDRESS_LENGTH = 128  # of an address that is not in the settings
 MAX_ACCEPTS_PER_TURN = 16
 ACCEPT_RETRY_S = 0.1  # after an error such as having no free file handle
-PROVE_TICKS = 8  # until a Hello must have arrived: 2 s
-ALIVE_TICKS = 12  # for which a process counts as alive after a frame: 3 s
+PROVE_TICKS = 8  # within which a Hello must arrive: 2 s
+ALIVE_TICKS = 12  # a process counts as alive for this long after a frame: 3 s
 ALIVE_UNLISTED_TICKS = 32  # the same where names are not listed, and reports arrive every 5 s: 8 s
 SILENT_TICKS = 180  # 45 s: the other end would have closed the connection long ago
 
 
 def may_be_dialled(address: str) -> bool:
-    """Whether an address that a peer has told may be dialled."""
+    """Whether an address received from a peer may be dialled."""
     fits = len(address) <= MAX_GREETED_ADDRESS_LENGTH and address.isascii() and not address.startswith("unix:")
     return fits and is_address(address)
 
@@ -163,7 +163,7 @@
         return None
 
     def _admit(self, connection: PeerConnection, hello: envelope.Hello) -> bool:
-        """Whether the sender is the process that has its name."""
+        """Whether the sender is the process that currently owns its name."""
         peers = self._proved.get(hello.node, [])
         if not peers and hello.node not in self.peers and self._unlisted_count >= self.unlisted:
             self.refuse(
--- a/oatlink/fleet/shell/node.py
+++ b/oatlink/fleet/shell/node.py
@@ -42,7 +42,7 @@
     ) -> None:
         """Read the keys. Raises `FleetError`.
 
-        `demands`, `busy` and `primary` query the gateway, and `tell` gives it news.
+        `demands`, `busy` and `primary` query the gateway, and `tell` passes it news (`Tuned`).
         """
         self._fleet, self._members, self._longest_us = fleet, members, longest_deadline_us
         self._demands, self._busy, self._tell, self._primary, self._note = demands, busy, tell, primary, note
@@ -59,7 +59,7 @@
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """What the links did, and what they dropped by reason."""
+        """Counts of what the links did, and of what they dropped, by reason."""
         return self._transport.counters
 
     # ---- Start and stop ----
@@ -116,7 +116,7 @@
     # ---- Calls of the gateway ----
 
     def seek(self) -> None:
-        """A request waits for a grant of the fleet: ask for it now."""
+        """Request a grant from the fleet now, because a request of a client waits for it."""
         if self._node is not None:
             self._tick()
 
--- a/oatlink/fleet/shell/outbound.py
+++ b/oatlink/fleet/shell/outbound.py
@@ -106,7 +106,7 @@
                     self._drop_stale()
                     if not self._queue:
                         return
-                self._failure_count += 1  # until something is acknowledged
+                self._failure_count += 1  # reset once something is acknowledged
                 self.context.counters["dialled"] += 1
                 self.connection = await self._connect()
                 if self.connection is not None:
@@ -155,7 +155,7 @@
             self.connection.tick()
 
     def finish(self) -> None:
-        """Tell the peer that nothing more follows, once everything is written."""
+        """Signal the end of the stream to the peer, once everything is written."""
         if self.connection is not None:
             self.connection.finish()
 
--- a/oatlink/fleet/shell/outbound_connection.py
+++ b/oatlink/fleet/shell/outbound_connection.py
@@ -13,7 +13,7 @@
 from oatlink.fleet.messages import VERSION
 
 BATCH_BYTES = 65_536  # handed to the kernel at once
-SILENT_TICKS = 8  # without an acknowledgement that is due: 2 s
+SILENT_TICKS = 8  # a due acknowledgement that is missing for this long closes the connection: 2 s
 IDLE_TICKS = 120  # without anything to send: 30 s
 
 
@@ -37,7 +37,7 @@
     ) -> None:
         self.node, self.incarnation, self.fleet, self.key = node, incarnation, fleet, key
         self.log, self.counters, self.random, self.on_failure = log, counters, random_source, on_failure
-        self.address = address  # where this node listens, if its greetings are to tell it
+        self.address = address  # where this node listens, if its greetings are to contain it
         self.ticks = 0
 
 
--- a/oatlink/fleet/shell/plan_steps.py
+++ b/oatlink/fleet/shell/plan_steps.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Primary:
-    """The primary of a bank, as this gateway believes, and the credentials for it."""
+    """The primary of a bank, as far as this gateway knows, and the credentials for it."""
 
     address: str
     user: str = ""
--- a/oatlink/fleet/shell/transport.py
+++ b/oatlink/fleet/shell/transport.py
@@ -4,7 +4,7 @@
 lost, late or duplicated are handled by the cores.
 
 A link carries messages one way, so that a cut in one direction does not affect the other. All queues are bounded. Times
-are counted in ticks of a quarter of a second: a process that was stopped does not take its links for dead.
+are counted in ticks of a quarter of a second: after a pause of the process, its links do not count as dead.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 FLUSH_S = 0.2  # for what is queued at an orderly shutdown
 FLUSH_POLL_S = 0.005
 MINUTE_TICKS = 240
-MAX_REMEMBERED_LINES = 4_096  # so that each line is written once a minute at most
+MAX_REMEMBERED_LINES = 4_096  # lines whose time is stored, so that each is written once a minute at most
 RECEIVE_BYTES = 65_536  # the kernel's receive buffer of each accepted connection
 
 
