--- a/oatlink/fleet/gate.py
+++ b/oatlink/fleet/gate.py
@@ -1,6 +1,6 @@
 """The interface between a gateway and its fleet. No I/O.
 
-This module holds the questions that the path of a request asks (may this tenant's request go on, which version is it
+This module defines the questions that the path of a request asks (may this tenant's request go on, which version is it
 for and which members offer that), the news that answers them, and the implementation for a gateway without a fleet.
 Each question is answered at once from news received before; nothing here waits. The engine owns its gate, so that its
 decisions follow from its inputs alone and a recording replays them.
@@ -26,7 +26,7 @@
 
 
 class Granted(News, frozen=True, tag="Granted", gc=False):
-    """A part of an allowance, usable until then; a newer serial of the same home replaces an older one."""
+    """A part of an allowance, usable until `until_us`; a newer serial from the coordinator replaces an older one."""
 
     name: str
     serial: int
@@ -36,7 +36,7 @@
 
 
 class Served(News, frozen=True, tag="Served", gc=False):
-    """These versions may be served until then. `markers`: (bank, marker) of each version not on all members."""
+    """Versions that may be served until `until_us`. `markers`: (bank, marker) of each version not on all members."""
 
     fence: int
     until_us: int
@@ -47,7 +47,7 @@
 
 
 class Seen(News, frozen=True, tag="Seen", gc=False):
-    """What follows here from what others observed of a member, at `at_us` at the latest (`verdicts.weigh`).
+    """What others' observations of a member, made at `at_us` at the latest, cause at this node (`verdicts.weigh`).
 
     `act`: check (ask the member now), later (choose it later than others until `until_us` or until it serves us; a
     time in the past takes this back), position (it had `offset` of `history` at `at_us` or before: no sample of a
@@ -92,8 +92,8 @@
     ) -> int:
         """`ADMITTED`, `GRANT_PENDING`, or above 0: refused, to be retried after so many microseconds.
 
-        An admission is spent, whatever becomes of the request. `cost` is in commands; `again` says
-        that the answer was `GRANT_PENDING` before.
+        An admission is spent, whatever becomes of the request. `cost` is in commands; `again` says that the answer was
+        `GRANT_PENDING` before.
         """
         ...
 
@@ -127,7 +127,7 @@
         ...
 
     def snapshot(self) -> object:
-        """All news and spending, as plain values, for a snapshot."""
+        """All news received and all amounts spent, as plain values, for a snapshot."""
         ...
 
     def restore(self, value: object) -> None:
--- a/oatlink/fleet/gating.py
+++ b/oatlink/fleet/gating.py
@@ -32,7 +32,7 @@
 
 
 class FleetGate:
-    """See `oatlink.fleet.gate.Gate`."""
+    """The gate of a gateway with a fleet; implements `oatlink.fleet.gate.Gate`."""
 
     on = True
 
--- a/oatlink/fleet/leases/holder.py
+++ b/oatlink/fleet/leases/holder.py
@@ -1,4 +1,4 @@
-"""One lease as one node holds it, wants it or watches it, with a term that needs no common clock. No I/O.
+"""One lease that a node holds, wants or observes, with a term that needs no common clock. No I/O.
 
 This module decides when to read, take, renew and release a lease, and until when this node certainly holds it. When the
 lease of another node has ended is decided by `observer`.
@@ -6,7 +6,7 @@
 - The term counts from **before** the change of the register was requested, and only once that change is certain. A
   change that ended `unknown` does not extend the lease, unless the register is later seen to contain it (by its
   `turn`): then it counts from before it was requested, like any other.
-- A lease is renewed after a third of its term. If it is renewed after it had ended, that is a new holding with a new
+- A lease is renewed after a third of its term. If it is renewed after its end, the node holds it anew, with a new
   fence.
 - Each change is conditional on the fence last seen, so that only one of two nodes that find the lease free gets it.
 - A release ends the holding here before it is requested. From then on no earlier change counts, even if it is seen,
@@ -94,7 +94,7 @@
         return effects
 
     def release(self, now_us: int) -> list[Effect]:
-        """Give the lease back, so that other nodes need not wait for its end; it is not wanted any more."""
+        """Release the lease, so that other nodes need not wait for its end; it is not wanted any more."""
         self.wanting = False
         if self.until_us or self._turns:
             self.until_us = 0
--- a/oatlink/fleet/leases/observer.py
+++ b/oatlink/fleet/leases/observer.py
@@ -1,4 +1,4 @@
-"""When a lease of another node has certainly ended. No I/O.
+"""Determines when a lease of another node has certainly ended. No I/O.
 
 The proof: clocks run at rates within 1 - drift and 1 + drift of true time. A holder counts the term from before it
 asked for the change that made this version of the lease, so the lease ends at most term / (1 - drift) of true time
@@ -57,7 +57,7 @@
         """Take the register's content from an answer that has just arrived. Answers must be passed on in order.
 
         Returns whether it is another version than before. That includes a lower fence, which only an operator's command
-        to the keepers can bring about.
+        to the acceptors can cause.
         """
         if (fence, value) == (self.fence, self._value):
             return False
--- a/oatlink/fleet/limits/allowance.py
+++ b/oatlink/fleet/limits/allowance.py
@@ -5,8 +5,9 @@
 second), so that sums are exact. Every part is rounded down: `nodes * floor + pool` never exceeds the allowance. Only
 this module defines that the floors are part of the rate.
 
-A node cannot lend its unused floor to others: with one busy node of n, the fleet serves only
-`1 - floor * (n - 1) / n` of the rate. Lending would need the promise of the idle node for a term, for each allowance.
+A node cannot pass its unused floor on to others: with one busy node of n, the fleet serves only
+`1 - floor * (n - 1) / n` of the rate. To pass it on, the idle node would have to give it up for a term, for each
+allowance.
 """
 
 REQUEST_UNITS = 1_000_000
--- a/oatlink/fleet/limits/buckets.py
+++ b/oatlink/fleet/limits/buckets.py
@@ -2,9 +2,9 @@
 
 Why these buckets bound the rate of a whole fleet: tokens are created only by the passing of time, at the rate of a
 bucket. A new bucket is empty, a bucket that grows keeps its level, and one that shrinks is cut to its burst. A level
-never exceeds the burst. So at the beginning of a window the existing buckets hold at most the sum of their bursts, and
-what is added during the window is at most the integral of the sum of their rates. If at every moment the sums over all
-live buckets are within (rate, burst), all of them together admit in any window W at most
+never exceeds the burst. So at the beginning of a window the existing buckets contain at most the sum of their bursts,
+and what is added during the window is at most the integral of the sum of their rates. If at every moment the sums over
+all live buckets are within (rate, burst), all of them together admit in any window W at most
 
     burst + rate x W
 
--- a/oatlink/fleet/limits/coordinator.py
+++ b/oatlink/fleet/limits/coordinator.py
@@ -5,13 +5,13 @@
 longer whatever the two clocks do within `drift`, so that what a node may still use is always counted. The term is
 shortened so that this end lies before the end of the lease, and no other node holds the lease before that: a new
 coordinator begins with an empty ledger, as no grant of another coordinator is live. `began` must therefore be called
-only after the lease was taken as if from another node: a process that starts again waits for its own old lease like
-any other.
+only after the lease was acquired as if from another node: a restarted process waits until its own old lease has ended,
+like that of any other node.
 
-How fast a change of demand takes effect: the free part of the pool is granted at once, up to the share that the node
-is due. Where everything is granted, the other nodes are cut when they next ask (`ASK_US` of the requester), what they
-give up is free when they ask once more, and the new node gets it when it next asks: three times `ASK_US` and the
-latency of the messages. A node that is not heard any more keeps its grant until its term ends: one term and one
+How fast a change of demand takes effect: the free part of the pool is granted at once, up to the share that the node is
+due. Where everything is granted, the other nodes are cut when they next ask (`ASK_US` of the requester), what they give
+up is available when they ask once more, and the new node gets it when it next asks: three times `ASK_US` and the
+latency of the messages. A node that sends nothing any more keeps its grant until its term ends: one term and one
 `ASK_US`. If messages are lost on top of that: two terms.
 """
 
@@ -25,7 +25,7 @@
 GRANT_TERM_US = 1_000_000
 MIN_TERM_US = 20_000  # a shorter grant would mostly have expired when it arrives
 DIVIDE_US = 50_000  # minimum time between two divisions of an allowance
-DIVIDE_PER_NODE_US = 1_250  # the same for each node in its ledger, so that a request costs the same in any fleet
+DIVIDE_PER_NODE_US = 1_250  # at least this per node in its ledger: a request costs the same in a fleet of any size
 MAX_DIVIDE_US = 250_000  # the minimum time between two divisions does not grow beyond this
 SWEEP_US = 2_000_000  # interval of the removal of unused ledgers
 MAX_DEMAND_FACTOR = 2.0  # a node's demand counts up to this many times the rate of the allowance
@@ -48,14 +48,14 @@
         self._swept_us = 0
 
     def began(self, fence: int, now_us: int) -> None:
-        """Begin after this node took the lease as if from another: no grant of another coordinator is live."""
+        """Begin after this node acquired the lease as if from another: no grant of another coordinator is live."""
         self._ledgers.clear()
         self.fence = fence
-        self._serial = fence << 32  # serials of a later coordinator are higher, whichever nodes they were
+        self._serial = fence << 32  # serials of a later coordinator are higher, on whichever node it runs
         self._swept_us = now_us
 
     def want(self, sender: str, message: Want, lease_until_us: int, now_us: int) -> list[Effect]:
-        """Answer a node's request. Unknown senders, and names outside the settings or this shard, get nothing."""
+        """Answer a node's request. Unknown senders, and names outside the settings or this shard, get no grant."""
         if sender not in self._nodes or message.shard != self.shard:
             return []
         term_us = self._term_us(lease_until_us, now_us)
--- a/oatlink/fleet/limits/node.py
+++ b/oatlink/fleet/limits/node.py
@@ -9,12 +9,12 @@
   help: no grant is live yet, or one is live and the buckets can pay before the patience ends. After that the request is
   admitted or refused.
 - A refused request gets the time until the buckets could pay, plus a random part of the time that all recently refused
-  requests need together, so that they do not all come back at the same moment.
+  requests need together, so that they are not all repeated at the same moment.
 - A request whose cost exceeds what the buckets of the floor and of a whole pool can ever hold gets the longest time.
-- Demand is what was asked for per second, admitted or not, as an average over about `AVERAGING_US`. Requests that come
-  again count again, so the demand is capped at `MAX_DEMAND_FACTOR` times the rate of the allowance and at
-  `MAX_GROWTH_FACTOR` times what the node may serve at present: clients that retry in a tight loop make a small demand
-  look only a little larger, and a real demand grows with each answer.
+- Demand is what was asked for per second, admitted or not, as an average over about `AVERAGING_US`. Repeated requests
+  count again, so the demand is capped at `MAX_DEMAND_FACTOR` times the rate of the allowance and at `MAX_GROWTH_FACTOR`
+  times what the node may serve at present: clients that retry in a tight loop make a small demand look only a little
+  larger, and a real demand grows with each answer.
 
 Requests that were admitted before a process was stopped are sent after it continues. They were paid for when they were
 admitted. The state consists of plain values. An allowance that was not in use for `IDLE_US` has none.
@@ -33,7 +33,7 @@
 from oatlink.fleet.messages import Demand
 
 PATIENCE_US = 150_000
-MIN_RETRY_US, MAX_RETRY_US = 1_000, 5_000_000  # of the time after which a refused request may come back
+MIN_RETRY_US, MAX_RETRY_US = 1_000, 5_000_000  # bounds of the time after which a refused request may be repeated
 IDLE_US = 10_000_000
 AVERAGING_US = 250_000  # short enough that a node gives up, within a term, what has moved to another node
 MIN_OBSERVED_US = 100_000  # a demand is averaged over at least this time
@@ -68,9 +68,9 @@
     is_suspended: bool = False  # nothing may be admitted, not even from floors
 
     def admit(self, name: str, cost: int, now_us: int, again: bool = False) -> int:
-        """Return `ADMITTED`, `GRANT_PENDING`, or the microseconds after which to come back.
+        """Return `ADMITTED`, `GRANT_PENDING`, or the microseconds after which to repeat the request.
 
-        A name without a rule is not limited. `again`: the request was `GRANT_PENDING` before, so it is in the demand
+        A name without a rule is not limited. `again`: the request was `GRANT_PENDING` before, so the demand contains it
         already.
         """
         state = self.active.get(name) or self._open(name, now_us)
@@ -152,7 +152,7 @@
         return max_demand
 
     def hear(self, news: Granted, now_us: int) -> None:
-        """Take a grant. Before the previous one has ended the level is kept; afterwards the bucket is new and empty.
+        """Apply a grant. Before the previous one has ended the level is kept; afterwards the bucket is new and empty.
 
         The same serial again can only reduce the grant, which is how a grant is ended early.
         """
--- a/oatlink/fleet/limits/requester.py
+++ b/oatlink/fleet/limits/requester.py
@@ -2,7 +2,8 @@
 
 A node counts the term of a grant from before it asked. So it remembers the time of each request, and ignores an answer
 to a request that it does not know. Request numbers begin at a random number: a process that started again must not
-accept the answer to a request of its predecessor as one to its own, because it would count the term from too late.
+accept the answer to a request of its predecessor as one to its own, because it would count the term from a moment too
+late.
 
 A grant with a lower serial than the highest one seen for its name is ignored, in whatever order answers arrive: since
 this node named the higher serial, the coordinator relies on it. The highest serial is forgotten only when no answer to
@@ -55,7 +56,7 @@
     asked_us: int = -ASK_US
     unanswered_since_us: int = -1  # -1 if no request is unanswered
     is_rejected: bool = False  # the node answered that it is not the coordinator
-    is_reduced: bool = False  # a grant got smaller: what was given up is free once the coordinator knows of it
+    is_reduced: bool = False  # a grant got smaller: the difference is available once the coordinator knows of it
     fence: int = 0
     names: frozenset[str] = frozenset()
 
@@ -84,7 +85,7 @@
         return max(self._requested_us + MIN_ASK_US, min(self._requested_us, next_us) + ASK_US - self._spread_us)
 
     def request(self, demands: Sequence[Demand], coordinators: Mapping[int, str], now_us: int) -> list[Effect]:
-        """Ask the coordinators, which the leases name by shard, for what is in use, where it is time."""
+        """Request grants for the allowances in use, where it is time. `coordinators`: by shard, from the leases."""
         if self._has_left:
             return []
         self._requested_us = now_us
@@ -130,7 +131,7 @@
         return effects
 
     def receive(self, sender: str, message: Grants | NotHome, now_us: int) -> list[Effect]:
-        """Take an answer, and return the news for the gate. Late, unknown and overtaken answers are ignored."""
+        """Handle an answer, and return the news for the gate. Late, unknown and overtaken answers are ignored."""
         request = self._pending.get(message.ask)
         if request is None or request.coordinator != sender or request.shard != message.shard or self._has_left:
             return []
--- a/oatlink/fleet/membership/view.py
+++ b/oatlink/fleet/membership/view.py
@@ -1,18 +1,18 @@
 """Which of the listed nodes are alive: whom to gossip with, and who may be a coordinator. No I/O.
 
-The view is a hint and no agreement: two nodes may have different views for any length of time, and nothing relies on
-the view for correctness.
+The view is a hint that is not agreed on: two nodes may have different views for any length of time, and nothing relies
+on the view for correctness.
 
 Every message received counts (`heard`). In addition, a node sends `Alive` each `ALIVE_US`, plus or minus a tenth, to
 `FAN_OUT` others, with how long ago it heard of up to `MAX_HEARD` more, the most recent first: at most `FAN_OUT`
 messages of under 1,200 bytes in that time, whatever the number of nodes. `patience_us(nodes)` is how long to wait for
 news of a node: a few `ALIVE_US` for lost messages, one for each doubling of the nodes for the steps of the gossip, and
 25 times the mean time until its turn among the entries, so that a live node is hardly ever missed: 18 s at 5 nodes,
-30 s at 50, 94 s at 500. A node that died is missed by all others after that time plus `2 x ALIVE_US` for each
-doubling. One that our own link fails to (`link_failed`) is missed at once, which matters for the nodes in use.
+30 s at 50, 94 s at 500. A node that died is missed by all others after that time plus `2 x ALIVE_US` for each doubling.
+If our own link to a node fails (`link_failed`), the node is missed at once, which matters for the nodes in use.
 
-An age that is passed on grows while it is kept, by our clock x (1 + drift), and by `HOP_US` for the transfer. So news
-of a node that has died gets older at each step and dies out.
+An age that is passed on grows while it is stored, by our clock x (1 + drift), and by `HOP_US` for the transfer. So news
+of a node that has died gets older at each step until it no longer counts.
 """
 
 import random
@@ -70,7 +70,7 @@
             self._others[node].has_link_failed = True
 
     def receive(self, sender: str, alive: Alive, now_us: int) -> None:
-        """Take an `Alive` message."""
+        """Handle an `Alive` message."""
         if sender not in self._others:
             return
         self.heard(sender, alive.incarnation, now_us)
--- a/oatlink/fleet/node.py
+++ b/oatlink/fleet/node.py
@@ -1,6 +1,6 @@
 """One node of a fleet, composed of its parts. No I/O.
 
-This module passes each message and each register's answer to the part that it is for. The parts know nothing of one
+This module passes each message and each register's answer to the part that it is for. The parts do not call one
 another: their effects are passed from one to the next, and the rest is left to the caller to carry out: `Tell`, `Keep`,
 `Note`, `Tuned`, `Replied`, `RunStep`, `AskMarker`.
 """
@@ -53,7 +53,7 @@
         return min(part.due_us for part in parts if part is not None)
 
     def receive(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect]:
-        """Take a message."""
+        """Handle a message of another node."""
         return self._run(self._take(sender, message, now_us), now_us)
 
     def tick(self, demands: tuple[f.Demand, ...], busy: tuple[int, ...], now_us: int) -> list[f.Effect]:
@@ -68,39 +68,39 @@
         return self._run(effects, now_us)
 
     def listed(self, members: Mapping[str, str], now_us: int) -> list[f.Effect]:
-        """Take the members that discovery lists for this gateway, each with its bank."""
+        """Set the members that discovery lists for this gateway, each with its bank."""
         return self._run(self._verdicts.listed(members, now_us) if self._verdicts is not None else [], now_us)
 
     def saw(self, member: str, kind: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """Take this gateway's own evidence on a member (`messages.Evidence`)."""
+        """Add this gateway's own evidence on a member (`messages.Evidence`)."""
         if self._verdicts is None:
             return []
         return self._run(self._verdicts.saw(member, kind, history, offset, now_us), now_us)
 
     def failed_over(self, bank: str, now_us: int) -> list[f.Effect]:
-        """Take note that this gateway has seen another primary in a bank."""
+        """Handle a failover: this gateway has seen another primary in a bank."""
         return self._run(self._layouts.failed_over(bank, now_us) if self._layouts is not None else [], now_us)
 
     def ran(self, ask: int, how: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """Take the result of a `RunStep`."""
+        """Handle the result of a `RunStep`."""
         return self._run(
             self._layouts.ran(ask, how, history, offset, now_us) if self._layouts is not None else [], now_us
         )
 
     def marked(self, ask: int, number: int, history: str, offset: int, now_us: int) -> list[f.Effect]:
-        """Take the result of an `AskMarker`."""
+        """Handle the result of an `AskMarker`."""
         return self._run(
             self._layouts.marked(ask, number, history, offset, now_us) if self._layouts is not None else [], now_us
         )
 
     def word(self, word: str, ticket: int, text: bytes, now_us: int) -> list[f.Effect]:
-        """Take an operator's command about versions; a `Replied` follows."""
+        """Handle an operator's command about versions; a `Replied` follows."""
         if self._layouts is None:
             return [f.Replied(ticket, "no versions in the fleet's settings")]
         return self._run(self._layouts.word(word, ticket, text, now_us), now_us)
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """Stop in an orderly way: give back grants and leases, so that no other node waits for their terms."""
+        """Stop in an orderly way: release grants and leases, so that no other node waits for the end of their terms."""
         effects = self._limits.leave(now_us)
         for part in (self._layouts, self._verdicts):
             if part is not None:
@@ -108,7 +108,7 @@
         return self._run(effects, now_us)
 
     def gone(self, now_us: int) -> bool:
-        """Whether everything has been given back after `leave`."""
+        """Whether everything has been released after `leave`."""
         return self._limits.gone and (self._layouts is None or self._layouts.gone(now_us))
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
--- a/oatlink/fleet/parts/__init__.py
+++ b/oatlink/fleet/parts/__init__.py
@@ -1,1 +1,1 @@
-"""What a node does, one use a module: the cores of that use put together. No I/O."""
+"""The parts of a node, one module for each use of the fleet; a part combines the cores of its use. No I/O."""
--- a/oatlink/fleet/parts/layouts.py
+++ b/oatlink/fleet/parts/layouts.py
@@ -1,6 +1,6 @@
 """Layout versions at one node: what it may serve, and the sequencer while it holds the lease. No I/O.
 
-A sequencer whose node stops grants nothing more and gives its lease back at once. Its grants remain valid: the next
+A sequencer whose node stops grants nothing more and releases its lease at once. Its grants remain valid: the next
 sequencer counts them from its own beginning, which is later (`versions.ledger`).
 """
 
@@ -13,11 +13,11 @@
 
 LEASE_TERM_US = 3_000_000
 KEY = "versions"
-PLACE = 1_000  # the number by which the candidates are ranked: any that no shard of limits has
+PLACE = 1_000  # the shard number that ranks the candidates; differs from all shard numbers of the limits
 
 
 class LayoutPart:
-    """The part of a node for layout versions: its lease, its sequencer and its own questions."""
+    """The part of a node for layout versions: its lease, its sequencer and its own requests to the sequencer."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         return self._sequencer.marked(ask, number, history, offset, self._lease_until_us(now_us), now_us)
 
     def failed_over(self, bank: str, now_us: int) -> list[f.Effect]:
-        """Note that this gateway observed another primary there."""
+        """Handle a failover: this gateway observed another primary in the bank."""
         return self._sequencer.failed_over(bank, self._lease_until_us(now_us), now_us)
 
     def word(self, word: str, ticket: int, text: bytes, now_us: int) -> list[f.Effect]:
@@ -102,7 +102,7 @@
         return self._sequencer.status(ticket, now_us)
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """Stop sequencing, and give the lease back."""
+        """Stop sequencing, and release the lease."""
         self._leaving = True
         self._sequencer.ended()
         self._lease.looking = False
@@ -113,7 +113,7 @@
         return not self._lease.holds(now_us)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """Rows for operators: which node is believed to be the sequencer."""
+        """Status rows: which node is believed to be the sequencer."""
         return [(KEY, self._sequencer_name(now_us) or "unknown")]
 
     def _sequencer_name(self, now_us: int) -> str:
--- a/oatlink/fleet/parts/limits.py
+++ b/oatlink/fleet/parts/limits.py
@@ -1,8 +1,8 @@
 """Rate limits at one node: its requests to coordinators, and the coordinators that run at this node. No I/O.
 
-A node whose tenants send nothing reads no register, takes no lease and sends no message. A coordinator that nobody has
-asked for `IDLE_US` gives its lease back. When its node stops, a coordinator grants nothing more and gives the lease
-back once all its grants must have ended, so that the next coordinator can begin at once with an empty ledger.
+A node whose tenants send nothing reads no register, takes no lease and sends no message. A coordinator without a
+request for `IDLE_US` releases its lease. When its node stops, a coordinator grants nothing more and releases the lease
+once all its grants must have ended, so that the next coordinator can begin at once with an empty ledger.
 """
 
 from collections.abc import Mapping
@@ -59,7 +59,7 @@
 
     @property
     def due_us(self) -> int:
-        """When `tick` has something to do; without a demand, only what was begun is brought to its end."""
+        """When `tick` has something to do; without demand, it only completes what was begun."""
         if self._is_leaving:
             active = [shard for shard in self._shards if shard.coordinator is not None]
             return min([shard.asked_us + self._grant_ended_us for shard in active] or [f.NEVER_US])
@@ -67,7 +67,7 @@
         return min([*busy, self._requester.due_us if self._demands else f.NEVER_US])
 
     def tick(self, demands: tuple[f.Demand, ...], now_us: int) -> list[f.Effect]:
-        """Time has passed; `demands` is what the gate has been asked for."""
+        """Do what is due; `demands` are the present demands of the gate."""
         if self._is_leaving:
             return self._give_back(now_us)
         self._demands = demands
@@ -90,7 +90,7 @@
         return effects + self._requester.request(demands, self._coordinators(now_us), now_us)
 
     def answered(self, answer: f.Answer, now_us: int) -> list[f.Effect] | None:
-        """Take a register's answer; None if it is not for this part."""
+        """Handle a register's answer; None if it is not for this part."""
         shard = self._by_key.get(answer.key)
         if shard is None:
             return None
@@ -100,7 +100,7 @@
         return effects + self._requester.request(self._demands, self._coordinators(now_us), now_us)
 
     def take(self, sender: str, message: f.Message, now_us: int) -> list[f.Effect] | None:
-        """Take a message; None if it is not for this part."""
+        """Handle a message; None if it is not for this part."""
         if isinstance(message, f.Grants | f.NotHome):
             return self._requester.receive(sender, message, now_us)
         if not isinstance(message, f.Want | f.Returned):
@@ -118,7 +118,7 @@
         return shard.coordinator.want(sender, message, shard.lease.until_us, now_us)
 
     def leave(self, now_us: int) -> list[f.Effect]:
-        """Give back grants now, and leases once their grants have ended (`tick`), so that nobody waits for a term."""
+        """Release grants now, and leases once their grants have ended (`tick`), so that nobody waits for a term."""
         self._is_leaving = True
         effects = self._requester.leave(now_us)
         for shard in self._shards:
@@ -137,7 +137,7 @@
 
     @property
     def gone(self) -> bool:
-        """Whether nothing is left to give back."""
+        """Whether nothing is left to release."""
         return all(shard.coordinator is None for shard in self._shards)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
@@ -155,7 +155,7 @@
         return coordinators
 
     def _update_coordinator(self, shard: Shard, now_us: int) -> None:
-        """Have a coordinator exactly while the lease is held; each new holding begins with an empty ledger."""
+        """Keep a coordinator exactly while the lease is held; each time it is acquired, the ledger begins empty."""
         if not shard.lease.holds(now_us):
             shard.coordinator = None
         elif shard.coordinator is None or shard.coordinator.fence != shard.lease.fence:
--- a/oatlink/fleet/parts/verdicts.py
+++ b/oatlink/fleet/parts/verdicts.py
@@ -1,4 +1,4 @@
-"""Health evidence at one node: what it observed, what others observed, and which nodes are there. No I/O."""
+"""Health evidence at one node: what it observed, what others observed, and which nodes are alive. No I/O."""
 
 from collections.abc import Mapping
 
@@ -33,8 +33,8 @@
 
     def saw(self, member: str, kind: str, history: str, offset: int, now_us: int) -> list[f.Effect]:
         """Add own evidence on a member."""
-        # A claim of a role or a position must not replace an answer of just before: then two false reports would count
-        # again.
+        # A claim of a role or a position must not replace evidence of an answer just received: two false reports would
+        # count again then.
         if kind in KINDS and KINDS[kind].allows in (CLEARS, LATER):
             self._own[member] = kind, now_us
         self._spread.saw(member, kind, now_us, history, offset)
@@ -64,7 +64,7 @@
         return self._view.leave(now_us)
 
     def rows(self, now_us: int) -> list[tuple[str, str]]:
-        """Rows for operators: which nodes are there, and how much evidence is stored."""
+        """Status rows: which nodes are alive, and how much evidence is stored."""
         return [
             ("nodes heard of", " ".join(self._view.alive(now_us)) or "none"),
             ("evidence kept", f"{len(self._spread)}, {self._spread.dropped} dropped"),
--- a/oatlink/fleet/registers/acceptor.py
+++ b/oatlink/fleet/registers/acceptor.py
@@ -1,6 +1,6 @@
-"""A keeper of registers: it votes, hands over its registers, and recovers after its file was lost. No I/O.
+"""A keeper of registers, which votes, sends copies of its registers, and recovers after its file was lost. No I/O.
 
-`voting` has the votes, `recovery` the lives. Both work on the same registers: those of the keeper's file, and those
+`voting` handles the votes, `recovery` the lives. Both work on the same registers: those of the keeper's file, and those
 written since. This module passes each message to the part that it is for.
 """
 
@@ -43,15 +43,15 @@
 
     @property
     def begun(self) -> bool:
-        """Whether it votes."""
+        """Whether this keeper votes."""
         return self._voting.standing.begun
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
-        """Take a message of another node or of this one. A message that is not for a keeper has no answer."""
+        """Handle a message of another node or of this one. A message that is not for a keeper has no answer."""
         if isinstance(message, Copy | Copied):
             return self._recovery.receive(sender, message, now_us)
         return self._voting.receive(sender, message)
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Time has passed."""
+        """Do what is due."""
         return self._recovery.tick(now_us)
--- a/oatlink/fleet/registers/attempt.py
+++ b/oatlink/fleet/registers/attempt.py
@@ -1,7 +1,7 @@
 """One read or change, from its request to its answer. No I/O and no clock.
 
-This module interprets the votes of a round. `proposer` sends the rounds and watches the time. Votes count only if they
-are valid together (`quorum`).
+This module interprets the votes of a round. `proposer` sends the rounds and handles the timeouts. Votes count only if
+they are valid together (`quorum`).
 
 - **Look**: if a majority has itself accepted the same ballot, the record of this ballot is agreed. It is no older than
   any record that was agreed before the round began, as that one had a majority too. A look takes one round trip and no
--- a/oatlink/fleet/registers/ballots.py
+++ b/oatlink/fleet/registers/ballots.py
@@ -7,7 +7,7 @@
 from oatlink.fleet.messages import MAX_KEY_BYTES, MAX_VALUE_BYTES, Ballot, Record
 
 NO_BALLOT = Ballot()
-MAX_COUNTER = 2**60  # prevents that one wrong counter leaves no ballot above it for ever
+MAX_COUNTER = 2**60  # prevents one wrong counter from leaving no ballot above it for ever
 MAX_WRITER_BYTES = 256
 MAX_FENCE = 2**60
 
--- a/oatlink/fleet/registers/interface.py
+++ b/oatlink/fleet/registers/interface.py
@@ -22,5 +22,5 @@
         ...
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Time has passed."""
+        """Do what is due."""
         ...
--- a/oatlink/fleet/registers/proposer.py
+++ b/oatlink/fleet/registers/proposer.py
@@ -1,7 +1,7 @@
 """The registers as a node uses them: reads and changes that the keepers agree on (CASPaxos). No I/O.
 
-This module has the queues, the rounds and their timing. `attempt` interprets the votes, `quorum` decides which of them
-count.
+This module implements the queues, the rounds and their timing. `attempt` interprets the votes, `quorum` decides which
+of them count.
 
 Each key has one attempt at a time; others wait in the queue of the key. An attempt that is outbid waits a random time,
 longer each time, so that one of many competing attempts succeeds. Keepers that do not answer are asked again. After
@@ -70,7 +70,7 @@
         return self._add(Attempt(ask, key, max(fence, 0), value, writer, now_us, now_us + PATIENCE_US), now_us)
 
     def tick(self, now_us: int) -> list[Effect]:
-        """Time has passed."""
+        """Do what is due."""
         effects: list[Effect] = []
         if now_us >= self.due_us:
             for attempt in [queue[0] for queue in self._queues.values()]:
@@ -81,7 +81,7 @@
         return self._update_due(effects)
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
-        """Take a keeper's answer. An answer to a round that is over changes nothing."""
+        """Handle a keeper's answer. An answer to a round that is over changes nothing."""
         if not isinstance(message, Looked | Promise | Accepted | Outbid) or sender not in self._keepers:
             return []
         queue = self._queues.get(message.key)
@@ -176,8 +176,8 @@
         # Prevents two proposers from outbidding each other for ever: each waits a random time, longer each time.
         attempt.step = WAITING
         attempt.due_us = now_us + 1 + self._rng.randrange(BACKOFF_US << min(attempt.tries, MAX_BACKOFF_DOUBLINGS))
-        # Prevents that a proposer whose next ballot is always granted in advance stays ahead: the next try is well
-        # above it.
+        # Prevents a proposer whose next ballot is always granted in advance from staying ahead: the next try is well
+        # above that ballot.
         skipped = SKIPPED_BALLOTS << min(attempt.tries, MAX_SKIP_DOUBLINGS)
         self._counter = min(self._counter + skipped, MAX_COUNTER - 1)
         attempt.tries += 1
@@ -187,7 +187,7 @@
         if attempt.outbid and attempt.step != WAITING:
             return self._back_off(attempt, now_us)
         if attempt.step == WAITING and attempt.tries > 1 and not attempt.offered:
-            # Where many want the same change, prevents that each spoils the round of the one that can still make it.
+            # Where many attempt the same change, prevents each from outbidding the one that can still succeed.
             return self._look(attempt, now_us)
         if attempt.step == WAITING or (attempt.step == LOOKING and len(attempt.votes) >= self._need):
             return self._prepare(attempt, now_us)
--- a/oatlink/fleet/registers/quorum.py
+++ b/oatlink/fleet/registers/quorum.py
@@ -1,8 +1,8 @@
 """Which votes count together. No state.
 
 A vote carries the life of its keeper (see `recovery`) and the newest life that this keeper has met of each other one. A
-vote from a life that another vote of the same round knows to be over does not count. `recovery` proves that this keeps
-a lost file from being a lost promise.
+vote from a life that has ended according to another vote of the same round does not count. `recovery` proves that this
+rule prevents a lost file from causing a lost promise.
 """
 
 from collections.abc import Mapping
@@ -24,12 +24,12 @@
 
 
 def majority(keepers: int) -> int:
-    """Return how many votes decide among so many keepers."""
+    """Return how many votes are a majority of this number of keepers."""
     return keepers // 2 + 1
 
 
 def valid_votes(votes: Mapping[str, Vote]) -> dict[str, Vote]:
-    """Return the votes of lives that none of the other votes knows to be over."""
+    """Return the votes whose lives have not ended according to any of the other votes."""
     newest: dict[str, int] = {}
     for vote in votes.values():
         for keeper, life in vote.met:
--- a/oatlink/fleet/registers/recovery.py
+++ b/oatlink/fleet/registers/recovery.py
@@ -1,4 +1,4 @@
-"""How a keeper gets to vote again after its file was lost, and how the keepers of a new fleet begin. No I/O.
+"""How a keeper becomes able to vote again after its file was lost, and how the keepers of a new fleet begin. No I/O.
 
 A keeper's file has a *life*, a number that is drawn when the file is created. A file that was lost and created again is
 a newer life. There are 2f + 1 keepers; f + 1 of them decide.
@@ -90,7 +90,7 @@
 
 
 class Recovery:
-    """The lives of keepers: its own, until this keeper votes, and those of others, which it hands its registers to."""
+    """Handles this keeper's own life until it votes, and the lives of others, to which it sends its registers."""
 
     def __init__(self, node: str, keepers: tuple[str, ...], voting: Voting, rng: Random, trusted: bool) -> None:
         self._node = node
@@ -113,11 +113,12 @@
         self.due_us = now_us + self._pause_us + self._rng.randrange(ASK_US // 2)
         self._pause_us = min(2 * self._pause_us, MAX_ASK_US)
         waiting = [name for name in self._others if name not in self._sources or not self._sources[name].done]
-        # This life is stored before others learn of it: a life that is announced and then forgotten is one more.
+        # This life is stored before others learn of it: if it were announced and then forgotten, it would count as one
+        # more life.
         return [Keep((), tuple(self._question(name) for name in waiting), self._voting.standing)]
 
     def receive(self, sender: str, message: Message, now_us: int) -> list[Effect]:
-        """Take a `Copy` or a `Copied`."""
+        """Handle a `Copy` or a `Copied`."""
         if sender not in self._others:
             return []
         if isinstance(message, Copy):
--- a/oatlink/fleet/registers/voting.py
+++ b/oatlink/fleet/registers/voting.py
@@ -4,10 +4,10 @@
 accepted with each promise. Messages that are out of bounds are dropped.
 
 **On disk before it is sent.** A vote is the `then` of the `Keep` that stores it. The state in memory is ahead of the
-disk: a later request may meet a state that is not stored yet. The caller carries out one `Keep` after the other, and
-sends nothing of a later one before the earlier ones are on disk. So every vote here, also one that changes nothing, is
-the `then` of a `Keep` (an empty one, if need be), and never shows what a crash can undo. Only `Outbid` is sent at once:
-it is no vote, and a proposer learns from it nothing but the ballot to exceed.
+disk: a later request may be answered from a state that is not stored yet. The caller carries out one `Keep` after the
+other, and sends nothing of a later one before the earlier ones are on disk. So every vote here, also one that changes
+nothing, is the `then` of a `Keep` (an empty one, if need be), and never reveals a state that a crash can undo. Only
+`Outbid` is sent at once: it is no vote, and a proposer learns only the ballot to exceed from it.
 
 A keeper that has not begun (`recovery`) answers nothing. Memory is bounded by `MAX_REGISTERS` registers of
 `MAX_VALUE_BYTES` bytes.
@@ -78,7 +78,7 @@
     def _accept(self, sender: str, asked: Accept) -> list[Effect]:
         register = self._register(asked.key)
         promised = max(asked.ballot, asked.next)
-        # A repeated request: this vote was given already, and the promise above it was given to the same proposer.
+        # A repeated request: this vote was sent already, and the promise above it was made to the same proposer.
         is_repeated = asked.ballot == register.accepted and promised == register.promised and not register.copied
         if asked.ballot < register.promised and not is_repeated:
             return [Tell(sender, Outbid(asked.key, asked.ballot, register.promised))]
--- a/oatlink/fleet/verdicts/evidence.py
+++ b/oatlink/fleet/verdicts/evidence.py
@@ -1,6 +1,6 @@
 """The kinds of evidence: how long each is valid, and what it may cause at most on the node that receives it. No I/O.
 
-This module holds the table of kinds, the check that evidence is valid, and the arithmetic of its age.
+This module contains the table of kinds, the check that evidence is valid, and the arithmetic of its age.
 
 Clocks run at a rate between 1 / (1 + drift) and 1 + drift of true time. An age on the wire is in true microseconds and
 is never too small: a node that has kept evidence for `passed` of its own time adds passed x (1 + drift), rounded up. By
@@ -24,7 +24,7 @@
 
 
 class Kind(NamedTuple):
-    """A kind of evidence: its lifetime, the most that it may cause, and its priority; rank 0 is sent on first."""
+    """A kind of evidence: its lifetime, the most that it may cause, and its priority; rank 0 is passed on first."""
 
     life_us: int
     allows: str
@@ -55,7 +55,7 @@
 def is_valid(evidence: Evidence) -> bool:
     """Whether it may be accepted. A kind that only a newer version knows is ignored like all that is not valid.
 
-    Prevents that every node stores a name of any length, text that cannot be encoded, or a number that is too large.
+    Prevents every node from storing a name of any length, text that cannot be encoded, or a number that is too large.
     """
     kind = KINDS.get(evidence.kind)
     return (
--- a/oatlink/fleet/verdicts/evidence_store.py
+++ b/oatlink/fleet/verdicts/evidence_store.py
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class StoredEvidence:
-    """Evidence as it was at `kept_us`. `seen_us`: the latest time of the observation by our clock, less the transit."""
+    """Evidence as it was at `kept_us`. `seen_us`: latest time of the observation by our clock, ignoring the transit."""
 
     evidence: Evidence
     kept_us: int
     seen_us: int
     expires_us: int
     number: int  # order of arrival
-    rounds_left: int = 0  # in which it is still to be sent
+    rounds_left: int = 0  # in how many rounds it is still to be sent
     sent: bool = False
 
 
@@ -102,8 +102,8 @@
             return False
         if len(by_witness) >= MAX_WITNESSES:
             name, oldest = min(by_witness.items(), key=lambda pair: pair[1].seen_us)
-            # Evidence that was removed may arrive again on a slower path: it looks newer by that, and without this
-            # condition it would count as new.
+            # Evidence that was removed may arrive again on a slower path. It looks newer by the difference, and would
+            # count as new without this condition.
             if oldest.seen_us >= seen_us - SAME_TIME_US:
                 return False
             self._remove(topic, name)
--- a/oatlink/fleet/verdicts/spread.py
+++ b/oatlink/fleet/verdicts/spread.py
@@ -3,12 +3,12 @@
 This module decides what is sent to whom and when, and within how many bytes.
 
 - A node with new evidence sends it in rounds of `ROUND_US` to `FAN_OUT` peers drawn at random. Each piece is sent in at
-  most `most_rounds` = ceil(log2(nodes)) + 3 rounds. Each time that the same piece comes back, one round is taken off,
+  most `most_rounds` = ceil(log2(nodes)) + 3 rounds. Each time that the same piece comes back, one round is subtracted,
   because others have it. After its rounds it is only stored until it expires. A node with nothing new sends nothing.
 - Bound: new evidence that the byte limit does not delay is known to all nodes within `most_rounds` rounds after the
   observation, where a round lasts `ROUND_US` plus one transit over a link, and one message in ten is lost: 6 rounds at
-  5 nodes, 9 at 50, 12 at 500. The draws are random, so tests check the bound over many seeds; the mean is under a third
-  of it. A peer to which all messages are lost is not reached, and nothing waits for it.
+  5 nodes, 9 at 50, 12 at 500. Peers are drawn at random, so tests check the bound over many seeds; the mean is under a
+  third of it. A peer to which all messages are lost is not reached, and nothing waits for it.
 - Network partitions: evidence that ended its rounds while some peers could not be reached is sent once more by each
   node when peers return (`set_alive`), if it is still valid. Each node that did not have it sends it on as new. So
   evidence older than its lifetime is lost to the nodes that were cut off; for the rest the bound holds, counted from
@@ -102,7 +102,8 @@
     ) -> tuple[list[Evidence], list[Effect]]:
         """Return what is new to this node, with its present age. `late_us`: the wait of the message in this process.
 
-        Evidence of this node that comes back from others is ignored, or the node would be its own second witness.
+        Evidence of this node that comes back from others is ignored; otherwise the node would be its own second
+        witness.
         """
         if sender not in self._known_peers:
             return [], []
@@ -157,7 +158,7 @@
         return True
 
     def _schedule_round(self, now_us: int) -> None:
-        """The first round with new evidence is at once, unless the previous one was less than `ROUND_US` ago."""
+        """Schedule a round for new evidence: at once, but not within `ROUND_US` of the previous one."""
         self.due_us = min(self.due_us, max(now_us, self._round_us + ROUND_US))
 
     def _heal(self, now_us: int) -> None:
--- a/oatlink/fleet/verdicts/statements.py
+++ b/oatlink/fleet/verdicts/statements.py
@@ -52,7 +52,7 @@
         side.put(witness, at_us, until_us)
 
     def suspected(self, now_us: int, since_us: int, needed: int) -> bool:
-        """Whether `needed` witnesses accuse it of a fault after `since_us`, and too few report that it served them."""
+        """Whether `needed` witnesses report a fault of the member after `since_us`, and too few that it served them."""
         accusing = self.against.live_times(now_us, since_us)
         if len(accusing) < needed:
             return False
--- a/oatlink/fleet/verdicts/weigh.py
+++ b/oatlink/fleet/verdicts/weigh.py
@@ -1,18 +1,18 @@
 """What the evidence of other nodes may cause here. No I/O.
 
-This module holds the rules by which evidence becomes news for the gate. It does not look at this node's own links.
+This module implements the rules by which evidence becomes news for the gate. It does not observe this node's links.
 
-The only acts are *check*, *later* and *position* (`ACTS`). No evidence ends a drain, proves a role, or makes a read
+The only effects (`ACTS`) are *check*, *later* and *position*. No evidence ends a drain, proves a role, or makes a read
 fresh: a claim of a role is a reason to ask the member itself, and `at_us` is no sample of a primary. It is computed
 from an age that leaves out the time in transit, so it is an upper bound: the observation was made "at `at_us`, or
 before".
 
-- **check**: one witness suffices, and suffices for nothing else. A member is checked at most once each
-  `CHECK_INTERVAL_US`. Not all gateways need to check at once what one of them can tell the others: each draws, and
-  checks with a probability of CHECKERS x 2^k / gateways, where k is the number of draws it lost since it last won. So
-  about `CHECKERS` gateways check at once; while evidence continues to arrive, all have checked within
-  ceil(log2(gateways / CHECKERS)) + 1 draws. If own evidence is newer, there is nothing to check, except for a role,
-  which only an answer to the question shows.
+- **check**: one witness suffices for this, but for no other effect. A member is checked at most once each
+  `CHECK_INTERVAL_US`. Not all gateways need to check at once, as one of them can report the result to the others: each
+  draws a random number, and checks with a probability of CHECKERS x 2^k / gateways, where k is the number of draws it
+  lost since it last won. So about `CHECKERS` gateways check at once; while evidence continues to arrive, all have
+  checked within ceil(log2(gateways / CHECKERS)) + 1 draws. If own evidence is newer, nothing is checked, except for a
+  claimed role, which only the member's own answer can confirm.
 - **later**: needs `WITNESSES` different witnesses whose newest evidence is still valid and accuses the member.
   Evidence counts only if it is newer than our own newest evidence, and by `SERVED_PRIORITY_US` if that was 'served'.
   It is void if as many others, or `DEFENDERS` of them, report 'served', not more than `SERVED_PRIORITY_US` before the
@@ -23,8 +23,8 @@
   two false witnesses, unless as many true ones (or `DEFENDERS`) defend it: if a third of the nodes are false and the
   others are served, it is not affected either. One false witness never has this effect.
 - If half or more of the members of a bank are suspected, by others' evidence or our own, suspicion is void for that
-  bank: none is put later, and what was is taken back (*later* with `until_us` now). So at any time less than half of a
-  bank is put later.
+  bank: none is put later, and each earlier *later* is taken back (*later* with `until_us` now). So at any time less
+  than half of a bank is put later.
 - **position**: the offset of a member within one history only grows, so old news is safe: "it has reached `offset` or
   more". An offset is passed on as far as `WITNESSES` confirm it. Evidence from before our own 'refused' or 'reset', or
   less than `SERVED_PRIORITY_US` after it, does not count: a member that restarted may have less.
@@ -79,7 +79,10 @@
         self._draws: dict[str, tuple[int, int]] = {}  # the last draw, and how many were lost in a row
 
     def listed(self, members: Mapping[str, str], now_us: int = 0) -> list[Seen]:
-        """Set the members of this gateway, each with its bank; take back what a bank that shrank does not allow."""
+        """Set the members of this gateway, each with its bank.
+
+        Takes back each *later* that is no longer allowed because the bank has become smaller.
+        """
         self._bank = dict(members)
         self._members = {}
         for member, bank in self._bank.items():
@@ -129,7 +132,7 @@
         return statements is not None and statements.suspected(now_us, self._ignored_until_us(member), WITNESSES)
 
     def _is_doubted(self, member: str, now_us: int) -> bool:
-        """Whether it is suspected, by others or by ourselves, or is put later still after the suspicion has ended."""
+        """Whether it is suspected, by others or by ourselves, or is still put later after the suspicion has ended."""
         own, at_us = self._own.get(member, ("", -1))
         kind = KINDS.get(own)
         is_own = kind is not None and kind.allows == LATER and now_us - at_us < kind.life_us
--- a/oatlink/fleet/versions/asking.py
+++ b/oatlink/fleet/versions/asking.py
@@ -1,7 +1,7 @@
 """How a node asks which versions it may serve, and which answers count. No I/O.
 
-Why this is safe: a term is counted from before the question was sent, so it ends here before the sequencer that granted
-it considers it ended. Only the answer accepted last is served. An answer to a question that is not newer than one whose
+Why this is safe: a term is counted from before the request was sent, so it ends here before the sequencer that granted
+it considers it ended. Only the answer accepted last is served. An answer to a request that is not newer than one whose
 answer was accepted changes nothing, and neither does an answer with a lower fence than one seen before: what it grants
 may have been counted as ended since, by `heard` or by time.
 """
@@ -13,12 +13,12 @@
 
 ASK_US = 300_000
 MAX_TERM_US = 60_000_000  # far more than any sequencer grants (`sequencer.VERSION_TERM_US`)
-MAX_QUESTIONS = 16  # whose times are kept
-MAX_UNANSWERED = 3  # questions before the sequencer counts as silent
+MAX_QUESTIONS = 16  # the newest requests, whose times are kept
+MAX_UNANSWERED = 3  # requests without an answer before the sequencer counts as silent
 
 
 class Adopter:
-    """Asks the sequencer for one process of a node."""
+    """Asks the sequencer which versions one process of a node may serve."""
 
     def __init__(self, node: str, seed: int) -> None:
         self.node = node
@@ -39,7 +39,7 @@
         """Ask the holder of the lease, if that is due. `busy`: versions for which this node has unfinished requests."""
         if not sequencer or now_us < self.due_us:
             return []
-        # The first number is the clock, so that the questions of a restarted process differ from its predecessor's.
+        # The first number is the clock, so that the requests of a restarted process differ from its predecessor's.
         self._last_ask = self._last_ask + 1 if self._last_ask else max(1, now_us)
         self._first_ask = self._first_ask or self._last_ask
         self._asked[self._last_ask] = now_us
--- a/oatlink/fleet/versions/bank_tasks.py
+++ b/oatlink/fleet/versions/bank_tasks.py
@@ -1,10 +1,9 @@
 """The tasks at the banks, one at a time for each: a step that is due, or a check of the marker. No I/O.
 
 A failed step is retried after a growing wait drawn from a seed, and is never skipped. Between steps the marker is
-checked regularly: this detects a failover that lost a step, whatever else was or was not reported of it. A task that
-hangs at a primary that was failed over is not waited for: as after a timeout, the marker fences it if it still runs. If
-a bank did not answer a check and now does, the due step is tried at once: the growing wait is for steps that a server
-refuses.
+checked regularly: this detects a failover that lost a step, whether or not the failover was reported. A task that hangs
+at a former primary is abandoned, as after a timeout: the marker fences it if it still runs. If a bank did not answer a
+check and now does, the due step is tried at once: the growing wait is for steps that a server refuses.
 """
 
 from collections.abc import Callable
--- a/oatlink/fleet/versions/compatible.py
+++ b/oatlink/fleet/versions/compatible.py
@@ -1,14 +1,15 @@
 """Whether a member has applied a marker. No I/O.
 
 Why this is safe: a replication history is one sequence of bytes, so a member at offset `o` of it has applied all that
-lies below. A promoted replica begins a new history and names the previous one, with the first offset that the two do
+is below `o`. A promoted replica begins a new history and names the previous one, with the first offset that the two do
 not share (INFO replication: `master_replid2`, `second_repl_offset`); what lies below that offset is in both.
 
-What proves nothing: any other history, even if it may be the parent of the parent (the marker is asked for at the new
-primary, which soon reports it in the new history); and an offset past the join, which the new history never had.
+What proves nothing: any other history, even if it may be the parent of the parent (the marker is read again at the new
+primary, which soon reports it in the new history); and an offset beyond the join, which the new history never had.
 
-The result is as good as the report. A member may be made to copy another primary after it was asked. The sender of a
-request must have asked over the connection that it sends on, since servers close those when they start a new copy.
+The result is only as reliable as the report. A member may be made to copy another primary after it was asked. The
+sender of a request must have asked over the connection that it sends on, since servers close those when they start a
+new copy.
 """
 
 import msgspec
--- a/oatlink/fleet/versions/ledger.py
+++ b/oatlink/fleet/versions/ledger.py
@@ -1,4 +1,4 @@
-"""Which versions nodes may still serve, and may still have requests for, by what this sequencer granted. No I/O.
+"""Which versions nodes may still serve or have requests for, according to this sequencer's grants. No I/O.
 
 Why a version is drained, once no more of it is granted:
 
@@ -14,11 +14,11 @@
 4. An earlier sequencer granted only while it held its lease, at times before this one's lease began, to questions asked
    before that. So by (1) its terms end before `began` + `max_elapsed_us(term)` here, and what was begun under them has
    ended the longest deadline later. Which nodes it granted is not known here, and they may never ask: until then
-   nothing is drained, whatever any node reports. After a lease that was given back early, the next one began no earlier
+   nothing is drained, whatever any node reports. After a lease that was released early, the next one began no earlier
    than that.
 
-Not covered: a node that stands still, for longer than (2), between the look at its clock and the write of a request. A
-server knows no versions of plain commands. The wait is the only protection, so the deadline is to be a generous one.
+Not covered: a node that is paused, for longer than (2), between reading its clock and writing a request. A server knows
+no versions of plain commands, so the wait is the only protection, and the deadline should be generous.
 """
 
 from dataclasses import dataclass, field
--- a/oatlink/fleet/versions/marker.py
+++ b/oatlink/fleet/versions/marker.py
@@ -2,7 +2,7 @@
 
 The number of a step is assigned with the intention to run it, by a conditional change of one register. So no two steps
 have the same number and a later step has a higher one, whichever sequencer assigned it: the number is the fence. It
-prevents a late step when a sequencer stood still for an hour after it asked for the step, or a socket held it for as
+prevents a late step when a sequencer was paused for an hour after it requested the step, or a socket delayed it for as
 long: by then the marker shows a higher number and the step is refused, or the same number and the step is done. It also
 prevents a step from running on top of a gap when the primary never had the step before (after a failover): then the
 marker shows less than `after`.
@@ -30,7 +30,7 @@
     if len(parts) != 3 or parts[2] not in (DONE, BEGUN) or not (parts[0].isdigit() and len(parts[0]) <= 16):
         return -1
     step = int(parts[0])
-    # A step begins only after the one it follows was done (`decide`), so a begun step shows all below it.
+    # A step begins only after the one it follows was done (`decide`), so a begun step shows that all below it are done.
     return step if parts[2] == DONE else step - 1
 
 
--- a/oatlink/fleet/versions/moves.py
+++ b/oatlink/fleet/versions/moves.py
@@ -5,7 +5,7 @@
 
 Each transition is one conditional change of the register, and each is safe if any sequencer dies right before or after:
 
-- *serving* follows only when every shard offers the new version: no node is told to serve what some shard never had.
+- *serving* follows only when every shard offers the new version: no node is allowed to serve what some shard never had.
 - *contracting* follows only when the old version is not served, no node's term on it can be valid and no request of it
   is unfinished (`Ledger.drained`): nothing uses what a contract removes. From there the change only goes forward.
 - *undoing* follows under the same condition for the new version. A shard whose expand was ever intended is undone,
--- a/oatlink/fleet/versions/node.py
+++ b/oatlink/fleet/versions/node.py
@@ -1,6 +1,6 @@
-"""Which version a request is made for, and which members may serve it, as one gateway last heard. No I/O.
+"""Which version a request is made for, and which members may serve it, by the last news at one gateway. No I/O.
 
-This module holds the gate's answers about layouts (`oatlink.fleet.gate.Gate`). Nothing is served before the first
+This module implements the gate's answers about layouts (`oatlink.fleet.gate.Gate`). Nothing is served before the first
 news, nor after the end of a term: a node that is cut off stops, because other nodes may remove a version's data then.
 
 Each answer is valid at the moment it is given. `layout` has to be asked again right before each send of a request,
@@ -59,7 +59,7 @@
         if news is None or version not in news.versions:
             return False
         if bank not in self.offers:
-            # A bank that was added after the change began: its version is known only while one version is served.
+            # The bank was added after the change began: which version it has is known only while one version is served.
             return len(news.versions) == 1
         return version in self.offers[bank]
 
--- a/oatlink/fleet/versions/operator_requests.py
+++ b/oatlink/fleet/versions/operator_requests.py
@@ -60,7 +60,7 @@
         return self._start(OperatorRequest(ticket, "back", now_us))
 
     def status(self, ticket: int, now_us: int) -> list[Effect]:
-        """Report what the registers hold."""
+        """Report the contents of the registers."""
         return self._start(OperatorRequest(ticket, "status", now_us))
 
     def tick(self, now_us: int) -> list[Effect]:
@@ -127,7 +127,7 @@
     def _decide_write(
         self, request: OperatorRequest, state: State, want: Wanted | None
     ) -> str | tuple[str, str, Plan | None, str]:
-        """What to write (word, name, plan) with the reply, or why it is refused."""
+        """What to write (word, name, plan) with the reply, or why the request is refused."""
         plan = want.plan if want is not None else None
         if request.command == "propose" and request.plan is not None:
             plan = request.plan
@@ -141,7 +141,7 @@
                 return "back", name_of(plan), plan, "written: the plan is not begun, unless it was already"
             return "go", name_of(plan), plan, "written: the plan is begun"
         if want is None or want.name != state.plan:
-            plan = None  # it was written over the plan that runs
+            plan = None  # the register contains another plan than the one that runs
         if request.command == "back":
             if state.phase == "contracting":
                 return "refused: a contract was begun, the way is forward only"
--- a/oatlink/fleet/versions/plan.py
+++ b/oatlink/fleet/versions/plan.py
@@ -1,11 +1,11 @@
 """What an operator proposes: the commands that take each shard from one version to the next, and what is refused.
 
-This module holds the form of a plan, its name (a hash), and every mistake that can be detected before anything runs. No
-I/O. A plan is stored in one register, so its text is limited by that (`MAX_VALUE_BYTES`): a change of layout that needs
-more commands is a script on the server, and the plan calls it.
+This module defines the form of a plan, its name (a hash), and every mistake that can be detected before anything runs.
+No I/O. A plan is stored in one register, so its text is limited by that (`MAX_VALUE_BYTES`): a change of layout that
+needs more commands is a script on the server, and the plan calls it.
 
-What cannot be checked and the author promises: each step run twice gives the same as run once; after `expand` both
-versions are served; `undo` takes back `expand`, also one that ran in part or not at all.
+What cannot be checked, and what the author therefore promises: each step run twice gives the same as run once; after
+`expand` both versions are served; `undo` reverses `expand`, also one that ran in part or not at all.
 """
 
 from collections.abc import Iterator
@@ -83,7 +83,7 @@
 
 
 def decode_wanted(value: bytes) -> Wanted | None:
-    """What the register holds, None if it is not valid."""
+    """The content of the register, None if it is not valid."""
     try:
         wanted = msgspec.json.decode(value, type=Wanted)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/oatlink/fleet/versions/register_cache.py
+++ b/oatlink/fleet/versions/register_cache.py
@@ -22,7 +22,7 @@
     reading: int = 0  # the number of the pending request, 0 without one
     changing: int = 0
     put_fence: int = -1  # the fence that the newest change was conditional on
-    uncertain_fence: int = -1  # the same of the newest change whose outcome is unknown
+    uncertain_fence: int = -1  # the same for the newest change whose outcome is unknown
     asked_us: int = 0  # when the later one of the two requests was sent
 
 
--- a/oatlink/fleet/versions/sequencer.py
+++ b/oatlink/fleet/versions/sequencer.py
@@ -1,15 +1,15 @@
 """The one node that carries out a change of layout, while it holds the lease `versions`. No I/O.
 
-This module holds the order intention -> act -> outcome, and the claim that precedes all of them. Which state follows
-which is in `moves`; what runs where in `bank_tasks`; which node may serve what in `ledger`.
+This module enforces the order intention -> act -> outcome, and the claim of the state that precedes all of them. Which
+state follows which is in `moves`; what runs where in `bank_tasks`; which node may serve what in `ledger`.
 
-Why two sequencers do no harm, however long one stood still:
+Why two sequencers do no harm, however long one was paused:
 
 - It acts only at a moment when its lease has not ended (`lease_until_us`, passed with each call), and a lease has one
   holder at a time. What it sent before the end may take effect at any time after.
 - A change of the state is conditional on the fence it was computed from, and a new holder changes the state (it writes
   its fence there) before it does anything else: from then on a late change of an earlier holder is refused. So what a
-  holder knows of the state is what the register holds, except for its own changes, until its lease ends.
+  holder knows of the state is the content of the register, except for its own changes, until its lease ends.
 - A step runs only once its intention was read back from the register, and carries its number (`marker`).
 - It grants only while it holds the lease (`adopt`). A grant may outlive the lease, so that the fleet continues to serve
   while there is no sequencer: the next one considers no version drained before all such grants have ended (`ledger`).
@@ -110,7 +110,7 @@
         return self.operators.back(ticket, now_us)
 
     def status(self, ticket: int, now_us: int) -> list[Effect]:
-        """Report what the registers hold."""
+        """Report the contents of the registers."""
         return self.operators.status(ticket, now_us)
 
     def tick(self, lease_until_us: int, now_us: int) -> list[Effect]:
@@ -126,7 +126,7 @@
         return self._act(lease_until_us, now_us)
 
     def ran(self, ask: int, how: str, history: str, offset: int, lease_until_us: int, now_us: int) -> list[Effect]:
-        """Handle the end of a `RunStep`: done, fenced, behind, failed or unknown; see there."""
+        """Handle the end of a `RunStep`; `how` is done, fenced, behind, failed or unknown, see there."""
         done = how == "done" and history != "" and offset >= 0
         task = self._tasks.ended(ask, done, how in ("fenced", "behind"), now_us)
         if task is not None and done:
@@ -163,7 +163,7 @@
         return [Tell(sender, answer)]
 
     def _claimed(self, lease_until_us: int, now_us: int) -> State | None:
-        """The state if it is known to be the register's: then its writer was the holder of this lease."""
+        """The state if it is known to be that of the register, which requires that it was written under this lease."""
         state = self._registers.state
         if not self._lease or now_us >= lease_until_us or state is None:
             return None
@@ -234,7 +234,7 @@
             self._note("plan refused", mistake)
             return state, []
         if self._registers.may_still_change:
-            # The start of the plan wanted before may still take effect, and would then run the copy of this one.
+            # The start of the plan wanted before may still take effect, and would then run the copy of this plan.
             # Writing the state first prevents that.
             return state, self._registers.write(state, now_us)
         copying = self._registers.copy(plan, msgspec.json.encode(plan, order="deterministic"), now_us)
--- a/oatlink/fleet/versions/state.py
+++ b/oatlink/fleet/versions/state.py
@@ -1,8 +1,8 @@
 """The contents of the register `versions/state`, and how reports of a shard's marker change them. No I/O, no decisions.
 
-This module holds the form of what was decided, and questions that it answers by itself. Which state follows which is in
-`moves`. A shard has a short chain of steps: those that took it to the version served, and those of the change in
-progress. A step is in the chain from the moment it is *intended*: nothing runs that is not in the register.
+This module defines the form of what was decided, and answers questions that need nothing else. Which state follows
+which is in `moves`. A shard has a short chain of steps: those that took it to the version served, and those of the
+change in progress. A step is in the chain from the moment it is *intended*: only steps in the register are run.
 
 A marker, once known, stays correct: a member that has reached that offset of that history has the step. A step is
 *lost* if the present primary does not show it: it is run again with the same number, and so are those after it.
--- a/oatlink/fleet/versions/version_registers.py
+++ b/oatlink/fleet/versions/version_registers.py
@@ -83,7 +83,7 @@
         return self._cache.put(STATE, states.encode(state), now_us)
 
     def copy(self, plan: Plan, text: bytes, now_us: int) -> list[Effect] | None:
-        """Copy a plan to the register from which it runs. None once this holder has done so, with this very text.
+        """Copy a plan to the register from which it runs. None once this holder has copied exactly this text.
 
         Each holder copies anew. Otherwise an earlier holder's copy of another plan could arrive late and replace this
         one: that copy is conditional on a fence, so a copy made now prevents it and one that is there already does not.
@@ -94,7 +94,7 @@
         return [] if self._cache.is_changing(key) else self._cache.put(key, text, now_us)
 
     def plan(self, version: int) -> Plan | None:
-        """The plan that leads to this version, as it was begun; None if it is not known, or no longer."""
+        """The plan that leads to this version, as it was begun; None if it is not known, or not known any more."""
         key = RUNS[version % 2]
         value = self._cache.value(key)
         if key not in self._plans or self._plans[key][0] != value:
@@ -107,7 +107,7 @@
         return plan if version <= self.state.old or name_of(plan) == self.state.plan else None
 
     def is_missing(self, version: int) -> bool:
-        """Whether the plan that leads to this version was read and is not there."""
+        """Whether the register of the plan that leads to this version was read and does not contain it."""
         return self.plan(version) is None and self._cache.fence(RUNS[version % 2]) >= 0
 
     def commands(self, bank: str, step: Step) -> Commands | None:
