--- a/oatlink/audit/__init__.py
+++ b/oatlink/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Checks what a run promised from the bytes on the sockets alone; must not import `oatlink.core`."""
+"""Checks a run's guarantees from the bytes on the sockets alone; must not import `oatlink.core`."""
--- a/oatlink/audit/capture.py
+++ b/oatlink/audit/capture.py
@@ -1,8 +1,8 @@
 """Recorded traffic with times, and the external events that the checkers need to know. No I/O.
 
 A capture identifies bytes by place (a client or a box), connection at that place, and direction as seen from the
-place. Events are what was done to the system at a time: a box was started, the roster announced a drain, a gateway
-was killed.
+place. An event records what was done to the system and when: a box was started, the roster announced a drain, a
+gateway was killed.
 """
 
 from collections import defaultdict
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """Bytes at a time; `out` means that the place itself wrote them."""
+    """Bytes and the time at which they were recorded; `out` means that the place itself wrote them."""
 
     at_us: int
     out: bool
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """What was done to a box or a gateway.
+    """An action on a box or a gateway.
 
     `what` is started, stopped, draining, ready or gone for a box, and killed, ending, halted or resumed for a gateway.
     """
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A command that changed a box's data, at a primary or from its log; FLUSHALL: all data were dropped."""
+    """A command that changed a box's data, at a primary or from its log. FLUSHALL means that all data were dropped."""
 
     at_us: int
     box: str
--- a/oatlink/audit/evidence.py
+++ b/oatlink/audit/evidence.py
@@ -1,9 +1,9 @@
 """What a scenario's faults at boxes cost, and how soon each gateway noticed them. No I/O.
 
 The figures come from captures and from what operators observed. Two runs with the same faults, with and without
-health reports between gateways, are compared by them. At the boxes these are counted: *checks* (INFO that reached a
-box) and *failed attempts* (data commands that got no answer, or an error). An attempt at an address that accepts no
-connection leaves no trace at a box and is in neither count.
+health reports between gateways, are compared by these figures. Two counts are taken at the boxes: *checks* (INFO that
+reached a box) and *failed attempts* (data commands that got no answer, or an error). An attempt at an address that
+accepts no connection leaves no trace at a box and is in neither count.
 
 A gateway *notices* a fault when an operator first observes that it doubts the member, while the fault lasts. The
 delay of the other gateways is counted from the first one's observation, whichever gateway that is. A *healthy* member
@@ -28,7 +28,7 @@
 
     what: str
     members: tuple[str, ...]
-    banks: tuple[str, ...]  # those whose primary has the fault
+    banks: tuple[str, ...]  # the banks whose primary has the fault
     from_us: int
     to_us: int
 
@@ -110,7 +110,7 @@
                     result.failed_at_faulty += is_faulty
 
     def _detection(self, fault: InjectedFault) -> Detection:
-        """When each gateway first took one of the fault's members for less than well."""
+        """When each gateway first rated one of the fault's members worse than `well`."""
         noticed_us: dict[str, int] = {}
         before: dict[tuple[str, str], str] = defaultdict(lambda: "well")
         times = [each[0] for each in self._observations]
--- a/oatlink/audit/invariants.py
+++ b/oatlink/audit/invariants.py
@@ -11,11 +11,11 @@
 - No effect twice: no token is in the data twice, and no token of a refused request is there at all.
 - Drains: no data command reaches a box later than the grace period after the roster announced its drain.
 - Cold: in no window of `cold_window_us` does the work sent to a box that warms up exceed `cold_load_factor` times
-  its ability.
+  its capacity.
 - Stale: no read misses a post that it must see. A current read must see all posts acknowledged before it was sent; a
-  bounded read all acknowledged `staleness_us` before it was sent to the box; a session's read all of the session's
-  own, also those that were never acknowledged, where a box had applied them before the read was sent and they were
-  not lost since.
+  bounded read must see all posts acknowledged `staleness_us` before it was sent to the box. A session's read must see
+  all posts of its session, also those that were never acknowledged, where a box had applied them before the read was
+  sent and they were not lost since.
 
 A post that was acknowledged and is not in the data at the end is reported as lost, beside these rules.
 """
@@ -36,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What the run promises its clients, and what its boxes can do."""
+    """The guarantees that the run gives its clients, and the capacity of its boxes."""
 
     # By the second part of the client's place: freshness, deadline in us, staleness in us.
     classes: dict[str, tuple[str, int, int]]
     post_deadline_us: int = 3_000_000
     slack_us: int = 100_000
-    harness_delay_us: int = 0  # how late the recording may have run: times are not known more exactly than that
+    harness_delay_us: int = 0  # how late the recording may have run; times are no more exact than this
     drain_grace_us: int = 2_000_000
     cold_window_us: int = 2_000_000
     cold_load_factor: float = 4.0
@@ -192,7 +192,7 @@
                 try:
                     entry_id = _parse_id(call.reply[call.reply.index(b"\r\n") + 2 : -2]) if how == "served" else None
                 except ValueError:
-                    # An unexpected reply before it has shifted the replies: this one belongs to another command.
+                    # An unexpected reply before it has shifted all replies, so this one belongs to another command.
                     result.violations["one_answer"].append(f"{place}: {call.args!r:.80} got {call.reply[:40]!r}")
                     continue
                 self._posts.append(
@@ -362,7 +362,7 @@
 
 
 def _highest_before(highest: tuple[list[int], list[StreamId]] | None, limit_us: int) -> tuple[StreamId, int]:
-    """The highest id acknowledged before a time, and when."""
+    """The highest id acknowledged before a time, and when it was acknowledged."""
     if highest is None:
         return (0, 0), 0
     times, ids = highest
--- a/oatlink/audit/quota.py
+++ b/oatlink/audit/quota.py
@@ -9,7 +9,7 @@
   be above 0.
 - `-EXECABORT`: nothing of it was admitted.
 - Any other answer, an error included: admitted, at a moment between the request and the answer.
-- None: unknown; it does not count.
+- No answer: unknown; the command does not count.
 
 Checked for each tenant: **never over** in any window (`audit.windows`); **used**: at least 0.9 of the rate while all
 links are up; **floor**: a gateway that is cut off refuses nothing while its part of the floor surely has capacity;
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTerms:
-    """What the run promises: allowances by tenant, and how long recovery may take."""
+    """The guarantees of the run: allowances by tenant, and how long recovery may take."""
 
     tenants: dict[str, Allowance]
     nodes: int
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class TenantResult:
-    """The figures of one tenant. Shares are of the rate, where nothing else is said."""
+    """The figures of one tenant. Shares are shares of the rate unless a comment says otherwise."""
 
     asked: int = 0
     admitted: int = 0
@@ -199,7 +199,7 @@
     def _stranded_floor_share(self, allowance: Allowance, span: Span, in_span: list[RequestOutcome]) -> float:
         """The share of the rate that stayed unused as floors at gateways with too little demand.
 
-        Counted by second: what a gateway that refused nothing in a second admitted less than its floor.
+        For each second and each gateway that refused nothing in it, the part of its floor that it did not admit counts.
         """
         floor = allowance.rate * allowance.floor / self._terms.nodes
         seconds = (span.to_us - span.from_us) // SLICE_US
@@ -223,11 +223,11 @@
     def _check_recovery(
         self, name: str, allowance: Allowance, tenant: TenantResult, outcomes: list[RequestOutcome]
     ) -> None:
-        """Measure how long after each heal the first second with full use begins."""
+        """Measure how long after all links are up again the first second with full use begins."""
         times = [each.answered_us for each in outcomes]
         for healed_us, until_us in self._terms.heals:
             if until_us < healed_us + self._terms.recovery_us + SLICE_US:
-                continue  # the next fault came too early to tell
+                continue  # the next fault came too early to measure the recovery
             at_us = healed_us
             while at_us + SLICE_US <= until_us:
                 in_slice = outcomes[bisect_left(times, at_us) : bisect_left(times, at_us + SLICE_US)]
@@ -244,9 +244,10 @@
 
 
 def refused_despite_capacity(outcomes: list[RequestOutcome], rate: float, burst: float, from_us: int) -> int:
-    """How many were refused while a bucket, empty at the start and filled at `rate`, surely had enough for them.
+    """How many requests were refused while a bucket, empty at first and filled at `rate`, surely had enough for them.
 
-    What may have been admitted before a refusal is taken from the bucket first; its level never falls below zero.
+    Requests that may have been admitted before a refusal are taken from the bucket first. Its level never falls below
+    zero.
     """
     level, filled_us, wrong = 0.0, from_us, 0
     order = [
@@ -264,7 +265,7 @@
 
 
 def request_outcomes(calls: Iterable[Call], gateway: str) -> list[RequestOutcome]:
-    """Those calls of one connection that count for a quota, and how each ended."""
+    """The calls of one connection that count for a quota, and how each ended."""
     outcomes: list[RequestOutcome] = []
     queued: list[Call] | None = None
     for call in calls:
--- a/oatlink/audit/stops.py
+++ b/oatlink/audit/stops.py
@@ -2,8 +2,8 @@
 
 The events of the capture say what was done to a gateway:
 
-- Killed: the process answers nothing more. Requests that it had and was not yet late with are lost with it; no other
-  request is excused.
+- Killed: the process answers nothing more. Requests that it had, and whose answers were not yet late, are lost with
+  it; no other request is excused.
 - Asked to end: the process owes an answer to every request that had arrived before. A later request may find no
   process.
 - Halted: the process owes its answers later, by the time for which it was halted.
@@ -17,7 +17,7 @@
 
 
 class GatewayStops:
-    """Tells for each client connection what the stops of its gateway excuse."""
+    """Determines which missing or late answers on a client connection its gateway's stops excuse."""
 
     def __init__(self, capture: Capture, slack_us: int, ended_us: int) -> None:
         """`slack_us`: how much later than its event an end may take effect; `ended_us`: the end of the record."""
@@ -46,7 +46,7 @@
         return due_us
 
     def is_lost(self, place: str, connection: int, sent_us: int, due_us: int) -> bool:
-        """Whether an answer that never came was lost with its gateway, which was not yet late with it."""
+        """Whether an answer that never came was lost because its gateway stopped before the answer was late."""
         opened_us = self._opened(place, connection) - self._slack_us
         gateway = self._gateway(place, connection)
         # An earlier process of the same name, or an end long after the answer was due, must not excuse a missing
--- a/oatlink/audit/versions.py
+++ b/oatlink/audit/versions.py
@@ -6,7 +6,7 @@
 applied each of these.
 
 - Expanded: a command of layout N reaches only a box that has applied the expand of N by then (the first layout is
-  there from the start). A box that drops its data to synchronise anew with its primary drops its steps too.
+  there from the start). A box that drops its data for a full resynchronisation with its primary drops its steps too.
 - Not contracted: a command of layout N reaches no box that has applied a step that removes N (the contract of N + 1,
   or the undo of N), and none that applies one before the command is answered.
 - Two at most: no command of layout N reaches any box after a command of layout N + 2 has reached one.
--- a/oatlink/lab/fleetsim/banks.py
+++ b/oatlink/lab/fleetsim/banks.py
@@ -209,7 +209,7 @@
     # ---- Checks ----
 
     def gate_notified(self, process: "Process", news: Served) -> None:
-        """Check the served versions of all gateways after a gate has received what it may serve."""
+        """Check the served versions of all gateways after a gate was notified of the versions that it may serve."""
         now, versions = self._world.time.now, {}
         for machine in self._world.machines.values():
             for other in machine.processes:
--- a/oatlink/lab/fleetsim/disk.py
+++ b/oatlink/lab/fleetsim/disk.py
@@ -46,7 +46,7 @@
     def __init__(self, draw: Random) -> None:
         self._draw = draw
         self.file = File()
-        self.previous_file: File | None = None  # the file that was lost last
+        self.previous_file: File | None = None  # the file that was lost most recently
         self.slow_until_us = 0
         self.full = False
 
--- a/oatlink/lab/fleetsim/limits_checker.py
+++ b/oatlink/lab/fleetsim/limits_checker.py
@@ -26,8 +26,8 @@
 
     def __init__(self, world: "World") -> None:
         self._world = world
-        self._ends: dict[str, dict[Process, int]] = {}  # key: holders and the true ends of their leases
-        self._newest: dict[str, tuple[int, Process | None]] = {}  # key: highest fence and its holder
+        self._ends: dict[str, dict[Process, int]] = {}  # by key: holders and the true ends of their leases
+        self._newest: dict[str, tuple[int, Process | None]] = {}  # by key: highest fence and its holder
         self.holdings = 0
 
     def node_called(self, process: "Process") -> None:
@@ -85,10 +85,10 @@
             )
             for name, rule in self._rules.items()
         }
-        self._live: dict[str, dict[Process, tuple[int, int, int]]] = {}  # name: true end, rate and burst of grants
-        self._windows: dict[str, tuple[float, int]] = {}  # tenant: level of its bucket, and when it was counted
+        self._live: dict[str, dict[Process, tuple[int, int, int]]] = {}  # by name: true end, rate and burst of grants
+        self._windows: dict[str, tuple[float, int]] = {}  # by tenant: level of its bucket, and when it was counted
         self._drift = drift
-        self.nearest: dict[str, float] = {}  # tenant: its fullest window as a fraction of the burst
+        self.nearest: dict[str, float] = {}  # by tenant: its fullest window as a fraction of the burst
 
     def gate_notified(self, process: "Process", news: Granted) -> None:
         """Check the sum of the live grants after a gate has received a grant."""
--- a/oatlink/lab/fleetsim/links.py
+++ b/oatlink/lab/fleetsim/links.py
@@ -20,7 +20,7 @@
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._draws: dict[str, Random] = {}
-        self.cuts: dict[tuple[str, str], int] = {}  # (sender, receiver): end
+        self.cuts: dict[tuple[str, str], int] = {}  # by sender and receiver: when the cut ends
         self.slow: dict[tuple[str, str], int] = {}
         self.noise: tuple[int, float, float] = (0, 0.0, 0.0)  # end, fraction lost, fraction duplicated
         # Fraction of the frames that take up to `MAX_JITTER_US`; a tenth of this fraction is lost.
--- a/oatlink/lab/fleetsim/load.py
+++ b/oatlink/lab/fleetsim/load.py
@@ -39,7 +39,7 @@
         self._clients: dict[str, dict[str, TenantClients]] = {name: {} for name in world.names}
         self._is_scheduled: dict[str, bool] = {}
         self.admitted = self.refused = 0
-        self._admitted_by_second: dict[str, dict[int, int]] = {}  # tenant: second: admitted requests
+        self._admitted_by_second: dict[str, dict[int, int]] = {}  # by tenant and second: admitted requests
 
     def set(self, node: str, tenant: str, rate: int, mode: str) -> None:
         """Set the request rate and the retry mode of a tenant's clients at a node from now on."""
--- a/oatlink/lab/fleetsim/members.py
+++ b/oatlink/lab/fleetsim/members.py
@@ -9,7 +9,7 @@
 from oatlink.fleet.versions import marker
 from oatlink.fleet.versions.compatible import Place
 
-# exec or seal, step number, version, kind of step, whether all commands of the step succeeded
+# "exec" or "seal", step number, version, kind of step, whether all commands of the step succeeded
 Operation = tuple[str, int, int, str, bool]
 
 
@@ -62,7 +62,7 @@
         self.primary = self.members[0]
         self.primary.is_primary = True
         self.failovers = 0
-        self.frozen: dict[str, int] = {}  # member: end of the fault
+        self.frozen: dict[str, int] = {}  # by member: end of the fault
 
     def fail_over(self, size: int) -> None:
         """Promote another member. The old primary still takes writes of its own until it copies the new one."""
--- a/oatlink/lab/fleetsim/play.py
+++ b/oatlink/lab/fleetsim/play.py
@@ -1,6 +1,6 @@
 """Runs a scenario with a seed and a schedule of faults, and shrinks schedules that fail.
 
-A `Failure` holds everything that `replay` needs to run it again.
+A `Failure` has everything that `replay` needs to run it again.
 """
 
 from typing import Any
--- a/oatlink/lab/fleetsim/probes.py
+++ b/oatlink/lab/fleetsim/probes.py
@@ -1,6 +1,6 @@
-"""Probes: a proposer of its own at each gateway that reads registers, and changes registers that only probes use.
+"""Probes: a separate proposer at each gateway, which reads registers and changes registers that only probes use.
 
-The module decides when which probe requests what; `registers_checker` checks the answers.
+The module decides when each probe sends which request; `registers_checker` checks the answers.
 """
 
 from random import Random
--- a/oatlink/lab/fleetsim/verdicts_checker.py
+++ b/oatlink/lab/fleetsim/verdicts_checker.py
@@ -1,8 +1,9 @@
 """Checks during the run that verdicts about members stay within their limits.
 
-- A verdict is one of the three acts. A member is put later for at most `LATER_US`, never if it served this process
-  within `SERVED_PRIORITY_US`, and never if that would put half of its bank later.
-- A member is put later only if two other gateways really observed a failure of it lately. A reported position is one
+- A verdict is one of the three acts in `ACTS`. The act `later`, by which a gateway uses a member after the others of
+  its bank, lasts for at most `LATER_US`. It never applies to a member that served this process within
+  `SERVED_PRIORITY_US`, and never to so many members that half of a bank would be used later.
+- A member is used later only if two other gateways really observed a failure of it lately. A reported position is one
   that the member really reached.
 - Evidence spreads within its time bound. This is counted and not checked here, because gossip picks peers at random.
 """
@@ -37,7 +38,8 @@
         """Note what a process observes of a member."""
         if kind in FAILURE_KINDS:
             self._last_failures[process.name, member] = self._world.time.now
-            self._last_served.pop((process, member), None)  # the process's own newer observation outweighs the service
+            # The process's own newer observation of a failure outweighs that the member served it before.
+            self._last_served.pop((process, member), None)
         elif kind == "served":
             self._last_served[process, member] = process.clock()
             self._later_until.get(process, {}).pop(member, None)
--- a/oatlink/lab/fleetsim/world.py
+++ b/oatlink/lab/fleetsim/world.py
@@ -40,7 +40,7 @@
         self.disk = Disk(draw)
         self.process: Process | None = None
         self.duplicates: list[Process] = []
-        self.has_outdated_file = False  # its file is from before an earlier loss
+        self.has_outdated_file = False  # its file is the one from before an earlier loss
         self.sent = self.bytes = self.received = 0
 
     @property
--- a/oatlink/standins/bank.py
+++ b/oatlink/standins/bank.py
@@ -1,4 +1,4 @@
-"""A bank of stand-ins: one primary, its replicas, and the failover that the servers' own monitors would do."""
+"""A bank of stand-in servers: a primary, its replicas, and the failover that the servers' own monitors would do."""
 
 import asyncio
 import random
@@ -97,7 +97,7 @@
         return chosen
 
     async def hand_over(self, limit_s: float = 2.0) -> Box | None:
-        """A planned failover (FAILOVER): the primary accepts no more writes, a replica catches up and takes over.
+        """Do a planned failover (FAILOVER): the primary accepts no more writes, a replica catches up and takes over.
 
         Returns the new primary, or None where no replica could take over.
         """
@@ -110,7 +110,7 @@
             if not candidates:
                 return None
             chosen = max(candidates, key=lambda box: box.offset)
-            old.primary = chosen  # refuses writes from now on, and still replicates what it has
+            old.primary = chosen  # it refuses writes from now on, and still sends its replicas what they lack
             async with asyncio.timeout(limit_s):
                 while chosen.offset < old.offset:
                     await asyncio.sleep(0.005)
--- a/oatlink/standins/box.py
+++ b/oatlink/standins/box.py
@@ -1,11 +1,11 @@
 """A stand-in for one database box: RESP, a command log with replication offsets, replication, and faults on demand.
 
-Made from the public specification: PSYNC, REPLCONF, ROLE, INFO, WAIT, REPLICAOF (redis.io: replication, and the
-commands' pages). Two things differ and are stated: a full resynchronisation sends the data as commands instead of
-an RDB file, and the window for repeats of `XADD ... IDMP` is set for the whole box, in milliseconds.
+It follows the public specification of PSYNC, REPLCONF, ROLE, INFO, WAIT and REPLICAOF (redis.io: replication, and the
+pages of the commands), except for two things: a full resynchronisation sends the data as commands instead of an RDB
+file, and the window for repeats of `XADD ... IDMP` is set for the whole box, in milliseconds.
 
 An offset is raised only after the command that it counts has been applied, so a box never reports an offset whose
-writes it does not have. Work, cores, warm-up, lag and every fault are set from outside.
+writes it does not have. Work, cores, warm-up, lag and every fault are set by the code that runs the box.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
     """Faults of a box; each may be changed while it runs."""
 
     lag_ms: float = 0.0  # a replica applies each command of the log this long after it arrived
-    hang: bool = False  # accepts connections and bytes, answers nothing
+    hang: bool = False  # the box accepts connections and bytes, and answers nothing
     slow: float = 1.0  # multiplies the work of each command
     cut_replies: int = 0  # this many next replies are cut in the middle, and their connections closed
     die_on_write: bool = False  # the next write is applied, not replicated and not answered; then the box stops
@@ -63,10 +63,11 @@
 class PathFaults:
     """Faults of one of a box's addresses, while its other addresses work."""
 
-    holds_replies: bool = False  # commands are executed, but replies are held until they are released
+    holds_replies: bool = False  # commands are executed, but replies wait until `release_replies`
     reads_nothing: bool = False  # connections are accepted, and nothing is read from them
     reply_delay_ms: float = 0.0  # each reply is sent this much later
-    # INFO and the handshake are answered; any other command is executed, and its connection sends nothing more.
+    # INFO and the handshake are answered. Any other command is executed without a reply, and the box sends nothing more
+    # on its connection.
     drops_data_replies: bool = False
     reset_requests: int = 0  # this many next commands reset their connection before they are executed
     reset_replies: int = 0  # this many next replies are cut in the middle, and their connections closed
@@ -74,13 +75,13 @@
 
 @dataclass(slots=True)
 class WorkProfile:
-    """What a command costs and what the box can do; commands without work are answered at once."""
+    """The work of each command and the capacity of the box; commands without work are answered at once."""
 
     read_us: int = 0
     write_us: int = 0
     cores: int = 4
-    cold_share: float = 1.0  # of its full speed, at its start
-    warm_s: float = 0.0  # from its start to full speed
+    cold_share: float = 1.0  # the share of its full speed that the box has when it starts
+    warm_s: float = 0.0  # seconds from its start to full speed
 
 
 @dataclass(slots=True)
@@ -97,7 +98,7 @@
     def __init__(self, number: int, stream: IOStream, path: str) -> None:
         self.number, self.stream, self.path = number, stream, path
         self.held_replies: list[bytes] = []
-        self.is_muted = False  # holds its replies for good, see `PathFaults.drops_data_replies`
+        self.is_muted = False  # it never sends another reply, see `PathFaults.drops_data_replies`
         self.protocol = 2
         self.queued: list[list[bytes]] | None = None  # the commands since MULTI
         self.has_queue_error = False
@@ -123,7 +124,7 @@
             self.start += dropped
 
     def since(self, offset: int) -> bytes | None:
-        """All bytes after an offset, or None where they are not kept."""
+        """All bytes after an offset, or None where they are no longer kept."""
         index = offset - self.start
         return bytes(self.data[index:]) if 0 <= index <= len(self.data) else None
 
@@ -159,8 +160,8 @@
         self.backlog = Backlog()
         self._connections: dict[int, Connection] = {}
         self._last_connection_number = 0
-        self.addresses: dict[str, str] = {}  # besides the first, by name, in the form of the settings
-        self.paths: dict[str, PathFaults] = {"": PathFaults()}  # by name of the address; the first one's is empty
+        self.addresses: dict[str, str] = {}  # all but the first, by name, in the form of the settings
+        self.paths: dict[str, PathFaults] = {"": PathFaults()}  # by name of the address; the first has the empty name
         self._listeners: dict[str, tuple[socket.socket, Callable[[], None]]] = {}
         self._follow_task: asyncio.Task[None] | None = None
         self._cores_free_at_s: list[float] = []
@@ -174,7 +175,7 @@
     # ---- Start and stop ----
 
     def start(self, port: int = 0) -> int:
-        """Listen on loopback; returns the port. The data are those of the last run."""
+        """Listen on loopback and return the port. The box starts with the data of its last run."""
         assert not self.running
         first = bind_sockets(port or self.port, "127.0.0.1", family=socket.AF_INET)[0]
         self.port = first.getsockname()[1]
@@ -231,7 +232,7 @@
             self._end(connection, reset=True)
 
     def release_replies(self, name: str) -> None:
-        """Send the replies that an address has held, and hold no more."""
+        """Send the replies that an address has delayed (`holds_replies`), and delay no more."""
         self.paths[name].holds_replies = False
         for connection in [each for each in self._connections.values() if each.path == name]:
             held_replies, connection.held_replies = connection.held_replies, []
@@ -243,7 +244,7 @@
         return self.work.cores * self._warmth() / read_s if read_s else float("inf")
 
     def _warmth(self) -> float:
-        """Its share of full speed."""
+        """The share of its full speed that the box has now."""
         if not self.work.warm_s:
             return 1.0
         age_s = time.monotonic() - self._started_s
@@ -422,7 +423,7 @@
         self._write(connection, f"+FULLRESYNC {self.replid} {self.offset}\r\n${len(payload)}\r\n".encode() + payload)
 
     async def _wait(self, connection: Connection, wanted: int, limit_ms: int) -> bytes:
-        """WAIT: how many replicas have acknowledged this connection's writes, waiting for that many."""
+        """Answer WAIT: wait until `wanted` replicas have acknowledged this connection's writes; return their count."""
         target = self.offset
         if self._count_acked(target) < wanted and any(each.follower for each in self._connections.values()):
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -594,7 +595,7 @@
     # ---- Commands ----
 
     def _execute(self, connection: Connection, args: list[bytes]) -> bytes | None:
-        """One command's reply; None where the box stopped instead of replying."""
+        """Execute a command; returns its reply, or None where the box stopped instead of replying."""
         name = args[0].lower()
         if connection.queued is not None and name not in (b"exec", b"discard", b"multi", b"reset", b"quit", b"watch"):
             if name not in READS and name in self.store.handlers and not self.is_primary:
@@ -617,7 +618,7 @@
         self.executed += 1
         self._report_changes(replicated)
         if replicated and self.faults.die_on_write:
-            # Applied and counted, never replicated: no other box has these writes.
+            # These writes were applied and counted but are never replicated, so no other box has them.
             self.faults.die_on_write = False
             for change in replicated:
                 data = encode_command(change)
--- a/oatlink/standins/store.py
+++ b/oatlink/standins/store.py
@@ -19,7 +19,7 @@
 
 
 class CommandError(Exception):
-    """An error that a command replies with."""
+    """An error that is the reply to a command."""
 
     def __init__(self, value: Error) -> None:
         self.value = value
@@ -128,7 +128,7 @@
         self.change_counts[key] = self.change_counts.get(key, 0) + 1
 
     def _get(self, key: bytes, kind: type | tuple[type, ...]) -> Data | None:
-        """A key's value of one type. Raises `CommandError` where it is of another."""
+        """The value of a key, which must be of this type. Raises `CommandError` where it is of another one."""
         value = self._live(key)
         if value is not None and not isinstance(value, kind):
             raise CommandError(WRONG_TYPE)
@@ -137,7 +137,7 @@
         return value
 
     def _live(self, key: bytes) -> Data | None:
-        """A key's value of any type, unless it has expired."""
+        """The value of a key, of any type, unless it has expired."""
         expires_ms = self.expires_ms.get(key)
         if expires_ms is not None and expires_ms <= self.now_ms:
             return None
@@ -665,6 +665,6 @@
 
 
 def _clamp_range(low: int, high: int, size: int) -> tuple[int, int]:
-    """Both ends of a range as the specification counts them: negative from the end, limited to what exists."""
+    """Convert both ends of a range as the specification does: negative from the end, limited to what exists."""
     low = max(0, low + size if low < 0 else low)
     return low, min(size - 1, high + size if high < 0 else high)
