--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -79,7 +79,7 @@
 
     def __init__(self, address: Any, small: bool = False) -> None:
         self.sock, self.data = socket.socket(), bytearray()
-        if small:  # the kernel buffers only a few thousand bytes for it
+        if small:  # the kernel buffers only a few thousand bytes for this peer
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         self.sock.connect(address)
         self.sock.setblocking(False)
@@ -193,7 +193,7 @@
         await self.until(lambda: client.closed)
 
     async def until_submitted(self, count: int) -> None:
-        """Wait until so many queries were submitted."""
+        """Wait until `count` queries were submitted."""
         await self.until(lambda: len(self.handler.submitted) >= count)
 
     async def sweep_periodically(self) -> None:
@@ -207,7 +207,7 @@
 async def listener_world(
     max_descriptors: int = 64, small: bool = False, sweeping: bool = False
 ) -> AsyncIterator[ListenerWorld]:
-    """A listener with so many descriptors; at its end no task may have failed. `small`: small kernel buffers."""
+    """A listener with at most `max_descriptors`; no task may have failed at its end. `small`: small kernel buffers."""
     world = ListenerWorld(max_descriptors, small)
     world.clients.listen()
     sweeps = asyncio.ensure_future(world.sweep_periodically()) if sweeping else None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,8 @@
 hypothesis.settings.register_profile("steady", deadline=None, derandomize=True)
 hypothesis.settings.load_profile("steady")
 
-# Tests that run processes and sockets in real time: one after the other, in parallel with tests that only compute.
+# Tests that run processes and sockets in real time. They run one after the other, in parallel with tests that only
+# compute.
 PROCESS_TEST_MODULES = frozenset(
     f"tests.{name}"
     for name in (
@@ -37,7 +38,7 @@
     )
 )
 
-# Tests that run whole fleets of gateways: also one after the other.
+# Tests that run whole fleets of gateways. They also run one after the other.
 FLEET_TEST_MODULES = frozenset(
     f"tests.fleet.{name}" for name in ("test_days", "test_life", "test_life_guards", "test_transport")
 )
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -57,7 +57,7 @@
 
 
 def record_inputs(gateway: Gateway, kind: type[Input]) -> list[Input]:
-    """A list to which every input of a kind is added that the gateway is fed from now on."""
+    """Return a list that collects every input of one kind that the gateway is fed from now on."""
     inputs, feed = list[Input](), gateway.feed
 
     def feed_and_record(given: m.AnyInput) -> None:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -89,7 +89,7 @@
 
 
 def no_stale_read() -> None:
-    """Takes every replica for up to date."""
+    """Treats every replica as up to date."""
     Positions.time_of = lambda self, replid, offset: self.newest_us()  # type: ignore[method-assign]
 
 
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -24,7 +24,7 @@
     sent_us: int
     settled_us: int
     committed_us: int | None = None
-    is_void: bool = False  # has not run and never will
+    is_void: bool = False  # the write has not run and never will
 
 
 @dataclass(slots=True)
@@ -132,7 +132,7 @@
         write.committed_us = self.driver.now
 
     def end(self, attempt: OpenAttempt, outcome: Outcome, *, over: bool = False, with_position: bool = True) -> None:
-        """An attempt ends. A served write was committed; one that did not run never will be."""
+        """An attempt ends. A served write was committed; a write that did not run never will be."""
         self.open.remove(attempt)
         write = attempt.write
         answer = None
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Paths to a box: their order, when one is left and used again, and what a lost request proves about the box."""
+"""Paths to a box: their order, when a path is left and used again, and what a lost request proves about the box."""
 
 import random
 
@@ -127,7 +127,7 @@
         for _ in range(index + 1):
             paths.record_failure(index, "refused", 0)
     race = paths.new_race(1)
-    assert race.queue == [IPV4]  # it has failed once, the others more often
+    assert race.queue == [IPV4]  # IPV4 has failed once, the others more often
 
 
 @given(st.integers(0, 1000), st.integers(1, 40))
@@ -146,7 +146,7 @@
     assert not paths.is_path_fault(0, "reset", 2_000, 9_000)  # nothing is known about the other path
     mark_good(paths, 5_000, IPV4)
     assert paths.is_path_fault(0, "reset", 2_000, 9_000) and not paths.is_path_fault(0, "late", 2_000, 9_000)
-    # An old answer does not show that the box is alive, nor does one on a path that has failed since.
+    # An old answer does not show that the box is alive, nor does an answer on a path that has failed since.
     assert not paths.is_path_fault(0, "reset", 3_000_000, 3_000_001)
     paths.record_unanswered(0, "reset", 2_000, 9_000)
     assert paths.paths[0].state is State.SUSPECT and current_address(paths, 9_001) == IPV4
@@ -160,7 +160,7 @@
     assert first_us == 1_000 + MIN_SILENCE_US
     probed, is_silent, second_us = paths.check_silence(0, first_us)
     assert probed == [0, 1] and not is_silent
-    # Only the other path answers, so this path is at fault.
+    # Only the other path answers, so the fault is in this path.
     mark_good(paths, first_us + 500, IPV4)
     probed, is_silent, third_us = paths.check_silence(0, second_us)
     assert not is_silent and not probed and third_us == second_us + SILENCE_CONFIRM_US
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -36,7 +36,8 @@
     rig.give(m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 0, own_us))
     assert len(rig.sent) == sent_before + (not is_late)
     assert first_words(rig.text()) == ([b"-TRYAGAIN"] if is_late else [])
-    # Time spent in a pipeline is not lateness of the process: past its aim the command is accepted, nobody is paused.
+    # Time that a command waited in its client's pipeline does not count as lateness of the process. So a command past
+    # its aim is still accepted, and no client is paused.
     rig.give(m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 0, 1_000_000))
     assert len(rig.engine.sessions[2].requests) == 1 and not rig.paused and not rig.engine.counts.get("shed")
 
@@ -48,7 +49,8 @@
 async def test_what_waits_behind_a_full_pipeline_is_given_up_in_its_own_time(site: World) -> None:
     """Guards against deadlines that count from the wrong moment.
 
-    A client may have two commands open here. The deadline of each further two was counted from the answer before them.
+    A client may have two commands open here. The deadlines of the next two commands were counted from the answer
+    before them, and so on for each further pair.
     """
     site.box.may_answer.clear()
     client = await site.wire()
@@ -72,5 +74,5 @@
     received_us = connection.stream.arrived_after_us
     for _ in range(3):
         await client.reply()
-    # It used to count as received only when the client's earlier commands had ended.
+    # A former fault: the command counted as received only when the client's earlier commands had ended.
     assert commands[2].own_us > 0 and site.gateway._now_us - commands[2].own_us >= received_us
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -67,7 +67,7 @@
 async def test_a_request_between_idle_check_and_drain_is_answered_and_its_connection_ends(
     world: ListenerWorld, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Such a connection was counted as ending, where no sweep looked at it, and refused every further request."""
+    """Such a connection counted as ending, so no sweep checked it any more, and it refused every further request."""
     monkeypatch.setattr(listener, "MIN_IDLE_US", 0)
     for number in range(13):  # one below the limit; each of these has an open query
         (await world.start_client())[0].send(query(b"q%d" % number))
@@ -101,8 +101,8 @@
     await world.until_submitted(14)
     peer = world.connect(STARTUP + query(b"one too many"), query(b"and more"))
     assert await peer.answers() == [REFUSED]
-    silent = [world.connect(STARTUP) for _ in range(60)]  # they never close their side
-    for silent_peer in silent[:-2]:  # the oldest may be reset, since they hold descriptors
+    silent = [world.connect(STARTUP) for _ in range(60)]  # these peers never close their side
+    for silent_peer in silent[:-2]:  # the oldest may be reset, because they occupy descriptors
         with contextlib.suppress(ConnectionError):
             assert await silent_peer.answers() in ([REFUSED], [])
         assert world.clients.open_count <= 16
@@ -212,7 +212,7 @@
     monkeypatch.setattr(connection, "TRANSFER_TIMEOUT_US", 0)
     await world.until(lambda: client.closed, sweeps=True)
     assert world.handler.submitted == [b"a"] and not world.clients.open_count
-    with pytest.raises((ConnectionError, EOFError)):  # truncated, and recognisable as such
+    with pytest.raises((ConnectionError, EOFError)):  # the answer is truncated, and the client can tell
         await peer.answer()
 
 
@@ -247,9 +247,9 @@
 ) -> None:
     monkeypatch.setattr(ending, "LINGER_S", 0.5)
     peer, client = await unread(world)
-    world.clients.stop()  # starts the time limit to take the answer
+    world.clients.stop()  # starts the time limit for taking the answer
     assert await peer.answers() == ["value of a"]
-    await world.until(lambda: client.closed)  # the time limit to close its side begins afterwards, with a new timer
+    await world.until(lambda: client.closed)  # the limit for closing its side begins afterwards, with a new timer
     assert not world.clients.open_count
 
 
@@ -259,7 +259,7 @@
 )
 @scene(listener_world, small=True)
 async def test_a_client_that_goes_while_its_answer_is_written(world: ListenerWorld, how: str, behind: bytes) -> None:
-    """With more input behind its query than is read, reading stops, and only the write notices that it has gone."""
+    """If much input is behind the query, the gateway stops reading, and only the write notices the disconnect."""
     world.handler.answer_bytes = BIG_ANSWER_BYTES
     peer, client = await world.start_client()
     peer.send(query(b"a"))
@@ -284,13 +284,13 @@
     active, _ = await world.start_client()
     active.send(query(b"before"))
     assert await active.answer() == "value of before"
-    slow = [world.connect(STARTUP[: number % 4]) for number in range(300)]  # no byte, or a few, and then silence
+    slow = [world.connect(STARTUP[: number % 4]) for number in range(300)]  # up to three bytes, then nothing more
     await world.until(lambda: len(world.clients.active) > 50)
     for number in range(50):
         active.send(query(b"k%d" % number))
         assert await active.answer() == f"value of k{number}"
         for slow_peer in slow[number::50]:
-            with contextlib.suppress(OSError):  # it was closed
+            with contextlib.suppress(OSError):  # the gateway has closed it
                 slow_peer.send(STARTUP[4:5])
         assert world.clients.open_count <= 64
     while await (fresh := world.connect(STARTUP)).answer() != "":
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class TimePassed:
-    us: int  # after which the deadline is checked
+    us: int  # the time after which the deadline is checked
 
 
 @dataclass(frozen=True)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -20,10 +20,11 @@
 from tests.conftest import POST, SETTINGS, START_US, VIEW, member
 
 GROUPS, MEMBERS = 2, 5
-# Requests of mean work that a warm server with four cores serves; 1.5 times as many in the scenario "takes over".
+# Requests of mean work per second that a warm server with four cores serves; 1.5 times as many in the scenario
+# "takes over".
 CAPACITY_PER_S = 30.0
 WORK = {"view": 0.88, "post": 1.68}  # relative to the mean, with 15% posts
-MAX_OPEN_COUNT = 54  # requests in work or queued at a server; it refuses more
+MAX_OPEN_COUNT = 54  # requests executed or queued at a server; it refuses any further one
 READY = api.Listing.READY
 OLD, COLD = 0, 1  # the primary of group 0, and the server that starts
 COLD_START_US = START_US + 12_000_000
@@ -189,7 +190,7 @@
         return self.settings.overload_factor * self.warmth(at_us) * self.capacity_per_s * self.settings.fall_us / 1e6
 
     def max_excess(self) -> float:
-        """The most work beyond N in a window, in square roots of N; a little over 2 the server falls over."""
+        """The most work beyond N in a window, in units of the square root of N; the server fails at a little over 2."""
         times = [at_us for at_us, _ in self.cold_work]
         sums = [0.0, *accumulate(work for _, work in self.cold_work)]
         max_excess = -9.0
--- a/tests/test_commit.py
+++ b/tests/test_commit.py
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize(("start_offset_us", "may_be_written"), [(-5_000, False), (-50_000, True), (10_000_000, True)])
 def test_not_to_a_server_that_has_restarted_since(driver: Driver, start_offset_us: int, may_be_written: bool) -> None:
-    """The server is cold now, so its admission starts anew. An earlier or future start time changes nothing."""
+    """A restarted server is cold and its admission starts again. An earlier or future start time changes nothing."""
     (send,) = sends(driver.arrive("post", expires=3_000_000))
     driver.now += 10_000
     driver.roster(member(send.member, started_us=driver.now + start_offset_us), kind=RosterKind.CHANGES)
@@ -128,7 +128,7 @@
 
 
 def test_a_cancelled_drain_is_forgotten_when_the_server_is_later_dropped_from_the_list() -> None:
-    """If only draining obliges a gateway to stop sending, a server that returned and is dropped later stays open."""
+    """With `dropped_stay_open`, a server dropped from the list stays in use unless it was draining just before."""
     driver = Driver(dropped_stay_open=True).ready()
     (before,) = sends(driver.arrive("post", expires=3_000_000))
     driver.ended(before, Outcome.SERVED)
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize(("mode", "within_us"), [("push", 700_000), ("ask", 6_000_000)])
 def test_a_pushed_list_is_asked_for_within_the_time_to_stop_sending(tmp_path: Path, mode: str, within_us: int) -> None:
-    """What the agent has counts as notified from a process's first moment, and as soon as discovery is back."""
+    """A list that the agent has counts as known to the gateway from its start on, and as soon as discovery is back."""
     obligations = {"AskWithinUs": 10_000_000, "StopSendingWithinUs": 700_000}
     loaded = load_config(tmp_path, OPTIONS | {"Discovery": mode, "PeersTotal": 200, "Obligations": obligations})
     assert (loaded.settings.must_ask_roster, loaded.settings.ask_within_us, loaded.watch_s) == (True, within_us, 2.5)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""Scenarios of `oatlink day` through real gateways, and its checker, which must find each sabotaged gateway."""
+"""Scenarios of `oatlink day` through real gateways, and its checker, which must find each mutated gateway."""
 
 import sys
 from pathlib import Path
@@ -45,7 +45,7 @@
     "cold_spared": Scenario(
         (Step(0.2, "crash", box="replica:0", back=0.02), Step(0.2, "crash", box="replica:1", back=0.02)),
         gateways=2,
-        rate=1600.0,  # at 1000 the sabotaged gateways exceed the limit by only one request in 224
+        rate=1600.0,  # at 1000 the mutated gateways exceed the limit by only one request in 224
         work_ms=25.0,
         members=3,
     ),
@@ -55,8 +55,8 @@
 
 @pytest.mark.parametrize("rule", sorted(SABOTAGE_SCENARIOS))
 def test_the_checker_finds_a_gateway_that_breaks(rule: str) -> None:
-    # The checker does not count a break that may come from delays of the harness itself, so a slow machine may hide
-    # one. The sabotage must be found in one of three runs; gateways without sabotage must pass in one run, above.
+    # The checker does not count a violation that may come from delays of the harness itself, so a slow machine may hide
+    # one. The mutation must be found in one of three runs; gateways without it must pass in one run, above.
     reports = []
     for seed in (3, 4, 5):
         seconds = 5 if rule == "cold_spared" else 4  # long enough to observe that a box fails under the load
--- a/tests/test_discovery_calls.py
+++ b/tests/test_discovery_calls.py
@@ -27,7 +27,7 @@
 async def test_a_list_without_a_length_ends_with_an_orderly_close_and_no_reset(
     script: Script, text: Callable[[bytes], bytes], turns: int | None, version: int
 ) -> None:
-    """After a reset, a list without a length may lack entries and still decode. One with a length always counts."""
+    """After a reset, a list without a length may lack entries and still decode. A list with a length always counts."""
     call = await script.fetch()
     call.writer.write(text(page(7, a="in_service")))
     for _ in range(turns or 0):  # by then the answer has most likely been read; if not, the result must be the same
--- a/tests/test_discovery_order.py
+++ b/tests/test_discovery_order.py
@@ -52,7 +52,7 @@
 
 @scene(Script)
 async def test_a_watch_that_failed_during_a_fetch_is_opened_again_by_its_news(script: Script) -> None:
-    """After news the Router does not ask for a watch again, so the client itself has to restart it."""
+    """After news the Router does not request a new watch, so the client itself has to restart it."""
     watch, fetch = await script.follow_and_fetch()
     watch.reset()
     assert await script.next_news() is None
@@ -156,9 +156,9 @@
 class Model:
     """A discovery that changes and is restored, calls whose answers come in any order, and what the gateway believes.
 
-    An entry's `cell` is the time at which it was written, its `zone` how often discovery had been restored by then.
-    Versions alone cannot show that discovery was restored and has changed as often since. So while the gateway has not
-    noticed a restore, discovery's version stays below the gateway's.
+    An entry's `cell` is the time at which it was written, and its `zone` is how often discovery had been restored until
+    then. Versions alone cannot show that discovery was restored and has changed as often since. So while the gateway
+    has not noticed a restore, discovery's version stays below the gateway's.
     """
 
     def __init__(self) -> None:
@@ -213,7 +213,7 @@
             self.belief[server.id] = (server.listing, max(server.group, written))
 
     async def settle(self) -> None:
-        """Let the loop run everything that follows from what has happened."""
+        """Let the event loop run all callbacks that are due."""
         for _ in range(12):
             await asyncio.sleep(0)
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -71,7 +71,7 @@
 class Rig:
     """An engine with a manual clock, boxes that answer probes, and a record of the engine's effects.
 
-    `says` has the report of each box, or of a box over one address; empty if it does not answer.
+    `says` has the report of each box, or of a box over one address. It is empty for a box that does not answer.
     """
 
     def __init__(self, settings: Settings = SETTINGS) -> None:
@@ -168,7 +168,7 @@
 
 
 def met(box: str, report: bytes, now_us: int) -> m.Dialled:
-    """A box's report over a connection that no link waits for any more."""
+    """A box's report over a new connection that no link waits for any more."""
     address = {"p": "127.0.0.1:1001", "r": "127.0.0.1:1002"}[box]
     return m.Dialled(box, 99, address, "reply", now_us, 300, report)
 
@@ -211,7 +211,7 @@
 
 def test_answers_leave_in_order_and_one_slot_keeps_its_order(rig: Rig) -> None:
     first = sent(rig.ask("SET", PLAIN, 1))
-    assert rig.ask("GET", PLAIN) is None  # waits for the write to the same slot
+    assert rig.ask("GET", PLAIN) is None  # this read waits for the write to the same slot
     other = sent(rig.ask("GET", OTHER))  # another slot does not wait
     rig.end(other, [b"$1\r\nx\r\n"])
     assert rig.text() == b""
@@ -496,7 +496,7 @@
         rig.pass_us(rng.randrange(100, 50_000))
     rig.pass_us(6_000_000)
     assert rig.engine.idle and ended > 5_000
-    assert len(rig.engine._box_names) < 3_000  # boxes that become new members again and again are not all kept
+    assert len(rig.engine._box_names) < 3_000  # not every box that once was a member is kept
 
 
 @given(st.lists(st.sampled_from([b"IDMP", b"*", b"MAXLEN", b"p", b"k", b"1-1", b"~", b"5", b"NOMKSTREAM"]), max_size=8))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
         self.settings = replace(SETTINGS, classes=(VIEW, POST), peers=routers, cold_share=0.17, overload_factor=4.0)
         self.routers = [Router(replace(self.settings, seed=seed * 10_000 + number)) for number in range(routers)]
         self.groups, self.rate = groups, rate
-        # If uneven, some routers get several times the mean and some hardly anything.
+        # With `uneven`, some routers get several times the mean traffic and some hardly any.
         self.weights = [self.random.random() ** 4 if uneven else 1.0 for _ in self.routers]
         self.now = START_US
         self.events: list[tuple[int, int, int, Any]] = []
@@ -131,7 +131,7 @@
         return self
 
     def most_of_bound(self) -> float:
-        """The most that was sent to the cold member in a window, as a share of what overloads it."""
+        """The most requests sent to the cold member in a window, as a share of the number that overloads it."""
         # Requests a second that one member can serve; the members are loaded to 0.7.
         capacity = self.rate / (self.groups * MEMBERS) / 0.7
         window_us, most = self.settings.fall_us, 0.0
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("uneven", [False, True])
 def test_writes_to_a_cold_primary_are_served_though_each_router_sends_few(uneven: bool) -> None:
-    """Routers without requests held unused tokens while writes elsewhere waited for one (seen in fleet scenarios)."""
+    """Routers without requests kept unused tokens while writes elsewhere waited for one (seen in fleet scenarios)."""
     fleet = Fleet(seed=3, routers=200, groups=12, rate=400.0, uneven=uneven).play(12)
     assert fleet.arrived["post", True] > 20
     assert fleet.served["post", True] > 0.75 * fleet.arrived["post", True]
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -29,7 +29,7 @@
         self.port = int(line.rsplit(":", 1)[1])
 
     def end(self, stop_signal: signal.Signals = signal.SIGTERM) -> float:
-        """Ask it to end; returns the seconds until it did."""
+        """Send the process a signal to end; returns the seconds until it has ended."""
         began = time.monotonic()
         self.process.send_signal(stop_signal)
         assert self.process.wait(5) == 0
--- a/tests/test_gateway_crossings.py
+++ b/tests/test_gateway_crossings.py
@@ -21,7 +21,7 @@
 
 PATIENCE_S = 20.0
 OK, PONG = resp.Simple(b"OK"), resp.Simple(b"PONG")
-UNREAD_INPUT = resp.command("PING") * 10_000  # more than one read takes
+UNREAD_INPUT = resp.command("PING") * 10_000  # more than the gateway takes in one read
 
 
 class Box:
@@ -104,7 +104,7 @@
         return client
 
     async def wire(self, *words: str) -> Wire:
-        """Open a client that waits for its answers; where it sends a command first, the answer must be OK."""
+        """Open a client that waits for its answers. If `words` are given, it sends them first and expects OK."""
         self.wires.append(await Wire.open(self.port))
         assert not words or await self.wires[-1].ask(*words) == OK
         return self.wires[-1]
@@ -270,7 +270,7 @@
 ) -> None:
     ended = record_inputs(world.gateway, m.Ended)
     await world.close_and_wait(await send_waiting_command(world, *words))
-    assert [event.how for event in ended] == ["withdrawn"]  # at once, and not counted as a failure of the box
+    assert [event.how for event in ended] == ["withdrawn"]  # ended at once, and not counted as a failure of the box
     world.box.may_greet.set()
     await world.assert_served("GET")
 
--- a/tests/test_hand_over.py
+++ b/tests/test_hand_over.py
@@ -168,7 +168,7 @@
     await open_idle_connection(harness)
     job = ScriptedJob()
     harness.launch(job)
-    harness.servers.remove(1)  # written, not answered yet
+    harness.servers.remove(1)  # the job is written, not answered yet
     assert await harness.ended(job) is Outcome.SERVED
     await harness.until(lambda: harness.server.open == 0 and harness.servers.open_count == 0)
 
@@ -247,7 +247,7 @@
     await open_idle_connection(harness)
     (connection,) = harness.pool.idle
     connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-    # The long query is more than the kernel takes for a peer that does not read.
+    # The long query is larger than the kernel's buffers for a peer that does not read.
     job = ScriptedJob() if is_whole else ScriptedJob(query=QUERY * 4_000)
     harness.server.mode = ["hang up"]
     harness.launch(job)
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -176,7 +176,7 @@
         assert order == list(range(3 * CLIENTS_PER_TURN + 5)) and max(turns) == CLIENTS_PER_TURN
         leaving = asyncio.ensure_future(asyncio.gather(*[client(number) for number in range(2 * CLIENTS_PER_TURN)]))
         await asyncio.sleep(0)
-        leaving.cancel()  # clients that leave while they wait delay no other
+        leaving.cancel()  # clients that leave while they wait do not delay others
         await asyncio.sleep(0.01)
         assert turn_clock.waiting_count == 0
 
@@ -224,7 +224,7 @@
     wire.writer.write(resp.command("GET", "k") * 64)
     for _ in range(64):
         await wire.reply()
-    # Each command takes 4 ms: the last one would be 250 ms late if the client's own earlier ones were counted.
+    # Each command takes 4 ms. The last one would be 250 ms late if the client's own earlier commands were counted.
     assert len(late_us) == 64 and max(late_us) < 100_000
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -27,7 +27,8 @@
     box = harness.primary
     box.stop()
     box.start()
-    # The old connections have closed. The new one has reported the new run, which the engine learns before its use.
+    # The old connections have closed. The new connection has reported the new run, and the engine learns of the run
+    # before the connection is used.
     assert await wire.ask("SET", "a", 2) == resp.Simple(b"OK")
     link = harness.gateway._links["box-0-0"]
     connections = [connection for pool in link._pools.values() for connection in pool.open]
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -111,7 +111,7 @@
     compiled_wheel: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A compiled engine lists its attributes in another order and makes 50000 of a float attribute 50000.0. So its bytes
-    # differ, and what the plain program makes of them is compared by value.
+    # differ, and the values that the plain program reads from them are compared instead.
     files = [DATA / "recording-0.3.0.bin", DATA / "snapshot-0.3.0.bin"]
     form, differences, written = report(compiled_wheel, files, STORED_NAMES_SCRIPT)
     assert form == native.COMPILED and differences == "0"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -29,14 +29,14 @@
 
 
 def run(*words: str, code: int = 0) -> str:
-    """The output of an `oatlink` command that must end with this exit code."""
+    """Run an `oatlink` command, check its exit code and return its output."""
     process = subprocess.run([sys.executable, "-m", "oatlink", *words], capture_output=True, text=True, timeout=30)
     assert process.returncode == code, process.stdout + process.stderr
     return process.stdout + process.stderr
 
 
 class Site:
-    """A stand-in bank and a gateway in front of it, each in a process of its own as in operation."""
+    """A bank of stand-in servers and a gateway in front of it, each in a process of its own as in production."""
 
     def __init__(self, folder: Path) -> None:
         self.bank, first_line = start_program("bank")
@@ -110,7 +110,7 @@
 
 
 async def send_requests(port: int, count: int) -> None:
-    """Send as many writes, each followed by a read."""
+    """Send `count` writes, each followed by a read."""
     wire = await Wire.open(port)
     for number in range(count):
         await wire.ask("SET", "v:1", number)
@@ -196,7 +196,7 @@
             await wire.ask("CLIENT", "SETNAME", "teller")
             assert await wire.ask("SET", "v:1", 1) == resp.Simple(b"OK")
             await gateway.stop()
-        path.write_bytes(path.read_bytes()[:-9])  # half-written: the gateway starts nevertheless
+        path.write_bytes(path.read_bytes()[:-9])  # as if it was written only in part; the gateway starts nevertheless
         gateway = Gateway(settings)
         assert not gateway.engine.router.state.session_positions
         await gateway.stop()
@@ -301,7 +301,7 @@
 def test_replays_give_the_answers_and_sends_of_the_gateways(
     day_of_trouble: tuple[Report, list[Path]],
 ) -> None:
-    """Two gateway processes answer MEMBERS and BANKS through a day of trouble; each of their choices is compared."""
+    """Two gateway processes answer MEMBERS and BANKS during the scenario "trouble"; all their choices are compared."""
     members_count = send_count = 0
     for file in day_of_trouble[1]:
         data = file.read_bytes()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -37,7 +37,7 @@
     waits: list[int] = field(default_factory=list)
 
     def play(self, clients: dict[str, tuple[RequestClass, int]], seconds: float) -> None:
-        """Run closed loops: connections send again at once after an answer, after a refusal at the named time."""
+        """Run closed loops: a connection sends again at once after an answer, and at the named time after a refusal."""
         rng = random.Random(4)
         end_us = self.now_us + round(seconds * 1e6)
         due: list[tuple[int, int, str]] = []
@@ -168,7 +168,7 @@
     assert rig.engine.counts["shed"] == 5 and not rig.paused
     rig.give(
         m.CommandReceived(1, [b"GET", KEY.encode()], 0, 0, 100_000)
-    )  # it has hardly waited for the process: admitted
+    )  # it is admitted, because it hardly waited for the process
     assert len(rig.engine._requests) == 1 and rig.engine.sessions[1].shed_in_a_row == 0
 
 
@@ -188,7 +188,7 @@
     assert next(iter(rig.engine._requests.values())).arrived_us == rig.now - 500_000
     rig.give(
         m.CommandReceived(2, [b"GET", KEY.encode()], 0, 0, 700_000)
-    )  # past its aim, and a late answer has no worth
+    )  # the command is past its aim, and a late answer has no worth
     assert rig.text(2).startswith(b"-TRYAGAIN")
 
 
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Boxes with several addresses on real sockets: each way in which one path fails while the others work."""
+"""Boxes with several addresses on real sockets: every kind of failure of one path while the others work."""
 
 import asyncio
 import contextlib
@@ -89,7 +89,7 @@
     before = entry_count(box, "nav:1")
     answer, took = await world.ask_timed("XADD", "nav:1", "IDMP", "p", "k1", "*", "n", 1)
     assert isinstance(answer, bytes) and took < 1.5
-    # It ran over the silent path and was repeated over another one: the key made it one entry.
+    # The write ran over the silent path and was repeated over another one; its key made it one entry.
     assert entry_count(box, "nav:1") == before + 1 and box.executed > 0
     box.release_replies("unix")
     await asyncio.sleep(0.05)
@@ -119,7 +119,7 @@
     for _ in range(6):
         answer, took = await world.ask_timed("XREVRANGE", "nav:1", "+", "-", "COUNT", 1)
         times_s.append(took)
-    # The first request is lost. Then the path is left, although its probes are answered throughout.
+    # The first request is lost. Then the path is no longer used, although its probes are always answered.
     assert isinstance(answer, resp.Array) and max(times_s[1:]) < 1.0, times_s
 
 
@@ -146,7 +146,7 @@
     for name in box.paths:
         box.paths[name].reads_nothing = False
     await asyncio.sleep(0.5)
-    # After its window the key no longer prevents a duplicate, so nothing may be sent after it.
+    # After the repeat window the key no longer prevents a duplicate, so no repeat may be sent then.
     assert entry_count(box, "nav:1") == 2 and box.executed == executed_before + 1
 
 
@@ -173,13 +173,13 @@
     box = world.primary
     await world.client.ask("SET", "k", 0)
     executed_before = box.executed
-    box.paths["unix"].reads_nothing = True  # the socket accepts only what its buffers hold
+    box.paths["unix"].reads_nothing = True  # the socket accepts only as much as fits into its buffers
     await asyncio.sleep(0.05)
     pending = asyncio.ensure_future(world.ask_timed("APPEND", "big", "x" * 8_000_000))
     await asyncio.sleep(0.2)
     box.reset_connections("unix")
     answer, took = await pending
-    # It is repeated although it has no key: a box runs complete commands only, and this one never was.
+    # The command is repeated although it has no key: a box runs only complete commands, and this one never was.
     assert answer == 8_000_000 and took < 2.9 and box.executed == executed_before + 1
 
 
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -180,7 +180,7 @@
 
 @scene(listener_world, small=True)
 async def test_many_long_answers_that_waited_for_an_earlier_one_all_reach_a_slow_client(world: ListenerWorld) -> None:
-    """More answers at once than the stream buffers closed the connection, and all of them were lost."""
+    """When more answers came at once than the stream buffers, the connection was closed and all of them were lost."""
     world.handler.pipeline_limits.per_connection, world.handler.answer_bytes = 20, 60_000
     peer, client = await world.start_client()
     peer.send(b"".join(query(b"%d" % number) for number in range(10)))
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -27,7 +27,7 @@
 
 
 def greet(server: Server) -> None:
-    """Let a server send its greetings, also those that are delayed."""
+    """Let a server send its greetings, including the delayed ones."""
     server.greets = True
     server.release.set()
 
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -288,7 +288,7 @@
 
 
 def test_a_late_answer_of_an_overloaded_discovery_is_used() -> None:
-    """Calls were given up at the moment in which discovery answered them, so a drain that it reported was missed."""
+    """Calls were given up just when discovery answered them, so a drain that it reported was missed."""
 
     async def scene() -> None:
         async with Discovery() as service:
@@ -353,7 +353,7 @@
 
 
 def test_a_stream_is_idle_only_while_nothing_has_arrived_unnoticed() -> None:
-    """A client was closed as idle in the turn of the loop in which its request had been read."""
+    """A connection was closed as idle in the turn of the event loop in which its request had been read."""
 
     async def scene() -> None:
         ours, theirs = socket.socketpair()
--- a/tests/test_platform_values.py
+++ b/tests/test_platform_values.py
@@ -234,7 +234,7 @@
         self.now = 100_000_000
         self.requests = req.Requests(router or Router(replace(SETTINGS, seed=seed)))
         self.running: dict[int, req.Attempt] = {}
-        self.delayed_share = 0.0 if router else 0.2  # of the attempts, which wait for a connection
+        self.delayed_share = 0.0 if router else 0.2  # the share of the attempts that wait for a connection
         self.owners: list[RecordingOwner] = []
         self.open_requests: list[req.Open] = []
         self.checks: list[int] = []
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -45,7 +45,7 @@
     assert positions.time_of("b", 150) == 1_000  # below the join the old points are valid
     assert positions.time_of("b", 179) == 1_000  # the new primary never had offset 200
     assert positions.time_of("b", 180) == 5_000
-    assert positions.time_of("a", 5_000) == 1_000  # the old primary with writes that no other box has
+    assert positions.time_of("a", 5_000) == 1_000  # the old primary reports writes that no other box has
 
 
 def test_an_old_primary_that_comes_back_proves_nothing_new() -> None:
--- a/tests/test_random_news.py
+++ b/tests/test_random_news.py
@@ -1,4 +1,4 @@
-"""Random, contradictory and out-of-order events with fixed seeds: the router's rules that events can show hold."""
+"""Random, contradictory and out-of-order events with fixed seeds; checks the rules that the router's actions show."""
 
 import random
 
@@ -147,7 +147,7 @@
             self.pass_time(draw.choice([0, 5_000, 20_000, 100_000]))
 
     def pass_time(self, us: int) -> None:
-        """Advance time by 5 ms at a time: timers fire, and attempts of expired requests end as late."""
+        """Advance time in steps of 5 ms: timers fire, and attempts of expired requests end with the outcome "late"."""
         driver, end = self.driver, self.driver.now + us
         while driver.now < end:
             driver.now += 5_000
--- a/tests/test_redact.py
+++ b/tests/test_redact.py
@@ -126,7 +126,7 @@
     rig.ask("SET", OWN, "topsecret", client=2)
     rig.end(
         sent(rig.ask("GET", OTHER)), [b"$9\r\ntopsecret\r\n"]
-    )  # its answer waits behind those of the commands before it
+    )  # its answer waits for those of the commands before it
     recorder = Recorder("test", HASHED, rig.now, engine=rig.engine)
     with traced(recorder) as frames:
         rig.end(first, [b"+OK\r\n"])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -43,7 +43,7 @@
     with traced(recorder) as parts:
         rig = Rig()
         write = sent(rig.ask("SET", KEY, 1))
-        assert rig.ask("GET", KEY) is None  # it waits behind the write, and its class is removed by the reload
+        assert rig.ask("GET", KEY) is None  # this read waits for the write, and the reload removes its class
         rig.give(m.Reloaded(NEW))
         rig.engine = restore_engine(take_snapshot(rig.engine, rig.now), NEW)
         rig.end(write)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -143,7 +143,7 @@
             cold_sends_count += send.member == 2
             driver.ended(send, Outcome.FULL if send.member == 2 else Outcome.SERVED)
         driver.now += 5_000
-    # At most three times its share, a fifth of the ten a second in the mean that the warm member has served.
+    # At most three times its share, which is a fifth of the mean of ten a second that the warm member has served.
     assert 1 <= cold_sends_count <= 6
 
 
@@ -228,7 +228,7 @@
 
 
 def test_the_time_reserved_for_an_answer_follows_members_in_use_rather_than_idle_ones() -> None:
-    """Pending reads were late as only the fresh replica was slow, the idle ones quick (seen with real sockets)."""
+    """Pending reads were late when only the fresh replica was slow and the idle ones quick (seen with real sockets)."""
 
     def pending_time_us(slow_us: int) -> int:
         driver = Driver().ready()
@@ -237,7 +237,7 @@
             for send in sends(driver.arrive("check")):
                 driver.ended(send, Outcome.SERVED, duration=slow_us, answer=api.Report(driver.now, Role.PRIMARY))
         driver.skip(600_000)
-        driver.roster(member(2), member(3))  # the member in use has left
+        driver.roster(member(2), member(3))  # the member in use leaves the roster
         start = driver.now
         assert not sends(driver.arrive("view")), "no position is known to be fresh, and there is no primary"
         while not of_type(api.Refuse, driver.wait(5_000)):
@@ -306,7 +306,7 @@
 
 
 def test_a_session_read_is_checked_against_later_writes_just_before_it_is_written() -> None:
-    """A read pending for 0.1 s was sent by what its session had written when it arrived (seen in a run)."""
+    """A read pending for 0.1 s was checked only against writes from before its arrival (seen in a run)."""
     driver = Driver(router_remembers_sessions=True).ready()
     driver.skip(50_000)
     write = only_send(driver.arrive("submit", session="s"))
@@ -514,7 +514,7 @@
 
 
 def test_a_member_that_never_answers_is_checked_less_and_less_often(driver: Driver) -> None:
-    """Checks lost on a slow link were sent four times for each request (seen at full size)."""
+    """On a slow link that lost checks, four checks were sent for each request (seen at full size)."""
     checks_count = 0
     for _ in range(200):
         driver.arrive("any")
@@ -541,12 +541,13 @@
                 attempts_sent += send.member == 2
                 driver.ended(send, Outcome.SERVED, answer=None)
             attempts_sent += 0.1 * sum(check.member == 2 for check in of_type(api.Check, actions))
-    # The bound for a member of four attempts a core-second, cold to a fifth: 0.2 x 3 x 2 s x 40 a second.
+    # The bound for a member that serves four attempts a second on each core and is cold, at a fifth of its capacity:
+    # 0.2 x 3 x 2 s x 40 a second.
     assert 0 < attempts_sent < 48
 
 
 def test_reads_leave_capacity_for_requests_that_only_the_primary_can_serve() -> None:
-    """Bounded reads kept latest reads and writes from the primary (seen in a recording)."""
+    """Bounded reads used up the primary's capacity for latest reads and writes (seen in a recording)."""
     driver = Driver()
     driver.roster(member(1))
     driver.arrive("any")
@@ -558,7 +559,7 @@
 
 
 def test_a_share_is_admitted_if_one_attempt_of_each_router_is_too_much() -> None:
-    """Many routers with one attempt each overloaded one member (seen in a recording)."""
+    """Many routers with one attempt each together overloaded one member (seen in a recording)."""
     driver = Driver(peers=64).ready()
     refusals_count = 0
     for _ in range(40):
@@ -599,7 +600,7 @@
 
 
 def test_may_send_checks_every_guard(driver: Driver) -> None:
-    """The guards apply however the member was chosen."""
+    """The guards apply in whichever way the member was chosen."""
     state = driver.router.state
     send = only_send(driver.arrive("any"))
     request, target = state.requests[send.request], state.members[2]
--- a/tests/test_session_reads.py
+++ b/tests/test_session_reads.py
@@ -64,7 +64,7 @@
 
 
 def test_a_pending_read_is_ordered_and_sent_by_its_sessions_latest_write() -> None:
-    """A read that was pending for a free member went to a replica without its session's newer write."""
+    """A read that waited for a free member went to a replica without its session's newer write."""
     driver = session_driver()
     write = only_send(driver.arrive("submit", session="s"))
     group = driver.router.state.groups[1]
@@ -110,7 +110,7 @@
 
 
 def test_an_unanswered_write_binds_until_a_replica_has_passed_its_latest_possible_commit() -> None:
-    """A write has ended on every member once its client's time and then the class's deadline have passed."""
+    """No member can still commit a write once its client's time and then the class's deadline have passed."""
     driver = session_driver()
     write = only_send(driver.arrive("submit", session="s", expires=1_000_000))
     driver.skip(1_000_000)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -109,7 +109,7 @@
 
 
 def test_a_reconnected_session_reads_its_write_that_came_after_the_snapshot() -> None:
-    """Guards against the same failure where the write came after the snapshot: the new process does not know of it."""
+    """Guards against the same failure when the write came after the snapshot, so that the new process lacks it."""
     rig = Rig()
     data = take_snapshot(rig.engine, rig.now)
     rig.end(sent(rig.ask("SET", OWN, 1)))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -67,7 +67,7 @@
     peer.send(STARTUP + query(write_statement()))
     await world.until(lambda: bool(server.statements))
     await stop_process(world)
-    await asyncio.sleep(0.2)  # the suspension, longer than the pause
+    await asyncio.sleep(0.2)  # the process stays suspended for longer than the pause
     sent_count, server.mode = len(server.statements), "good"
     peer.sock.shutdown(socket.SHUT_RDWR)
     world.signal(signal.SIGCONT)
@@ -87,13 +87,13 @@
     server.release.set()
     await world.until(lambda: len(server.statements) == 2)
     first, further = (int(text.split(b",d=")[1].split(b",")[0]) for text in server.statements)
-    assert further <= first - 399 and first <= 2_900  # on a slow machine less is left, never more
+    assert further <= first - 399 and first <= 2_900  # on a slow machine less time is left, never more
     assert served_value(await client.until_ready()) == GOOD
 
 
 @scene(temporary_world, sockets=64, running=False)
 async def test_clients_that_fill_the_descriptors_keep_it_neither_from_discovery_nor_from_servers(world: World) -> None:
-    """The process is limited to its descriptors, and clients take all of theirs while discovery is down."""
+    """The process has 64 descriptors, and clients occupy all that clients may use while discovery is down."""
     world.discovery._server.close()
     await world.start()
     try:
@@ -181,7 +181,7 @@
 @scene(temporary_world, replicas=1)
 async def test_sigterm_right_after_an_accept_loses_nothing(world: World) -> None:
     await ready_client(world)
-    await stop_process(world)  # what comes now is accepted in the same turn of the loop in which the signal is seen
+    await stop_process(world)  # the loop accepts what comes now in the turn in which it sees the signal
     peers = [Peer(world.address) for _ in range(20)]
     for peer in peers:
         peer.send(STARTUP + query(read_statement()))
@@ -216,7 +216,7 @@
     world.discovery.publish(world.entries())
     await world.wait_for_line("status 503")
     await stop_process(world)
-    await asyncio.sleep(0.5)  # the suspension
+    await asyncio.sleep(0.5)  # how long the process stays suspended
     client.writer.write(query(read_statement()))
     world.signal(signal.SIGCONT)
     assert served_value(await client.until_ready()) == GOOD
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -50,7 +50,7 @@
             await asyncio.sleep(self.answer_s)
             return page(9)
         end = self.draw.choice(self.ends)
-        if end == "empty":  # no changes after the full wait; the next call of the same watch may get no answer
+        if end == "empty":  # no change came during the full wait; the next call of the same watch may get no answer
             await asyncio.sleep(timeout_s - CALL_S)
             return page(1, False)
         await asyncio.sleep({"silent": timeout_s, "busy": CALL_S * self.draw.random(), "refused": 0.001}[end])
@@ -87,7 +87,7 @@
 def test_a_change_is_known_within_6_s_of_discoverys_being_reached_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: list[str], within_s: int, mode: str
 ) -> None:
-    """Holds whatever the calls before came to, and even if the call that brings the change takes most of its time."""
+    """Holds for any outcome of the earlier calls, even if the call that brings the change takes most of its time."""
     obligations = OBLIGATIONS | {"AskWithinUs": within_s * 1_000_000, "StopSendingWithinUs": 700_000}
     loaded = load_config(tmp_path, Discovery=mode, Obligations=obligations)
 
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -81,7 +81,7 @@
     assert third.address == IPV4
     finish_dial(rig, third)
     assert [(use.dial, use.address) for use in take_effects(rig, m.Use)] == [(1, IPV4)]
-    finish_dial(rig, second)  # too late
+    finish_dial(rig, second)  # this dial ends too late
     assert [discard.address for discard in take_effects(rig, m.Discard)] == [IPV6]
 
 
@@ -90,8 +90,8 @@
     for _ in range(3):
         (dial,) = take_dials(rig)
         finish_dial(rig, dial, "refused")
-    # All three have failed now. `take_dials` has dropped the last effects, so another connection is wanted: only one
-    # path is tried for it.
+    # All three paths have failed now. `take_dials` has dropped the last effects, so the test requests another
+    # connection; only one path is tried for it.
     rig.give(m.ConnectionWanted("p", 2, UNIX))
     (retry,) = take_dials(rig)
     finish_dial(rig, retry, "refused")
@@ -110,7 +110,7 @@
         return handle(event, now_us, more_follow)
 
     rig.engine.router.handle = record_checks  # type: ignore[method-assign]
-    rig.engine._boxes["p"].check_pending = True  # as if the Router had asked for a check
+    rig.engine._boxes["p"].check_pending = True  # as if the Router had requested a check
     rig.give(m.RefreshRequested())
     assert [event.outcome for event in checks] == [api.Outcome.SERVED]
     belief = member_status(rig.engine.router, before)
@@ -129,7 +129,7 @@
     rig.probes.clear()
     rig.give(m.RefreshRequested())
     assert [probe.address for probe in rig.probes if probe.box == "p"] == [UNIX]
-    rig.pass_us(12_000)  # four times the usual probe time, 10 ms at least
+    rig.pass_us(12_000)  # four times the usual duration of a probe, but at least 10 ms
     assert [probe.address for probe in rig.probes if probe.box == "p"] == [UNIX, IPV6]
     assert not rig.engine._boxes["p"].probe_pending
 
@@ -249,7 +249,7 @@
     rig.give(m.RosterListed((m.Box("p", 0, IPV6, ways=(m.Way("[::1]:9"),)), *others)))
     assert rig.engine._boxes["p"].member == member
     assert [path.address for path in rig.engine._boxes["p"].paths.paths] == [IPV6, "[::1]:9"]
-    rig.give(m.RosterListed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # another box: no address in common
+    rig.give(m.RosterListed((m.Box("p", 0, "192.0.2.9:1"), *others)))  # another box, which has no address in common
     assert rig.engine._boxes["p"].member != member
 
 
@@ -281,7 +281,8 @@
             finish_dial(rig, dial, "no connection in time")
         open_dials = open_dials[16:]
     assert no_path_count == 200 and most_open <= MAX_OPEN_DIALS
-    # Each box has three paths and is wanted four times; once its paths have failed, each want tries one more at most.
+    # Each box has three paths, and four connections to it are requested. Once its paths have failed, each further
+    # request tries at most one path.
     assert dial_count <= 50 * 4 * 3 and rig.engine._open_dial_count == 0
 
 
