--- a/oatlink/rules/arrivals.py
+++ b/oatlink/rules/arrivals.py
@@ -24,8 +24,8 @@
         queueing.give_up(state, request)
     else:
         group.admitted_us, has_pending = state.now_us, bool(state.pending[group.id].entries)
-        # A request of a tenant over its rate doesn't overtake the pending ones, so that its flood takes no capacity
-        # from others. While the group's dispatch is deferred, no request overtakes them.
+        # A request of a tenant over its rate doesn't overtake the pending ones, so that its flood takes no
+        # capacity from others. While the group's dispatch is deferred, no request overtakes them.
         must_wait = has_pending and (request.worth < rule.worth or group.id in state.deferred_groups)
         dispatch.submit(state, request, must_wait)
     sweeps.plan_sweep(state, group)
@@ -60,7 +60,7 @@
 
 
 def _tenant_factor(state: RouterState, tenant: str | None) -> float:
-    """The factor on a request's worth: 1 while its tenant is within its rate here, beyond it `over_share_worth`."""
+    """The factor on a request's worth: 1 within its tenant's rate here, beyond it `over_share_worth`."""
     if tenant is None or tenant not in state.tenant_budgets:
         return 1.0
     rate, left, updated_us = state.tenant_budgets[tenant]
--- a/oatlink/rules/checks.py
+++ b/oatlink/rules/checks.py
@@ -19,7 +19,8 @@
 def check_stale(state: RouterState, group: Group) -> None:
     """Check the members that were not heard of for `heartbeat_us`, and those whose role is unknown.
 
-    This is called when a request arrives and not on a timer, so that hundreds of idle routers don't check all the time.
+    This is called when a request arrives and not on a timer, so that hundreds of idle routers don't check all
+    the time.
     """
     for member in group.members.values():
         if member.role is api.Role.UNKNOWN:
@@ -36,7 +37,7 @@
 
 
 def _check_unknown(state: RouterState, member: Member) -> None:
-    """Check a member at most every half second, as designed; while its checks fail, up to 16 times less often."""
+    """Check a member at most every half second, as designed; up to 16 times less often while checks fail."""
     doublings = min(max(0, member.failed_check_count - 1), 4)
     if state.now_us - member.checked_us >= parameters.PENDING_CHECK_US << doublings:
         check(state, member)
@@ -45,8 +46,8 @@
 def overdue_at(state: RouterState, group: Group, member: Member) -> float:
     """When to check a member that has outstanding attempts and answers nothing.
 
-    A member that has taken work is checked once it has been silent for twice the typical service time, so that its
-    failure is noticed.
+    A member that has taken work is checked once it has been silent for twice the typical service time, so
+    that its failure is noticed.
     """
     if not member.outstanding:
         return NEVER
--- a/oatlink/rules/cold.py
+++ b/oatlink/rules/cold.py
@@ -1,10 +1,10 @@
 """Decides how many requests may go to a member that has started recently.
 
-All routers together must not overload a cold member, though no router knows of the others' requests. Requests and
-checks that are sent to it cost tokens, and a new member's first tokens are drawn at random. A router gets tokens at the
-rate at which it has had answers from warm members, so that the rates of all routers add up to what one member can
-serve. But the tokens may be at routers that have no requests. Requests that only a primary takes therefore need no
-tokens; they are admitted first, each by its own random draw.
+All routers together must not overload a cold member, though no router knows of the others' requests. Requests
+and checks that are sent to it cost tokens, and a new member's first tokens are drawn at random. A router gets
+tokens at the rate at which it has had answers from warm members, so that the rates of all routers add up to
+what one member can serve. But the tokens may be at routers that have no requests. Requests that only a
+primary takes therefore need no tokens; they are admitted first, each by its own random draw.
 """
 
 from oatlink.router_state import Group, Member, Request, RouterState
@@ -23,7 +23,7 @@
 
 
 def within_budget(state: RouterState, member: Member, weight: float, request: Request | None = None) -> bool:
-    """Whether a member is warm, or its budget allows this request, or a check or attempt that costs `weight` tokens."""
+    """Whether a member is warm, or its budget allows this request or a check that costs `weight` tokens."""
     warm = warmth(state, member)
     if warm >= 1.0:
         return True
@@ -48,7 +48,7 @@
 
 
 def _update_warm_rate(state: RouterState) -> None:
-    """Measure the mean answer rate of warm members, once per instant. A rise counts at once, a fall only slowly."""
+    """Measure the mean answer rate of warm members, once per instant; it rises at once and falls slowly."""
     if state.warm_rate_us != state.now_us:
         state.warm_rate_us = state.now_us
         peers = [peer for peer in state.members.values() if not peer.is_draining]
@@ -60,7 +60,8 @@
 def _released_share(state: RouterState, group: Group, request: Request) -> float:
     """The share of the requests that waited for a new primary which may be sent to it by now.
 
-    They must not all arrive at once, so they are spread over `fall_us` and the longest time that they can have waited.
+    They must not all arrive at once, so they are spread over `fall_us` and the longest time that they can
+    have waited.
     """
     waited_us = min(group.primary_known_us - group.primary_lost_us, request.request_class.deadline_us)
     spread_us = state.settings.fall_us + waited_us or -1  # never 0, as it divides
--- a/oatlink/rules/concurrency.py
+++ b/oatlink/rules/concurrency.py
@@ -13,7 +13,7 @@
 
 
 def is_below_limit(state: RouterState, member: Member, share: float) -> bool:
-    """Whether one more attempt is within a share of a member's concurrency limit. A single attempt always is."""
+    """Whether one more attempt is within a share of a member's limit. A single attempt always is."""
     limit = max(1.0, member.concurrency_limit * share * cold.warmth(state, member))
     return (
         not member.is_draining
@@ -24,7 +24,7 @@
 
 
 def record_outcome(state: RouterState, member: Member, event: AttemptEnded) -> None:
-    """Raise a member's limit and its group's admission ratio on quick answers, lower them on slow ones or `FULL`."""
+    """Raise a member's limit and its group's admission on quick answers, else lower them (slow or `FULL`)."""
     group = state.groups[member.entry.group]
     if event.outcome is Outcome.SERVED:
         _record_answer(state, group, member, event)
@@ -49,15 +49,16 @@
     member.answer_rate = cold.answer_rate(state, member) + 1e6 / parameters.HEARTBEAT_US
     member.answer_rate_us, member.refused_connection_count = state.now_us, 0
     state.answers_per_arrival += 0.05
-    # The first answer sets the average. Starting from a guess far above real service times would leave a member out of
-    # the round robin for long.
+    # The first answer sets the average. Starting from a guess far above real service times would leave a
+    # member out of the round robin for long.
     weight = 0.1 if member.average_service_us else 1.0
     member.average_service_us += weight * (event.duration_us - member.average_service_us)
     group.typical_service_us = -1.0
     state.average_service_us += 0.05 * (event.duration_us - state.average_service_us)
     group.average_service_us += 0.05 * (event.duration_us - group.average_service_us)
     request = state.requests.get(event.request)
-    service_us = event.duration_us - member.check_cost_us  # less the network's time, taken to be that of a check
+    # Less the network's time, taken to be that of a check.
+    service_us = event.duration_us - member.check_cost_us
     is_slow = request is not None and service_us > request.request_class.aim_us / 2
     _adjust_admission(state, member, is_slow)
     if member.average_service_us > state.target_service_us:
@@ -82,9 +83,9 @@
 def _adjust_admission(state: RouterState, member: Member, is_slow: bool) -> None:
     """Raise or lower the share of requests that is admitted at random.
 
-    A limit can't fall below one attempt, and with many routers one attempt of each may already be too much for a
-    member. First the share of reads that spill over to a primary is lowered, as replicas can take them too, then the
-    share of all requests for the group.
+    A limit can't fall below one attempt, and with many routers one attempt of each may already be too much
+    for a member. First the share of reads that spill over to a primary is lowered, as replicas can take them
+    too, then the share of all requests for the group.
     """
     group = state.groups[member.entry.group]
     is_primary = group.primary == member.entry.member
--- a/oatlink/rules/dispatch.py
+++ b/oatlink/rules/dispatch.py
@@ -10,7 +10,8 @@
 def submit(state: RouterState, request: Request, must_wait: bool = False) -> None:
     """Send a request, or make it pending, or give it up if no answer can come in time.
 
-    Without the last, clients whose time limit is shorter than an answer takes would fill the members with useless work.
+    Without the last, clients whose time limit is shorter than an answer takes would fill the members with
+    useless work.
     """
     end_us = queueing.give_up_at(state, request)
     is_too_short = not request.attempts and state.now_us >= end_us
@@ -59,9 +60,9 @@
 def _next_ready(state: RouterState, group: Group, queue: PendingQueue) -> Request | None:
     """The oldest request of a queue that a member can take now, or None.
 
-    Trying each of thousands of pending requests at every answer would cost too much, so one request stands for its
-    queue: the others need the same position or, if they are newer, a later one. In a queue of session reads the
-    positions differ; there a member's position serves all requests that need it or an earlier one.
+    Trying each of thousands of pending requests at every answer would cost too much, so one request stands
+    for its queue: the others need the same position or, if they are newer, a later one. In a queue of session
+    reads the positions differ; there a member's position serves all requests that need it or an earlier one.
     """
     oldest = queue.oldest()
     if oldest is None:
@@ -72,8 +73,8 @@
         return oldest
     newest = queue.newest(LONG_AGO)
     if newest is not None and newest is not oldest and oldest.request_class.freshness is Freshness.BOUNDED:
-        # Choosing a member may ask a replica for a report. One may have been asked since the oldest request arrived,
-        # but none since the newest did.
+        # Choosing a member may ask a replica for a report. One may have been asked since the oldest request
+        # arrived, but none since the newest did.
         state.choose_member(state, newest)
     return None
 
--- a/oatlink/rules/outcomes.py
+++ b/oatlink/rules/outcomes.py
@@ -6,7 +6,7 @@
 
 
 def handle_check(state: RouterState, event: Checked) -> None:
-    """Process the end of a check. `FULL` says nothing of the member; any other failure makes its role unknown."""
+    """Process the end of a check. `FULL` says nothing of the member; other failures make its role unknown."""
     member = state.members.get(event.member)
     if member is None:
         return
@@ -66,15 +66,15 @@
         concurrency.record_outcome(state, member, event)
     silent_us = state.now_us - member.heard_us
     if event.outcome is Outcome.NO_CONNECTION and silent_us < parameters.HEARTBEAT_US:
-        # The member was heard of recently, so it is more likely full for this router than dead. Connections that worked
-        # are kept, and a check shows which of the two it is.
+        # The member was heard of recently, so it is more likely full for this router than dead. Connections
+        # that worked are kept, and a check shows which of the two it is.
         if silent_us > state.target_service_us:
             checks.check(state, member)
     elif event.outcome is Outcome.RESET and member.heard_us > max(
         member.connection_broken_us, state.now_us - state.target_service_us
     ):
-        # The member was heard of just before, so one connection broke and not the member. A second break before the
-        # member is heard of again counts as the member's failure.
+        # The member was heard of just before, so one connection broke and not the member. A second break
+        # before the member is heard of again counts as the member's failure.
         member.connection_broken_us = state.now_us
         checks.check(state, member)
     elif event.outcome in (Outcome.RESET, Outcome.NO_CONNECTION):
@@ -105,8 +105,8 @@
     if event.outcome is Outcome.NOT_SENT or state.now_us >= request.expires_us - state.margin_us:
         return queueing.give_up(state, request)
     request.tried_members.append(event.member)
-    # A repeat loads a cold primary as much as a first send does. After `FULL` the draw is raised, so that the request
-    # waits until a larger share is released.
+    # A repeat loads a cold primary as much as a first send does. After `FULL` the draw is raised, so that the
+    # request waits until a larger share is released.
     request.admission_draw += request.is_primary_only and event.outcome is Outcome.FULL
     # One error may be the member's fault; a second is the request's, which would fail everywhere.
     is_error = event.outcome is Outcome.ERROR
--- a/oatlink/rules/parameters.py
+++ b/oatlink/rules/parameters.py
@@ -5,7 +5,8 @@
 
 HEARTBEAT_US = 10_000_000  # the design's default; what a member has shown counts for about this long
 PENDING_CHECK_US = 500_000  # the design's interval of checks while a group has no primary
-FEW_PEERS_COUNT = 4  # up to this many routers may each have an attempt outstanding, and keep the design's heartbeat
+# Up to this many routers may each have an attempt outstanding, and keep the design's heartbeat.
+FEW_PEERS_COUNT = 4
 
 
 def configure(state: RouterState, settings: Settings) -> None:
@@ -14,7 +15,8 @@
     state.settings = settings
     state.classes |= {rule.name: rule for rule in settings.classes}
     worth = sum(rule.worth for rule in settings.classes) or 1.0
-    # A third of the aim, weighted by worth: slower answers leave no time to keep a request pending or to retry.
+    # A third of the aim, weighted by worth: slower answers leave no time to keep a request pending or to
+    # retry.
     state.target_service_us = sum(rule.worth * rule.aim_us for rule in settings.classes) / worth / 3
     bounds = [rule.staleness_us for rule in settings.classes if rule.freshness is Freshness.BOUNDED]
     state.staleness_bound_us = min(bounds, default=HEARTBEAT_US)
--- a/oatlink/rules/primaries.py
+++ b/oatlink/rules/primaries.py
@@ -8,8 +8,8 @@
 def record_report(state: RouterState, member: Member, report: Report | None, is_current: bool) -> None:
     """Set a member's role, position and time heard.
 
-    What a report says was true at the time of its position, or now (`is_current`). It does not replace a role that was
-    true at a later time.
+    What a report says was true at the time of its position, or now (`is_current`). It does not replace a role
+    that was true at a later time.
     """
     member.heard_us = state.now_us
     if report is None:
--- a/oatlink/rules/queueing.py
+++ b/oatlink/rules/queueing.py
@@ -57,7 +57,7 @@
 
 
 def urgency(state: RouterState, request: Request) -> tuple[float, int]:
-    """The sort key of a pending request: first what serving it now is worth, highest first, then its arrival."""
+    """The sort key of a pending request: what serving it now is worth, highest first, then its arrival."""
     factor = request.request_class.late_worth if _is_late(state, request) else 1.0
     return -request.worth * factor, request.arrived_us
 
@@ -69,8 +69,8 @@
 def give_up_at(state: RouterState, request: Request) -> int:
     """When to give up a pending request because its answer would come after the aim or the deadline.
 
-    Otherwise a member would work on a request that ends before its answer. The next planned sweep may be too late for
-    that, so `dispatch.submit` plans one for this time.
+    Otherwise a member would work on a request that ends before its answer. The next planned sweep may be too
+    late for that, so `dispatch.submit` plans one for this time.
     """
     end_us, max_reserve_us, latest_us = _end_times(state, request)
     reserve_us = service_time.reserve_us(state, state.groups[request.group])
@@ -78,7 +78,7 @@
 
 
 def _end_times(state: RouterState, request: Request) -> tuple[int, int, int]:
-    """When an answer is too late, the longest time to reserve before that for serving, and the last time to give up."""
+    """When an answer is too late, the longest time to reserve for serving, and the last time to give up."""
     rule, aim_end_us = request.request_class, request.arrived_us + request.request_class.aim_us
     end_us = request.expires_us if rule.late_worth > 0 else min(request.expires_us, aim_end_us)
     latest_us = request.expires_us - state.margin_us - state.tick_us
@@ -108,8 +108,8 @@
 def forget(state: RouterState, request_id: str, has_left: bool = False) -> None:
     """Remove a request that has ended.
 
-    A write is kept where its client has left (`has_left`) and an attempt is still outstanding: the session's reads must
-    see it if it is committed.
+    A write is kept where its client has left (`has_left`) and an attempt is still outstanding: the session's
+    reads must see it if it is committed.
     """
     request = state.requests.get(request_id)
     if request is not None:
--- a/oatlink/rules/reads.py
+++ b/oatlink/rules/reads.py
@@ -55,7 +55,8 @@
 def _choose_most_advanced(state: RouterState, replicas: list[Member], position_us: int) -> Member | None:
     """One of the replicas likely to be at a position, by their last lag, else that with the least lag.
 
-    Where members check reads themselves, a wrong choice costs little: the read is refused, then sent elsewhere.
+    Where members check reads themselves, a wrong choice costs little: the read is refused, then sent
+    elsewhere.
     """
     likely = [member for member in replicas if state.now_us - member.lag_us >= position_us]
     return _choose_in_turn(state, likely) or min(replicas, key=lambda member: member.lag_us, default=None)
--- a/oatlink/rules/roster.py
+++ b/oatlink/rules/roster.py
@@ -9,7 +9,7 @@
 
 
 def start(state: RouterState) -> None:
-    """Plan the subscription where discovery must be asked; at a random time, as all routers may start together."""
+    """Plan the subscription where discovery must be asked; at random, as all routers may start together."""
     if state.settings.must_ask_roster:
         has_many_peers = state.settings.peers > parameters.FEW_PEERS_COUNT
         spread_us = state.settings.ask_within_us // 4 if has_many_peers else 0
@@ -17,7 +17,7 @@
 
 
 def request_roster(state: RouterState) -> None:
-    """Subscribe, and plan to do so again if no roster comes. At the longest back-off, fetch the roster as well."""
+    """Subscribe, and plan to do so again if no roster comes; at the longest back-off, fetch it as well."""
     state.roster_request_us = state.now_us + state.settings.ask_within_us // 4
     state.actions.append(api.FollowRoster())
     if state.now_us + state.roster_retry_wait_us >= state.roster_request_us:
@@ -73,7 +73,8 @@
 def _remove_member(state: RouterState, member: Member | None) -> None:
     """Remove a member that is gone.
 
-    Where members dropped from the roster stay open (`dropped_stay_open`), only one that was draining is removed.
+    Where members dropped from the roster stay open (`dropped_stay_open`), only one that was draining is
+    removed.
     """
     if member is None or state.settings.dropped_stay_open and not member.was_terminating:
         return
--- a/oatlink/rules/sweeps.py
+++ b/oatlink/rules/sweeps.py
@@ -1,7 +1,7 @@
 """Decides when a group is swept next.
 
-A sweep dispatches pending requests, ends expired ones and checks silent members. One timer serves the sweeps of all
-groups.
+A sweep dispatches pending requests, ends expired ones and checks silent members. One timer serves the sweeps
+of all groups.
 """
 
 import heapq
